--- /dev/null
+++ b/wire_test.go
@@ -0,0 +1,176 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package main
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"pinerun.example/pinerun/coordination/lease"
+	"pinerun.example/pinerun/coordination/plan"
+	"pinerun.example/pinerun/protocol"
+	"pinerun.example/pinerun/settings"
+	"pinerun.example/pinerun/state/story"
+)
+
+// updateWire writes the files under testdata/wire instead of comparing with them. Entries of two
+// versions meet in one fleet during an upgrade, so a changed file means an incompatible message.
+var updateWire = flag.Bool("wire.update", false, "write testdata/wire")
+
+// TestMessagesKeepTheirEncoding encodes each message between processes and each stored record with
+// distinct values and compares the result with testdata/wire. It fails if a field is renamed on the
+// wire, moved, or encoded differently.
+func TestMessagesKeepTheirEncoding(t *testing.T) {
+	binary := []struct {
+		name   string
+		filled any
+		encode func(any) ([]byte, error)
+	}{
+		{"steps", &protocol.StepFrame{}, func(m any) ([]byte, error) { return protocol.EncodeSteps(*m.(*protocol.StepFrame)) }},
+		{"replies", &protocol.ReplyFrame{}, func(m any) ([]byte, error) { return protocol.EncodeReplies(*m.(*protocol.ReplyFrame)) }},
+		{"peer", &protocol.PeerFrame{}, func(m any) ([]byte, error) { return protocol.EncodePeer(*m.(*protocol.PeerFrame)) }},
+		{"claims", &protocol.ClaimBatch{}, func(m any) ([]byte, error) { return protocol.EncodeClaims(*m.(*protocol.ClaimBatch)) }},
+		{"relay-hello", &protocol.RelayHello{}, protocol.EncodeRelay},
+		{"relay-ask", &protocol.RelayAsk{}, protocol.EncodeRelay},
+		{"relay-frame", &protocol.RelayFrame{}, protocol.EncodeRelay},
+		{"relay-changes", &[]protocol.RelayChange{}, protocol.EncodeRelay},
+	}
+	for _, m := range binary {
+		t.Run(m.name, func(t *testing.T) {
+			fillDistinct(m.filled)
+			b, err := m.encode(m.filled)
+			require.NoError(t, err)
+			compareWire(t, m.name+".cbor.hex", hex.EncodeToString(b))
+		})
+	}
+	text := []struct {
+		name   string
+		filled any
+	}{
+		{"member", &protocol.Member{}},
+		{"entry-record", &protocol.EntryRecord{}},
+		{"first-entries", &protocol.FirstEntries{}},
+		{"refused-work", &protocol.RefusedWork{}},
+		{"order", &protocol.Order{}},
+		{"holding", &protocol.Holding{}},
+		{"object", &protocol.Object{}},
+		{"vm", &protocol.VM{}},
+		{"manifest", &protocol.Manifest{}},
+		{"team", &protocol.Team{}},
+		{"model", &protocol.Model{}},
+		{"service", &protocol.Service{}},
+		{"runner", &protocol.Runner{}},
+		{"fleet", &protocol.Fleet{}},
+		{"operator", &protocol.Operator{}},
+		{"load-report", &protocol.LoadReport{}},
+		{"chat-request", &protocol.ChatRequest{}},
+		{"fleet-status", &protocol.FleetStatus{}},
+		{"lease", &lease.Record{}},
+		{"plan", &plan.Plan{}},
+		{"story-line", &story.Line{}},
+	}
+	for _, m := range text {
+		t.Run(m.name, func(t *testing.T) {
+			fillDistinct(m.filled)
+			b, err := json.MarshalIndent(m.filled, "", "  ")
+			require.NoError(t, err)
+			compareWire(t, m.name+".json", string(b))
+
+			read := reflect.New(reflect.TypeOf(m.filled).Elem()).Interface()
+			require.NoError(t, json.Unmarshal(b, read))
+			again, err := json.MarshalIndent(read, "", "  ")
+			require.NoError(t, err)
+			require.Equal(t, string(b), string(again))
+		})
+	}
+}
+
+// TestExampleSettingsAreReadWhole reads each settings file under examples and compares what was
+// read, defaults included, with testdata/wire. It fails if a key is renamed or no longer read.
+func TestExampleSettingsAreReadWhole(t *testing.T) {
+	files, err := filepath.Glob("examples/*.jsonc")
+	require.NoError(t, err)
+	require.NotEmpty(t, files)
+	for _, f := range files {
+		name := filepath.Base(f)
+		t.Run(name, func(t *testing.T) {
+			file, mistakes := settings.Read([]byte(read(t, f)))
+			require.Empty(t, mistakes)
+			b, err := json.MarshalIndent(file, "", "  ")
+			require.NoError(t, err)
+			compareWire(t, "settings-"+name+".json", string(b))
+		})
+	}
+}
+
+func compareWire(t *testing.T, name, got string) {
+	t.Helper()
+	file := filepath.Join("testdata", "wire", name)
+	if *updateWire {
+		require.NoError(t, os.MkdirAll(filepath.Dir(file), 0o755))
+		require.NoError(t, os.WriteFile(file, []byte(got+"\n"), 0o644))
+		return
+	}
+	require.Equal(t, read(t, file), got+"\n")
+}
+
+// fillDistinct sets each field below the pointer to a value that no other field has, in the order
+// of the fields.
+func fillDistinct(pointer any) {
+	next := uint64(0)
+	fillValue(reflect.ValueOf(pointer).Elem(), &next)
+}
+
+func fillValue(v reflect.Value, next *uint64) {
+	*next++
+	switch v.Kind() {
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		v.SetInt(int64(*next))
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		v.SetUint(*next)
+	case reflect.Float32, reflect.Float64:
+		v.SetFloat(float64(*next) + 0.5)
+	case reflect.String:
+		v.SetString(fmt.Sprintf("s%d", *next))
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		fillValue(v.Elem(), next)
+	case reflect.Slice:
+		if v.Type() == reflect.TypeFor[json.RawMessage]() {
+			v.SetBytes(fmt.Appendf(nil, "%d", *next))
+			return
+		}
+		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
+		for i := range v.Len() {
+			fillValue(v.Index(i), next)
+		}
+	case reflect.Array:
+		for i := range v.Len() {
+			fillValue(v.Index(i), next)
+		}
+	case reflect.Map:
+		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		fillValue(key, next)
+		fillValue(value, next)
+		v.Set(reflect.MakeMap(v.Type()))
+		v.SetMapIndex(key, value)
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if v.Type().Field(i).IsExported() {
+				fillValue(v.Field(i), next)
+			}
+		}
+	default:
+		panic("no value for the kind " + v.Kind().String())
+	}
+}
