--- a/coordination/loss/located.go
+++ b/coordination/loss/located.go
@@ -22,7 +22,7 @@
 
 // located is the latest news of who answers at an endpoint's address.
 type located struct {
-	sign     protocol.LossSign
+	sign     protocol.LossObservation
 	occupant string
 	at       time.Time
 }
--- a/coordination/loss/located_test.go
+++ b/coordination/loss/located_test.go
@@ -41,7 +41,7 @@
 
 func TestSignsOfAnEarlierLifeSayNothingOfTheNext(t *testing.T) {
 	var b loss.Book
-	of := func(life protocol.Lifetime, ms int) loss.Report {
+	of := func(life protocol.Incarnation, ms int) loss.Report {
 		return loss.NewReport("e", "a", protocol.LossRefused, at(ms)).In(life)
 	}
 	require.IsType(t, loss.Lost{}, b.Take(of(10, 0), 80, at(0)))
--- a/coordination/loss/loss.go
+++ b/coordination/loss/loss.go
@@ -40,14 +40,14 @@
 type Report struct {
 	endpoint string
 	witness  string
-	sign     protocol.LossSign
+	sign     protocol.LossObservation
 	at       time.Time
-	life     protocol.Lifetime
+	life     protocol.Incarnation
 	occupant string
 }
 
 // NewReport returns the report of a witness.
-func NewReport(endpoint, witness string, sign protocol.LossSign, at time.Time) Report {
+func NewReport(endpoint, witness string, sign protocol.LossObservation, at time.Time) Report {
 	return Report{endpoint: endpoint, witness: witness, sign: sign, at: at}
 }
 
@@ -58,13 +58,13 @@
 func (r Report) Witness() string { return r.witness }
 
 // Sign returns what it met.
-func (r Report) Sign() protocol.LossSign { return r.sign }
+func (r Report) Sign() protocol.LossObservation { return r.sign }
 
 // At returns when, by the clock of the entry that holds the report.
 func (r Report) At() time.Time { return r.at }
 
 // In returns the report with the life of the endpoint in which the sign was met.
-func (r Report) In(life protocol.Lifetime) Report {
+func (r Report) In(life protocol.Incarnation) Report {
 	r.life = life
 	return r
 }
@@ -76,7 +76,7 @@
 }
 
 // Lifetime returns the life of the endpoint that the sign belongs to, if it is known.
-func (r Report) Lifetime() protocol.Lifetime { return r.life }
+func (r Report) Lifetime() protocol.Incarnation { return r.life }
 
 // Occupant returns the ID of what answers at the endpoint's address, "" if it is not known.
 func (r Report) Occupant() string { return r.occupant }
@@ -121,7 +121,7 @@
 	latest   time.Time       // of the signs
 	answered time.Time       // when it last answered: what was met before is disproved
 	expires  time.Time
-	life     protocol.Lifetime // that the page is of, if it is known
+	life     protocol.Incarnation // that the page is of, if it is known
 	located  located
 }
 
--- a/coordination/loss/loss_test.go
+++ b/coordination/loss/loss_test.go
@@ -96,7 +96,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond)
 			e := fmt.Sprint(rapid.IntRange(1, known).Draw(t, "endpoint"))
 			w := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "witness")
-			sign := protocol.LossSign(rapid.IntRange(1, 3).Draw(t, "sign"))
+			sign := protocol.LossObservation(rapid.IntRange(1, 3).Draw(t, "sign"))
 			age := time.Duration(rapid.IntRange(0, 500).Draw(t, "age")) * time.Millisecond
 			v := b.Take(loss.NewReport(e, w, sign, now.Add(-age)), known, now)
 			if sign == protocol.LossSilent {
--- a/coordination/quarantine/book.go
+++ b/coordination/quarantine/book.go
@@ -89,7 +89,7 @@
 
 // departure is the end of an endpoint's life.
 type departure struct {
-	life protocol.Lifetime
+	life protocol.Incarnation
 	at   time.Time
 }
 
@@ -186,7 +186,7 @@
 
 // Ended notes that a life of an endpoint ended: its port refused a connection, or a later
 // life is known. A life of 0 is not known.
-func (b *Book) Ended(endpoint string, life protocol.Lifetime, at time.Time) {
+func (b *Book) Ended(endpoint string, life protocol.Incarnation, at time.Time) {
 	if b.gone == nil {
 		b.gone = make(map[string]departure)
 	}
@@ -210,7 +210,7 @@
 }
 
 // ends reports whether it is the end of a life, under which something broke at a time.
-func (d departure) ends(life protocol.Lifetime, at time.Time) bool {
+func (d departure) ends(life protocol.Incarnation, at time.Time) bool {
 	if d.at.IsZero() {
 		return false
 	}
--- a/coordination/quarantine/book_test.go
+++ b/coordination/quarantine/book_test.go
@@ -38,8 +38,8 @@
 func newPage() *page { return &page{now: begun} }
 
 // tell reports that an entry met a sign of work at an endpoint, now.
-func (p *page) tell(sign protocol.WorkSign, work protocol.Fingerprint, endpoint, witness string) bool {
-	return p.book.Take(quarantine.NewReport(protocol.RelayWork{Work: work, Endpoint: endpoint, Lifetime: 1, Witness: witness, Sign: sign}, p.now), p.now)
+func (p *page) tell(sign protocol.WorkObservation, work protocol.Fingerprint, endpoint, witness string) bool {
+	return p.book.Take(quarantine.NewReport(protocol.RelayWork{Work: work, Endpoint: endpoint, Incarnation: 1, Observer: witness, Observation: sign}, p.now), p.now)
 }
 
 // end ends an endpoint under some work, and lets the time pass that witnesses have.
@@ -136,7 +136,7 @@
 func TestTheEndOfAnEarlierLifeProvesNothing(t *testing.T) {
 	p, work := newPage(), number(0)
 	p.book.Ended("e-1", 1, p.now)
-	p.book.Take(quarantine.NewReport(protocol.RelayWork{Work: work, Endpoint: "e-1", Lifetime: 2, Witness: "entry", Sign: protocol.WorkBroke}, p.now), p.now)
+	p.book.Take(quarantine.NewReport(protocol.RelayWork{Work: work, Endpoint: "e-1", Incarnation: 2, Observer: "entry", Observation: protocol.WorkBroke}, p.now), p.now)
 	p.now = p.now.Add(10 * time.Second)
 	require.IsType(t, quarantine.Free{}, p.standing(work))
 }
@@ -150,7 +150,7 @@
 	old := p.now
 	p.now = p.now.Add(time.Second)
 	require.True(t, p.tell(protocol.WorkRan, work, "e-9", "entry"))
-	late := protocol.RelayWork{Work: work, Endpoint: "e-3", Lifetime: 1, Witness: "other", Sign: protocol.WorkBroke}
+	late := protocol.RelayWork{Work: work, Endpoint: "e-3", Incarnation: 1, Observer: "other", Observation: protocol.WorkBroke}
 	require.False(t, p.book.Take(quarantine.NewReport(late, old), p.now))
 	require.IsType(t, quarantine.Free{}, p.standing(work))
 	require.False(t, p.tell(protocol.WorkRan, number(7), "e-9", "entry"), "nothing is known of most")
@@ -160,7 +160,7 @@
 	p, work := newPage(), number(0)
 	before := p.now
 	p.end("e-1", work)
-	ran := protocol.RelayWork{Work: work, Endpoint: "e-2", Lifetime: 1, Witness: "other", Sign: protocol.WorkRan}
+	ran := protocol.RelayWork{Work: work, Endpoint: "e-2", Incarnation: 1, Observer: "other", Observation: protocol.WorkRan}
 	require.False(t, p.book.Take(quarantine.NewReport(ran, before), p.now))
 	require.IsType(t, quarantine.Apart{}, p.standing(work))
 }
@@ -195,7 +195,7 @@
 
 func TestNewsOfTheFutureCountsForNothing(t *testing.T) {
 	p, work := newPage(), number(0)
-	news := protocol.RelayWork{Work: work, Endpoint: "e", Lifetime: 1, Witness: "entry", Sign: protocol.WorkBroke}
+	news := protocol.RelayWork{Work: work, Endpoint: "e", Incarnation: 1, Observer: "entry", Observation: protocol.WorkBroke}
 	require.False(t, p.book.Take(quarantine.NewReport(news, p.now.Add(time.Second)), p.now))
 	require.True(t, p.book.Empty())
 }
@@ -206,7 +206,7 @@
 		p.end(e, work)
 	}
 	all := p.book.Newly(p.now, p.now)
-	kept := protocol.RefusedWork{Ends: all[0].Ends(), TillMS: all[0].Till().UnixMilli()}
+	kept := protocol.RefusedWork{Crashes: all[0].Ends(), UntilMS: all[0].Till().UnixMilli()}
 	next := newPage()
 	next.now = p.now.Add(time.Minute)
 	require.True(t, next.book.Hold(work, &kept, next.now, next.now))
@@ -220,11 +220,11 @@
 // TestRecordsWithoutEvidenceRefuseNothing: another writer, or one with a wrong clock.
 func TestRecordsWithoutEvidenceRefuseNothing(t *testing.T) {
 	p, work := newPage(), number(0)
-	three := []protocol.WorkEnd{{Endpoint: "a"}, {Endpoint: "b"}, {Endpoint: "c"}}
+	three := []protocol.WorkCrash{{Endpoint: "a"}, {Endpoint: "b"}, {Endpoint: "c"}}
 	soon, never := p.now.Add(time.Minute).UnixMilli(), p.now.Add(1000*time.Hour).UnixMilli()
 	for what, r := range map[string]protocol.RefusedWork{
-		"empty": {}, "two ends": {Ends: three[:2], TillMS: soon}, "lapsed": {Ends: three, TillMS: p.now.UnixMilli()}, "for ever": {Ends: three, TillMS: never},
-		"the same end": {Ends: []protocol.WorkEnd{three[0], three[0], three[0]}, TillMS: soon},
+		"empty": {}, "two ends": {Crashes: three[:2], UntilMS: soon}, "lapsed": {Crashes: three, UntilMS: p.now.UnixMilli()}, "for ever": {Crashes: three, UntilMS: never},
+		"the same end": {Crashes: []protocol.WorkCrash{three[0], three[0], three[0]}, UntilMS: soon},
 	} {
 		require.False(t, p.book.Hold(work, &r, p.now, p.now), what)
 		require.IsType(t, quarantine.Free{}, p.standing(work), what)
--- a/coordination/quarantine/doubt.go
+++ b/coordination/quarantine/doubt.go
@@ -9,7 +9,7 @@
 )
 
 // Doubt notes that it may turn out soon whether a life of an endpoint has ended at which work broke.
-func (b *Book) Doubt(endpoint string, life protocol.Lifetime, now time.Time) {
+func (b *Book) Doubt(endpoint string, life protocol.Incarnation, now time.Time) {
 	e := end{endpoint: endpoint, life: life}
 	for f := range b.ends[e] {
 		s := b.works[f].ends[e]
@@ -21,7 +21,7 @@
 // Lives notes that an endpoint answered a question that was asked at a time. Where it told that it
 // is in the same life, what broke there before broke for another reason. Else it may be a next
 // life, whose record tells of the end; work need not wait for that.
-func (b *Book) Lives(endpoint string, life protocol.Lifetime, same bool, asked time.Time) {
+func (b *Book) Lives(endpoint string, life protocol.Incarnation, same bool, asked time.Time) {
 	e := end{endpoint: endpoint, life: life}
 	for f := range b.ends[e] {
 		w := b.works[f]
--- a/coordination/quarantine/doubt_test.go
+++ b/coordination/quarantine/doubt_test.go
@@ -73,7 +73,7 @@
 	} {
 		p, work := newPage(), number(0)
 		for _, e := range []string{"e-1", "e-2"} {
-			news := protocol.RelayWork{Work: work, Endpoint: e, Lifetime: 1, Witness: "entry", Sign: protocol.WorkBroke}
+			news := protocol.RelayWork{Work: work, Endpoint: e, Incarnation: 1, Observer: "entry", Observation: protocol.WorkBroke}
 			p.book.Take(quarantine.NewReport(news, p.now.Add(-ago)).InDoubt(), p.now)
 		}
 		require.IsType(t, standing, p.standing(work), ago)
--- a/coordination/quarantine/ending.go
+++ b/coordination/quarantine/ending.go
@@ -36,7 +36,7 @@
 
 // EndingOf returns what it shows that an endpoint tells of a life, where work broke that was sent to
 // an earlier or the same one at a time of day. Either life may not be known.
-func EndingOf(life, told protocol.Lifetime, sentAt time.Time) Ending {
+func EndingOf(life, told protocol.Incarnation, sentAt time.Time) Ending {
 	switch {
 	case !told.Known():
 		return EndAnswers
--- a/coordination/quarantine/ending_test.go
+++ b/coordination/quarantine/ending_test.go
@@ -15,7 +15,7 @@
 // TestWhatAnEndpointTellsOfItsLifeShowsWhetherAnEarlierOneEnded: work was sent at 2,000 ms.
 func TestWhatAnEndpointTellsOfItsLifeShowsWhetherAnEarlierOneEnded(t *testing.T) {
 	for _, c := range []struct {
-		life, told protocol.Lifetime
+		life, told protocol.Incarnation
 		want       quarantine.Ending
 	}{
 		{1000, 0, quarantine.EndAnswers},
--- a/coordination/quarantine/machine_test.go
+++ b/coordination/quarantine/machine_test.go
@@ -26,14 +26,14 @@
 // lifeOf is one life of an endpoint.
 type lifeOf struct {
 	endpoint int
-	life     protocol.Lifetime
+	life     protocol.Incarnation
 }
 
 // machine is a book, and what truly happened.
 type machine struct {
 	book  quarantine.Book
 	now   time.Time
-	lives [machineEndpoints]protocol.Lifetime
+	lives [machineEndpoints]protocol.Incarnation
 	ended map[lifeOf]bool
 	broke [machineWorks]map[lifeOf]bool // since the work last ran well
 }
@@ -49,15 +49,15 @@
 	return m
 }
 
-func (m *machine) tell(sign protocol.WorkSign, work, endpoint int) {
+func (m *machine) tell(sign protocol.WorkObservation, work, endpoint int) {
 	m.now = m.now.Add(time.Millisecond)
 	news := protocol.RelayWork{
-		Work: number(work), Endpoint: fmt.Sprint(endpoint), Lifetime: m.lives[endpoint], Witness: "entry", Sign: sign,
+		Work: number(work), Endpoint: fmt.Sprint(endpoint), Incarnation: m.lives[endpoint], Observer: "entry", Observation: sign,
 	}
 	m.book.Take(quarantine.NewReport(news, m.now), m.now)
 }
 
-func (m *machine) breakAt(t *rapid.T, sign protocol.WorkSign) {
+func (m *machine) breakAt(t *rapid.T, sign protocol.WorkObservation) {
 	work, endpoint := drawWork(t), drawEndpoint(t)
 	m.tell(sign, work, endpoint)
 	m.broke[work][lifeOf{endpoint, m.lives[endpoint]}] = true
--- a/coordination/quarantine/play_test.go
+++ b/coordination/quarantine/play_test.go
@@ -57,7 +57,7 @@
 // playEngine is an engine and what runs there.
 type playEngine struct {
 	id   string
-	life protocol.Lifetime
+	life protocol.Incarnation
 	up   bool
 	runs []*playRequest // in the order in which they came
 }
@@ -282,14 +282,14 @@
 	}
 }
 
-func (p *play) report(r *playRequest, sign protocol.WorkSign) quarantine.Report {
+func (p *play) report(r *playRequest, sign protocol.WorkObservation) quarantine.Report {
 	return quarantine.NewReport(protocol.RelayWork{
-		Work: r.work, Endpoint: r.engine.id, Lifetime: r.engine.life, Witness: r.entry.name, Sign: sign,
+		Work: r.work, Endpoint: r.engine.id, Incarnation: r.engine.life, Observer: r.entry.name, Observation: sign,
 	}, p.now)
 }
 
 // tell does, and tells the others, whom it takes some ms to reach.
-func (p *play) tell(r *playRequest, sign protocol.WorkSign) {
+func (p *play) tell(r *playRequest, sign protocol.WorkObservation) {
 	report := p.report(r, sign)
 	r.entry.book.Take(report, p.now)
 	for _, n := range p.entries {
--- a/coordination/quarantine/refusal.go
+++ b/coordination/quarantine/refusal.go
@@ -11,7 +11,7 @@
 // Refusal is work that is refused, and why.
 type Refusal struct {
 	work protocol.Fingerprint
-	ends []protocol.WorkEnd
+	ends []protocol.WorkCrash
 	till time.Time
 }
 
@@ -22,7 +22,7 @@
 func (r *Refusal) Till() time.Time { return r.till }
 
 // Ends returns the ends of endpoints under it, with times of day.
-func (r *Refusal) Ends() []protocol.WorkEnd { return r.ends }
+func (r *Refusal) Ends() []protocol.WorkCrash { return r.ends }
 
 // Newly returns the work that is refused since the last call, by the reports of entries. Day is
 // the time of day that belongs to now.
@@ -49,11 +49,11 @@
 }
 
 // evidence returns the proven ends of some work.
-func (w *work) evidence(now, day time.Time) []protocol.WorkEnd {
-	var all []protocol.WorkEnd
+func (w *work) evidence(now, day time.Time) []protocol.WorkCrash {
+	var all []protocol.WorkCrash
 	for e, s := range w.ends {
 		if s.proven {
-			all = append(all, protocol.WorkEnd{Endpoint: e.endpoint, Lifetime: e.life, AtMS: day.Add(-now.Sub(s.at)).UnixMilli()})
+			all = append(all, protocol.WorkCrash{Endpoint: e.endpoint, Incarnation: e.life, AtMS: day.Add(-now.Sub(s.at)).UnixMilli()})
 		}
 	}
 	return all
@@ -62,15 +62,15 @@
 // Hold takes what the platform keeps of refused work, as long as it has the evidence for it:
 // records of other writers, and old ones, count for nothing. It reports whether it does.
 func (b *Book) Hold(f protocol.Fingerprint, r *protocol.RefusedWork, now, day time.Time) bool {
-	left := time.UnixMilli(r.TillMS).Sub(day)
-	if distinct(r.Ends) < refusedFrom || !tried(r.Ends) || left <= 0 || left > refuseFor<<refuseDoublings {
+	left := time.UnixMilli(r.UntilMS).Sub(day)
+	if distinct(r.Crashes) < refusedFrom || !tried(r.Crashes) || left <= 0 || left > refuseFor<<refuseDoublings {
 		return false
 	}
 	w := b.works[f]
 	if w == nil {
 		w = b.open(f, now)
 	}
-	for _, e := range r.Ends[:min(endsMost, len(r.Ends))] {
+	for _, e := range r.Crashes[:min(endsMost, len(r.Crashes))] {
 		b.hold(f, w, e, now.Add(min(0, time.UnixMilli(e.AtMS).Sub(day))))
 	}
 	w.keptTill = now.Add(left)
@@ -79,7 +79,7 @@
 }
 
 // tried reports whether one of the ends came after two others, as that of a trial does.
-func tried(all []protocol.WorkEnd) bool {
+func tried(all []protocol.WorkCrash) bool {
 	for _, e := range all {
 		before := 0
 		for _, other := range all {
@@ -95,17 +95,17 @@
 }
 
 // distinct returns how many ends there are, each counted once.
-func distinct(all []protocol.WorkEnd) int {
+func distinct(all []protocol.WorkCrash) int {
 	seen := make(map[end]bool)
 	for _, e := range all {
-		seen[end{endpoint: e.Endpoint, life: e.Lifetime}] = true
+		seen[end{endpoint: e.Endpoint, life: e.Incarnation}] = true
 	}
 	return len(seen)
 }
 
 // hold notes an end that the platform keeps.
-func (b *Book) hold(f protocol.Fingerprint, w *work, e protocol.WorkEnd, at time.Time) {
-	r := Report{work: f, endpoint: e.Endpoint, life: e.Lifetime, at: at}
+func (b *Book) hold(f protocol.Fingerprint, w *work, e protocol.WorkCrash, at time.Time) {
+	r := Report{work: f, endpoint: e.Endpoint, life: e.Incarnation, at: at}
 	if !at.After(w.clearedAt) {
 		return
 	}
--- a/coordination/quarantine/report.go
+++ b/coordination/quarantine/report.go
@@ -11,9 +11,9 @@
 // Report says that an entry, the witness, met a sign of some work at an endpoint at a time.
 type Report struct {
 	work     protocol.Fingerprint
-	sign     protocol.WorkSign
+	sign     protocol.WorkObservation
 	endpoint string
-	life     protocol.Lifetime
+	life     protocol.Incarnation
 	witness  string
 	at       time.Time
 	inDoubt  bool // it may turn out soon whether the endpoint ended
@@ -21,7 +21,7 @@
 
 // NewReport returns what a witness told, at a time by the clock of the entry that holds it.
 func NewReport(news protocol.RelayWork, at time.Time) Report {
-	return Report{work: news.Work, sign: news.Sign, endpoint: news.Endpoint, life: news.Lifetime, witness: news.Witness, at: at}
+	return Report{work: news.Work, sign: news.Observation, endpoint: news.Endpoint, life: news.Incarnation, witness: news.Observer, at: at}
 }
 
 // InDoubt returns the report of work that broke at an endpoint of which it may turn out soon
@@ -35,7 +35,7 @@
 func (r *Report) News(now time.Time) protocol.RelayWork {
 	const perMS = float64(time.Millisecond)
 	return protocol.RelayWork{
-		Work: r.work, Sign: r.sign, Endpoint: r.endpoint, Lifetime: r.life, Witness: r.witness,
+		Work: r.work, Observation: r.sign, Endpoint: r.endpoint, Incarnation: r.life, Observer: r.witness,
 		AgoMS: max(0, float64(now.Sub(r.at))/perMS),
 	}
 }
@@ -44,13 +44,13 @@
 func (r *Report) Work() protocol.Fingerprint { return r.work }
 
 // Sign returns what the witness met.
-func (r *Report) Sign() protocol.WorkSign { return r.sign }
+func (r *Report) Sign() protocol.WorkObservation { return r.sign }
 
 // Endpoint returns the ID of the endpoint.
 func (r *Report) Endpoint() string { return r.endpoint }
 
 // Lifetime returns which life of it, 0 if that is not known.
-func (r *Report) Lifetime() protocol.Lifetime { return r.life }
+func (r *Report) Lifetime() protocol.Incarnation { return r.life }
 
 // Witness returns the name of the entry that met the sign.
 func (r *Report) Witness() string { return r.witness }
@@ -61,7 +61,7 @@
 // end is one end of an endpoint: a life of it, which ends once.
 type end struct {
 	endpoint string
-	life     protocol.Lifetime
+	life     protocol.Incarnation
 }
 
 func (r *Report) end() end { return end{endpoint: r.endpoint, life: r.life} }
--- a/coordination/slow/play_test.go
+++ b/coordination/slow/play_test.go
@@ -92,7 +92,7 @@
 	p.asked++
 	p.number++
 	told := slow.NewReport(protocol.RelaySlow{
-		Endpoint: r.Name(), Witness: "one", Number: p.number, Sign: protocol.SlowTold, Pace: p.pace(r.Name(), now.Add(-reportAge)),
+		Endpoint: r.Name(), Observer: "one", Number: p.number, Observation: protocol.SlowTold, Pace: p.pace(r.Name(), now.Add(-reportAge)),
 	}, now.Add(-reportAge))
 	switch v := p.book.Take(told, now).(type) {
 	case slow.Slow:
--- a/coordination/slow/slow.go
+++ b/coordination/slow/slow.go
@@ -53,10 +53,10 @@
 // Report says that an entry, the witness, met a sign of an endpoint's pace at a time.
 type Report struct {
 	endpoint string
-	lifetime protocol.Lifetime
+	lifetime protocol.Incarnation
 	witness  string
 	number   uint64
-	sign     protocol.SlowSign
+	sign     protocol.SlownessObservation
 	pace     float64
 	at       time.Time
 }
@@ -65,7 +65,7 @@
 // of the news is not used.
 func NewReport(s protocol.RelaySlow, at time.Time) Report {
 	return Report{
-		endpoint: s.Endpoint, lifetime: s.Lifetime, witness: s.Witness, number: s.Number, sign: s.Sign,
+		endpoint: s.Endpoint, lifetime: s.Incarnation, witness: s.Observer, number: s.Number, sign: s.Observation,
 		pace: min(s.Pace, protocol.MaxPace), at: at,
 	}
 }
@@ -73,7 +73,7 @@
 // News returns the report as it is told to others at a time.
 func (r Report) News(now time.Time) protocol.RelaySlow {
 	return protocol.RelaySlow{
-		Endpoint: r.endpoint, Lifetime: r.lifetime, Witness: r.witness, Number: r.number, Sign: r.sign, Pace: r.pace,
+		Endpoint: r.endpoint, Incarnation: r.lifetime, Observer: r.witness, Number: r.number, Observation: r.sign, Pace: r.pace,
 		AgoMS: max(0, float64(now.Sub(r.at))/float64(time.Millisecond)),
 	}
 }
@@ -85,7 +85,7 @@
 func (r Report) Witness() string { return r.witness }
 
 // Sign returns what it met.
-func (r Report) Sign() protocol.SlowSign { return r.sign }
+func (r Report) Sign() protocol.SlownessObservation { return r.sign }
 
 // At returns when, by the clock of the entry that holds the report.
 func (r Report) At() time.Time { return r.at }
@@ -145,7 +145,7 @@
 
 // page is what is known of one endpoint.
 type page struct {
-	lifetime protocol.Lifetime
+	lifetime protocol.Incarnation
 	pace     float64   // 0 unless it is slow
 	since    time.Time // when it became slow
 	latest   time.Time // of the signs taken
--- a/coordination/slow/slow_test.go
+++ b/coordination/slow/slow_test.go
@@ -22,13 +22,13 @@
 // teller makes reports of one endpoint, each with the next number of its witness.
 type teller struct{ numbers map[string]uint64 }
 
-func (t *teller) report(witness string, sign protocol.SlowSign, life protocol.Lifetime, pace float64, ms int) slow.Report {
+func (t *teller) report(witness string, sign protocol.SlownessObservation, life protocol.Incarnation, pace float64, ms int) slow.Report {
 	if t.numbers == nil {
 		t.numbers = map[string]uint64{}
 	}
 	t.numbers[witness]++
 	return slow.NewReport(protocol.RelaySlow{
-		Endpoint: "e", Witness: witness, Number: t.numbers[witness], Sign: sign, Lifetime: life, Pace: pace,
+		Endpoint: "e", Observer: witness, Number: t.numbers[witness], Observation: sign, Incarnation: life, Pace: pace,
 	}, at(ms))
 }
 
@@ -146,7 +146,7 @@
 			now += rapid.IntRange(0, 700).Draw(t, "later")
 			age := rapid.IntRange(0, 300).Draw(t, "age")
 			pace := rapid.SampledFrom([]float64{0.9, 1.1, 1.3, 1.6, 2.9, 3.5, 12, 900}).Draw(t, "pace")
-			sign := rapid.SampledFrom([]protocol.SlowSign{protocol.SlowTold, protocol.SlowSeen}).Draw(t, "sign")
+			sign := rapid.SampledFrom([]protocol.SlownessObservation{protocol.SlowTold, protocol.SlowSeen}).Draw(t, "sign")
 			witness := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "witness"))
 			if isSlow && !at(now).Before(till) {
 				isSlow = false
--- a/protocol/engine.go
+++ b/protocol/engine.go
@@ -244,5 +244,5 @@
 	Leaving bool   `json:"leaving"`
 	UnixMS  int64  `json:"unix_ms"`
 	// Lifetime tells this process from the runner's next one; an engine need not tell.
-	Lifetime Lifetime `json:"started_ms,omitempty"`
+	Lifetime Incarnation `json:"started_ms,omitempty"`
 }
--- a/protocol/forward.go
+++ b/protocol/forward.go
@@ -15,9 +15,9 @@
 	AnswerTokens int
 }
 
-// SendTerms is what an endpoint is told beside the request itself. Path is empty
+// AttemptTerms is what an endpoint is told beside the request itself. Path is empty
 // for a plain service.
-type SendTerms struct {
+type AttemptTerms struct {
 	EndpointID string
 	Team       string
 	Deadline   time.Time
--- a/protocol/lifetime_test.go
+++ b/protocol/lifetime_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestOnlyToldLivesAreInOrder(t *testing.T) {
-	const untold, first, second = protocol.Lifetime(0), protocol.Lifetime(1000), protocol.Lifetime(2000)
+	const untold, first, second = protocol.Incarnation(0), protocol.Incarnation(1000), protocol.Incarnation(2000)
 	require.True(t, first.Before(second))
 	require.False(t, second.Before(first))
 	require.False(t, first.Before(first))
@@ -22,9 +22,9 @@
 }
 
 func TestNewsOfALossNameALifeThatCanBe(t *testing.T) {
-	for life, sound := range map[protocol.Lifetime]bool{0: true, 1: true, -1: false} {
+	for life, sound := range map[protocol.Incarnation]bool{0: true, 1: true, -1: false} {
 		b, err := protocol.EncodeRelay(protocol.RelayAsk{Losses: []protocol.RelayLoss{
-			{Endpoint: "e", Lifetime: life, Witness: "w", Sign: protocol.LossMisplaced},
+			{Endpoint: "e", Incarnation: life, Observer: "w", Observation: protocol.LossMisplaced},
 		}})
 		require.NoError(t, err)
 		got, err := protocol.DecodeRelayAsk(b)
@@ -33,7 +33,7 @@
 			continue
 		}
 		require.NoError(t, err)
-		require.Equal(t, life, got.Losses[0].Lifetime)
-		require.Equal(t, protocol.LossMisplaced, got.Losses[0].Sign)
+		require.Equal(t, life, got.Losses[0].Incarnation)
+		require.Equal(t, protocol.LossMisplaced, got.Losses[0].Observation)
 	}
 }
--- a/protocol/peer.go
+++ b/protocol/peer.go
@@ -13,8 +13,8 @@
 	Incarnation uint64
 }
 
-// PeerBeat is what an entry tells each peer once a second.
-type PeerBeat struct {
+// PeerHeartbeat is what an entry tells each peer once a second.
+type PeerHeartbeat struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64   // of the configuration in force
 	Leaving []string // runners known to be leaving
@@ -56,15 +56,15 @@
 
 // PeerFrame is one message between entries; any of its parts may be absent.
 type PeerFrame struct {
-	_       struct{} `cbor:",toarray"`
-	Hello   *Member
-	Beat    *PeerBeat
-	Change  *ConfigChange
-	Want    bool // the receiver's whole configuration is wanted
-	Asks    []ClaimAsk
-	Answers []ClaimAnswer
-	Members []Member
-	Work    []RelayWork // what entries met of work that may end runners
+	_         struct{} `cbor:",toarray"`
+	Hello     *Member
+	Heartbeat *PeerHeartbeat
+	Change    *ConfigChange
+	Want      bool // the receiver's whole configuration is wanted
+	Asks      []ClaimAsk
+	Answers   []ClaimAnswer
+	Members   []Member
+	Work      []RelayWork // what entries met of work that may end runners
 }
 
 // EncodePeer returns the frame's bytes.
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -103,7 +103,7 @@
 	for _, m := range []any{
 		protocol.RelayHello{Name: "e1", Known: []protocol.RelayMark{{Kind: "k", At: 3}}},
 		protocol.RelayAsk{Number: 7, HoldMS: 400},
-		protocol.RelayAsk{Losses: []protocol.RelayLoss{{Endpoint: "e", Witness: "w", Sign: protocol.LossSilent, AgoMS: 3}}},
+		protocol.RelayAsk{Losses: []protocol.RelayLoss{{Endpoint: "e", Observer: "w", Observation: protocol.LossSilent, AgoMS: 3}}},
 		protocol.RelayFrame{
 			Runs:   []protocol.RelayRun{{Kind: "k", After: 3, At: 9, Changes: []protocol.RelayChange{{Name: "o", Version: 4, Value: []byte("{}")}}}},
 			Answer: &protocol.RelayAnswer{Number: 7, ConfirmedMS: 3.5, HeldMS: 120, Version: 4}, FailedMS: -1,
@@ -137,11 +137,11 @@
 
 func FuzzDecodePeer(f *testing.F) {
 	good, err := protocol.EncodePeer(protocol.PeerFrame{
-		Hello:  &protocol.Member{Name: "e1", Address: "127.0.0.1:1"},
-		Beat:   &protocol.PeerBeat{Version: 3, VMs: []string{"v"}, AgeMS: 1},
-		Change: &protocol.ConfigChange{Base: 1, Version: 2, Contents: map[string][]byte{"h": {1}}},
-		Asks:   []protocol.ClaimAsk{{ID: 1}},
-		Work:   []protocol.RelayWork{{Work: protocol.Fingerprint{1}, Endpoint: "r", Witness: "e2", Sign: protocol.WorkBroke, AgoMS: 2}},
+		Hello:     &protocol.Member{Name: "e1", Address: "127.0.0.1:1"},
+		Heartbeat: &protocol.PeerHeartbeat{Version: 3, VMs: []string{"v"}, AgeMS: 1},
+		Change:    &protocol.ConfigChange{Base: 1, Version: 2, Contents: map[string][]byte{"h": {1}}},
+		Asks:      []protocol.ClaimAsk{{ID: 1}},
+		Work:      []protocol.RelayWork{{Work: protocol.Fingerprint{1}, Endpoint: "r", Observer: "e2", Observation: protocol.WorkBroke, AgoMS: 2}},
 	})
 	require.NoError(f, err)
 	f.Add(good)
@@ -154,7 +154,7 @@
 			t.Fatalf("a malformed frame was taken: %+v", frame)
 		}
 		for _, w := range frame.Work {
-			if w.Work.IsZero() || w.Endpoint == "" || w.Witness == "" || !w.Sign.Known() || !(w.AgoMS >= 0) {
+			if w.Work.IsZero() || w.Endpoint == "" || w.Observer == "" || !w.Observation.Known() || !(w.AgoMS >= 0) {
 				t.Fatalf("a report of no work was taken: %+v", w)
 			}
 		}
@@ -163,7 +163,7 @@
 
 // TestAPeersReportOfNoWorkIsRefused changes one field of a report at a time.
 func TestAPeersReportOfNoWorkIsRefused(t *testing.T) {
-	good := protocol.RelayWork{Work: protocol.Fingerprint{1}, Endpoint: "r", Witness: "e2", Sign: protocol.WorkBroke, AgoMS: 2}
+	good := protocol.RelayWork{Work: protocol.Fingerprint{1}, Endpoint: "r", Observer: "e2", Observation: protocol.WorkBroke, AgoMS: 2}
 	decode := func(w protocol.RelayWork) error {
 		b, err := protocol.EncodePeer(protocol.PeerFrame{Work: []protocol.RelayWork{w}})
 		require.NoError(t, err)
@@ -174,10 +174,10 @@
 	for _, change := range []func(*protocol.RelayWork){
 		func(w *protocol.RelayWork) { w.Work = protocol.Fingerprint{} },
 		func(w *protocol.RelayWork) { w.Endpoint = "" },
-		func(w *protocol.RelayWork) { w.Witness = "" },
-		func(w *protocol.RelayWork) { w.Sign = 0 },
-		func(w *protocol.RelayWork) { w.Sign = 200 },
-		func(w *protocol.RelayWork) { w.Lifetime = -1 },
+		func(w *protocol.RelayWork) { w.Observer = "" },
+		func(w *protocol.RelayWork) { w.Observation = 0 },
+		func(w *protocol.RelayWork) { w.Observation = 200 },
+		func(w *protocol.RelayWork) { w.Incarnation = -1 },
 		func(w *protocol.RelayWork) { w.AgoMS = -1 },
 	} {
 		w := good
@@ -204,7 +204,7 @@
 // BenchmarkBeat measures one heartbeat: its bytes, and the time to write and
 // read it.
 func BenchmarkBeat(b *testing.B) {
-	beat := protocol.PeerFrame{Beat: &protocol.PeerBeat{Version: 123456, Leaving: []string{"runner-17", "runner-4711"}}}
+	beat := protocol.PeerFrame{Heartbeat: &protocol.PeerHeartbeat{Version: 123456, Leaving: []string{"runner-17", "runner-4711"}}}
 	size := 0
 	for b.Loop() {
 		frame, err := protocol.EncodePeer(beat)
--- a/protocol/relay.go
+++ b/protocol/relay.go
@@ -13,13 +13,13 @@
 	Key        string `json:"key,omitempty"`
 	// MemoryMB is the memory of the entry's VM. Larger VMs have faster links too, and
 	// are followed first.
-	MemoryMB float64 `json:"memory_mb,omitempty"`
-	Beat     uint64  `json:"beat"` // rises each time it is written
+	MemoryMB  float64 `json:"memory_mb,omitempty"`
+	Heartbeat uint64  `json:"beat"` // rises each time it is written
 }
 
-// FirstEntries are the records of the entries that all others try to follow, as the one that
+// SeedEntries are the records of the entries that all others try to follow, as the one that
 // calls the platform for all keeps them there: who starts reads them in place of all records.
-type FirstEntries struct {
+type SeedEntries struct {
 	Entries []NamedEntry `json:"entries"`
 }
 
--- a/protocol/routing.go
+++ b/protocol/routing.go
@@ -147,10 +147,10 @@
 	Leaving     bool
 	Layers      Span // held by an engine; empty when it holds none
 	Model       string
-	Lifetime    Lifetime
-	// Beats counts its heartbeats: how often it has written its record since it started, 0 if
+	Incarnation Incarnation
+	// Heartbeats counts its heartbeats: how often it has written its record since it started, 0 if
 	// it does not tell.
-	Beats int
+	Heartbeats int
 }
 
 // EngineReport is what an engine tells of itself when asked.
@@ -162,17 +162,17 @@
 	LayersKnown bool
 	Waiting     int
 	Running     int
-	// Lifetime is the engine's own life, unknown if it does not tell.
-	Lifetime Lifetime
+	// Incarnation is the engine's own life, unknown if it does not tell.
+	Incarnation Incarnation
 	// Accelerator is the kind that the engine runs on, "" if it does not tell.
 	Accelerator string
 	// Pace is how many times longer than usual its work takes, 0 if it does not tell.
 	Pace float64
-	// RoomUsed is the part of the memory for requests that they hold; RoomKnown says
+	// CapacityUsed is the part of the memory for requests that they hold; RoomKnown says
 	// whether the engine told it.
-	RoomUsed  float64
-	RoomKnown bool
-	Stalled   []StalledRequest
+	CapacityUsed  float64
+	CapacityKnown bool
+	Stalled       []StalledRequest
 }
 
 // StalledRequest is a request that can't go on because the engine at an address
--- a/protocol/slow.go
+++ b/protocol/slow.go
@@ -2,13 +2,13 @@
 
 package protocol
 
-// SlowSign is how an entry knows at what pace an endpoint works.
-type SlowSign uint8
+// SlownessObservation is how an entry knows at what pace an endpoint works.
+type SlownessObservation uint8
 
 // The signs of an endpoint's pace.
 const (
 	// SlowTold says that the endpoint told its pace when it was asked.
-	SlowTold SlowSign = iota + 1
+	SlowTold SlownessObservation = iota + 1
 	// SlowSeen says that an answer of the endpoint, or the wait for one, took that many times
 	// as long as usual.
 	SlowSeen
@@ -18,7 +18,7 @@
 const MaxPace = 1000
 
 // String returns the sign as logs say it.
-func (s SlowSign) String() string {
+func (s SlownessObservation) String() string {
 	switch s {
 	case SlowTold:
 		return "told by the endpoint"
@@ -34,20 +34,20 @@
 // the witness tells, so that one which comes twice counts once. Pace is how many times
 // longer than usual the endpoint's work takes.
 type RelaySlow struct {
-	_        struct{} `cbor:",toarray"`
-	Endpoint string
-	Lifetime Lifetime
-	Witness  string
-	Number   uint64
-	Sign     SlowSign
-	Pace     float64
-	AgoMS    float64
+	_           struct{} `cbor:",toarray"`
+	Endpoint    string
+	Incarnation Incarnation
+	Observer    string
+	Number      uint64
+	Observation SlownessObservation
+	Pace        float64
+	AgoMS       float64
 }
 
 // sound reports whether the news has the shape that it may have.
 func (s *RelaySlow) sound() bool {
-	return s.Endpoint != "" && s.Witness != "" && s.Lifetime >= 0 &&
-		s.Sign >= SlowTold && s.Sign <= SlowSeen && s.Pace > 0 && s.Pace <= MaxPace && s.AgoMS >= 0
+	return s.Endpoint != "" && s.Observer != "" && s.Incarnation >= 0 &&
+		s.Observation >= SlowTold && s.Observation <= SlowSeen && s.Pace > 0 && s.Pace <= MaxPace && s.AgoMS >= 0
 }
 
 // soundSlow reports whether all news of slowness in a frame has that shape.
--- a/protocol/work.go
+++ b/protocol/work.go
@@ -4,14 +4,14 @@
 
 import "time"
 
-// WorkSign is what an entry met when it sent some work to an endpoint.
-type WorkSign uint8
+// WorkObservation is what an entry met when it sent some work to an endpoint.
+type WorkObservation uint8
 
 // The signs: its answer broke off, or fell silent, soon after it began to run there; it ran
 // there, and the endpoint lived on; the entry sends it there alone, to find out; that is over; it
 // waited for that endpoint, a later stage of its path, when that was lost.
 const (
-	WorkBroke WorkSign = iota + 1
+	WorkBroke WorkObservation = iota + 1
 	WorkRan
 	WorkTried
 	WorkTrialOver
@@ -19,7 +19,7 @@
 )
 
 // String returns the sign as logs say it.
-func (s WorkSign) String() string {
+func (s WorkObservation) String() string {
 	switch s {
 	case WorkBroke:
 		return "broke"
@@ -37,21 +37,21 @@
 }
 
 // Known reports whether it is one of the signs.
-func (s WorkSign) Known() bool { return s >= WorkBroke && s <= WorkBrokeBehind }
+func (s WorkObservation) Known() bool { return s >= WorkBroke && s <= WorkBrokeBehind }
 
 // Broke reports whether it says that the work was where an endpoint may have ended.
-func (s WorkSign) Broke() bool { return s == WorkBroke || s == WorkBrokeBehind }
+func (s WorkObservation) Broke() bool { return s == WorkBroke || s == WorkBrokeBehind }
 
 // RelayWork tells that an entry, the witness, met a sign of some work at one life of an
 // endpoint, AgoMS milliseconds before the frame was written.
 type RelayWork struct {
-	_        struct{} `cbor:",toarray"`
-	Work     Fingerprint
-	Endpoint string
-	Lifetime Lifetime
-	Witness  string
-	Sign     WorkSign
-	AgoMS    float64
+	_           struct{} `cbor:",toarray"`
+	Work        Fingerprint
+	Endpoint    string
+	Incarnation Incarnation
+	Observer    string
+	Observation WorkObservation
+	AgoMS       float64
 }
 
 // At returns when the witness met it, by the clock of who was told at a time.
@@ -61,8 +61,8 @@
 
 // sound reports whether the news has the shape that it may have.
 func (w *RelayWork) sound() bool {
-	return !w.Work.IsZero() && w.Endpoint != "" && w.Witness != "" && w.Lifetime >= 0 &&
-		w.Sign.Known() && w.AgoMS >= 0
+	return !w.Work.IsZero() && w.Endpoint != "" && w.Observer != "" && w.Incarnation >= 0 &&
+		w.Observation.Known() && w.AgoMS >= 0
 }
 
 // soundWork reports whether all news of a frame do.
@@ -78,13 +78,13 @@
 // RefusedWork is what the platform keeps of work that entries refuse, under its fingerprint, so
 // that it outlasts all entries.
 type RefusedWork struct {
-	Ends   []WorkEnd `json:"ends"`
-	TillMS int64     `json:"till_ms"` // Unix time until which it is refused, in milliseconds
+	Crashes []WorkCrash `json:"ends"`
+	UntilMS int64       `json:"till_ms"` // Unix time until which it is refused, in milliseconds
 }
 
-// WorkEnd is one end of an endpoint under some work.
-type WorkEnd struct {
-	Endpoint string   `json:"endpoint"`
-	Lifetime Lifetime `json:"lifetime,omitempty"`
-	AtMS     int64    `json:"at_ms"` // Unix time in milliseconds
+// WorkCrash is one end of an endpoint under some work.
+type WorkCrash struct {
+	Endpoint    string      `json:"endpoint"`
+	Incarnation Incarnation `json:"lifetime,omitempty"`
+	AtMS        int64       `json:"at_ms"` // Unix time in milliseconds
 }
--- a/standin/runner.go
+++ b/standin/runner.go
@@ -46,7 +46,7 @@
 	fence     uint64
 	orders    []OrderLine
 	ends      *ends // nil for never
-	born      protocol.Lifetime
+	born      protocol.Incarnation
 }
 
 type job struct {
@@ -73,7 +73,7 @@
 	r.wake = make(chan struct{}, 1)
 	r.sequences = map[protocol.RequestID]*sequence{}
 	r.conns = map[*runnerConn]struct{}{}
-	r.born = protocol.Lifetime(time.Now().UnixMilli())
+	r.born = protocol.Incarnation(time.Now().UnixMilli())
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /steps", r.serveSteps)
 	mux.HandleFunc("GET /load", r.serveLoad)
--- a/state/occupant/occupant.go
+++ b/state/occupant/occupant.go
@@ -38,7 +38,7 @@
 type Claim struct {
 	Endpoint string
 	Address  string
-	Lifetime protocol.Lifetime
+	Lifetime protocol.Incarnation
 	// Holds says that the record promises layers. Of claims that nothing else tells apart
 	// the one that promises nothing is the safer.
 	Holds bool
@@ -111,7 +111,7 @@
 
 // Answered notes that the process at an address named itself. The life is its present one, 0
 // if it did not tell.
-func (l *Ledger) Answered(address, endpoint string, life protocol.Lifetime, now time.Time) {
+func (l *Ledger) Answered(address, endpoint string, life protocol.Incarnation, now time.Time) {
 	s := l.site(address)
 	k := s.claimOf(endpoint)
 	if k == nil {
@@ -154,7 +154,7 @@
 }
 
 // Lifetime returns the latest life of an endpoint that is known.
-func (l *Ledger) Lifetime(endpoint string) protocol.Lifetime {
+func (l *Ledger) Lifetime(endpoint string) protocol.Incarnation {
 	if k := l.claimOf(endpoint); k != nil {
 		return k.Lifetime
 	}
--- a/state/occupant/occupant_test.go
+++ b/state/occupant/occupant_test.go
@@ -18,7 +18,7 @@
 // ledger is a ledger whose records all name one address.
 type ledger struct{ occupant.Ledger }
 
-func (l *ledger) record(id string, life protocol.Lifetime, ms int) {
+func (l *ledger) record(id string, life protocol.Incarnation, ms int) {
 	l.Next()
 	l.Record(occupant.Claim{Endpoint: id, Address: "x", Lifetime: life, Holds: true}, at(ms))
 }
--- a/state/roster/belief.go
+++ b/state/roster/belief.go
@@ -39,7 +39,7 @@
 
 // put takes one record. The mutex is held.
 func (r *Roster) put(e protocol.Endpoint, now time.Time) Taken {
-	if e.Lifetime.Before(r.occupants.Lifetime(e.ID)) {
+	if e.Incarnation.Before(r.occupants.Lifetime(e.ID)) {
 		r.noteLate(e, now)
 		return Stale // written by an earlier life, and done late
 	}
@@ -70,17 +70,17 @@
 // claim enters an endpoint, which holds a span, as one that claims its address.
 func (r *Roster) claim(e *protocol.Endpoint, held protocol.Span, now time.Time) {
 	r.occupants.Record(occupant.Claim{
-		Endpoint: e.ID, Address: e.Address, Lifetime: e.Lifetime, Holds: held.Layers() > 0,
+		Endpoint: e.ID, Address: e.Address, Lifetime: e.Incarnation, Holds: held.Layers() > 0,
 	}, now)
 }
 
 // restarted reports whether the later of two records is of a later life. Where it is not
 // told, records are counted from none again.
 func restarted(before, after *protocol.Endpoint) bool {
-	if before.Lifetime.Known() && after.Lifetime.Known() {
-		return before.Lifetime.Before(after.Lifetime)
+	if before.Incarnation.Known() && after.Incarnation.Known() {
+		return before.Incarnation.Before(after.Incarnation)
 	}
-	return after.Beats < before.Beats
+	return after.Heartbeats < before.Heartbeats
 }
 
 // restart forgets what is believed and measured of an endpoint's earlier life.
@@ -129,7 +129,7 @@
 }
 
 // Lifetime returns the latest life of an endpoint that is known.
-func (r *Roster) Lifetime(id string) protocol.Lifetime {
+func (r *Roster) Lifetime(id string) protocol.Incarnation {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.occupants.Lifetime(id)
@@ -137,11 +137,11 @@
 
 // Denied notes that an engine said that it does not hold the layers of its record, and
 // reports whether that was news. A record that has changed since stands.
-func (r *Roster) Denied(id string, life protocol.Lifetime, at time.Time) bool {
+func (r *Roster) Denied(id string, life protocol.Incarnation, at time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	e, there := r.endpoints[id]
-	if !there || e.Layers.Layers() == 0 || at.Before(r.changedAt[id]) || life.Before(e.Lifetime) {
+	if !there || e.Layers.Layers() == 0 || at.Before(r.changedAt[id]) || life.Before(e.Incarnation) {
 		return false
 	}
 	return r.deny(id, protocol.Span{}, at)
@@ -194,15 +194,15 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	e, there := r.endpoints[id]
-	if !there || p.Lifetime.Before(e.Lifetime) {
+	if !there || p.Incarnation.Before(e.Incarnation) {
 		return Silent
 	}
 	b := r.beliefs[id]
-	sameLife := e.Lifetime.Known() && e.Lifetime == p.Lifetime
+	sameLife := e.Incarnation.Known() && e.Incarnation == p.Incarnation
 	switch {
 	case p.Orders < b.orders && sameLife:
 		return Silent // two were asked for at a time, and this one came last
-	case p.Orders < b.orders, e.Lifetime.Before(p.Lifetime):
+	case p.Orders < b.orders, e.Incarnation.Before(p.Incarnation):
 		return r.startedAgain(e, p, now)
 	case p.Orders > b.orders:
 		b.orders = p.Orders
@@ -227,8 +227,8 @@
 
 // startedAgain notes that an engine has started again since it wrote its record.
 func (r *Roster) startedAgain(e protocol.Endpoint, p *protocol.EngineReport, now time.Time) Reported {
-	if p.Lifetime.Known() {
-		e.Lifetime = p.Lifetime
+	if p.Incarnation.Known() {
+		e.Incarnation = p.Incarnation
 	}
 	r.endpoints[e.ID] = e
 	r.occupants.Next()
--- a/state/roster/late.go
+++ b/state/roster/late.go
@@ -24,7 +24,7 @@
 		r.late = make(map[string]lateRecord)
 	}
 	l, there := r.late[e.ID]
-	if !there || l.endpoint.Lifetime != e.Lifetime {
+	if !there || l.endpoint.Incarnation != e.Incarnation {
 		l.till = now.Add(Patience)
 	}
 	l.endpoint = e
--- a/state/roster/lives_test.go
+++ b/state/roster/lives_test.go
@@ -21,7 +21,7 @@
 type process struct {
 	id      string
 	address string
-	life    protocol.Lifetime // what it tells of its start
+	life    protocol.Incarnation // what it tells of its start
 	layers  protocol.Span
 	orders  int
 	beats   int
@@ -32,14 +32,14 @@
 	p.beats++
 
 	e := engine(p.id, "a", p.layers.From, p.layers.To)
-	e.Address, e.Lifetime, e.Beats = p.address, p.life, p.beats
+	e.Address, e.Incarnation, e.Heartbeats = p.address, p.life, p.beats
 	return e
 }
 
 // word is news of who answers at an address, on its way to an entry.
 type word struct {
 	endpoint, occupant string
-	life               protocol.Lifetime
+	life               protocol.Incarnation
 	at                 time.Time
 }
 
@@ -118,9 +118,9 @@
 	p := &process{id: id, address: address}
 	w.now = w.now.Add(time.Millisecond) // no two lives of an ID start at the same time
 	if w.tells {
-		p.life = protocol.Lifetime(w.now.UnixMilli())
+		p.life = protocol.Incarnation(w.now.UnixMilli())
 		if rapid.Bool().Draw(w.t, "clock set back") {
-			p.life -= protocol.Lifetime(setBack.Milliseconds())
+			p.life -= protocol.Incarnation(setBack.Milliseconds())
 			w.setBack = true
 		}
 	}
@@ -155,7 +155,7 @@
 // put writes a record. It is no change if only the number of writes differs.
 func (w *fleetWorld) put(e protocol.Endpoint) {
 	same := w.records[e.ID]
-	same.Beats = e.Beats
+	same.Heartbeats = e.Heartbeats
 	if same == e {
 		return
 	}
@@ -284,7 +284,7 @@
 			continue
 		}
 		if p.id == q.Endpoint() && q.Layers() {
-			report := protocol.EngineReport{Layers: p.layers, LayersKnown: true, Lifetime: p.life, Orders: p.orders}
+			report := protocol.EngineReport{Layers: p.layers, LayersKnown: true, Incarnation: p.life, Orders: p.orders}
 			if r.roster.Report(p.id, &report, w.now) != roster.Agrees {
 				continue
 			}
--- a/state/roster/notice.go
+++ b/state/roster/notice.go
@@ -75,7 +75,7 @@
 
 // Located notes that an endpoint, the occupant, answered at the address of an endpoint's
 // record. It reports whether that changes which record is in use.
-func (r *Roster) Located(id, occupant string, life protocol.Lifetime, at time.Time) bool {
+func (r *Roster) Located(id, occupant string, life protocol.Incarnation, at time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	e, there := r.endpoints[id]
--- a/state/roster/roster_test.go
+++ b/state/roster/roster_test.go
@@ -119,9 +119,9 @@
 }
 
 // atX returns a record of an engine at address x.
-func atX(id string, life protocol.Lifetime, beats int, to int) protocol.Endpoint {
+func atX(id string, life protocol.Incarnation, beats int, to int) protocol.Endpoint {
 	e := engine(id, "a", 0, to)
-	e.Address, e.Lifetime, e.Beats = "x:1", life, beats
+	e.Address, e.Incarnation, e.Heartbeats = "x:1", life, beats
 	return e
 }
 
@@ -159,7 +159,7 @@
 	require.True(t, r.Remove("x", now))
 	require.Equal(t, roster.Stale, r.Take(atX("x", 10, 9, 10), now), "nor after the later one's has gone")
 	require.Empty(t, r.Endpoints())
-	report := protocol.EngineReport{Lifetime: 10, LayersKnown: true}
+	report := protocol.EngineReport{Incarnation: 10, LayersKnown: true}
 	r.Take(atX("x", 20, 1, 3), now)
 	require.Equal(t, roster.Silent, r.Report("x", &report, now.Add(time.Minute)), "nor does a report of that life")
 	require.False(t, r.Denied("x", 10, now.Add(time.Minute)), "nor an answer")
@@ -176,7 +176,7 @@
 	for _, c := range []struct {
 		name     string
 		meantime func(r *roster.Roster)
-		life     protocol.Lifetime
+		life     protocol.Incarnation
 	}{
 		{"it stands", func(*roster.Roster) {}, 10},
 		{"it is listed again", func(r *roster.Roster) { r.Replace([]protocol.Endpoint{earlier}, stands.Add(-1)) }, 10},
@@ -203,10 +203,10 @@
 			continue
 		}
 		require.Len(t, r.Endpoints(), 1, c.name)
-		require.Equal(t, c.life, r.Endpoints()[0].Lifetime, c.name)
+		require.Equal(t, c.life, r.Endpoints()[0].Incarnation, c.name)
 		require.Equal(t, c.life == 10, r.View().Runner("x") != runner, c.name)
 		require.Equal(t, c.life == 10, len(r.StartedAgain()) == 1, c.name)
-		require.Equal(t, c.life == 10, r.Report("x", &protocol.EngineReport{Lifetime: 10, LayersKnown: true}, stands.Add(time.Minute)) == roster.Differs, c.name)
+		require.Equal(t, c.life == 10, r.Report("x", &protocol.EngineReport{Incarnation: 10, LayersKnown: true}, stands.Add(time.Minute)) == roster.Differs, c.name)
 	}
 }
 
@@ -241,8 +241,8 @@
 		{"none", protocol.EngineReport{LayersKnown: true, Orders: 2}, time.Second, roster.Differs, protocol.Span{}, false},
 		{"none, from before the record changed", protocol.EngineReport{LayersKnown: true, Orders: 2}, 100 * time.Millisecond, roster.Silent, span, false},
 		{"orders counted anew", protocol.EngineReport{LayersKnown: true, Orders: 1}, 100 * time.Millisecond, roster.Differs, protocol.Span{}, true},
-		{"fewer orders of the same life, which is late", protocol.EngineReport{LayersKnown: true, Orders: 1, Lifetime: 10}, time.Second, roster.Silent, span, false},
-		{"a later start", protocol.EngineReport{LayersKnown: true, Orders: 2, Lifetime: 20}, 100 * time.Millisecond, roster.Differs, protocol.Span{}, true},
+		{"fewer orders of the same life, which is late", protocol.EngineReport{LayersKnown: true, Orders: 1, Incarnation: 10}, time.Second, roster.Silent, span, false},
+		{"a later start", protocol.EngineReport{LayersKnown: true, Orders: 2, Incarnation: 20}, 100 * time.Millisecond, roster.Differs, protocol.Span{}, true},
 	} {
 		r := newRoster()
 		r.Take(atX("x", 10, 7, 5), now)
--- a/transport/director/record.go
+++ b/transport/director/record.go
@@ -26,10 +26,10 @@
 type orderRecord struct {
 	Endpoint string `json:"endpoint"`
 	// Lifetime is the engine's life that the order was given to, if it is known.
-	Lifetime protocol.Lifetime `json:"lifetime,omitempty"`
-	From     int               `json:"from"`
-	To       int               `json:"to"`
-	LeftMS   int64             `json:"left_ms"`
+	Lifetime protocol.Incarnation `json:"lifetime,omitempty"`
+	From     int                  `json:"from"`
+	To       int                  `json:"to"`
+	LeftMS   int64                `json:"left_ms"`
 }
 
 // heard is the lease as another entry told it.
--- a/transport/ending/ending.go
+++ b/transport/ending/ending.go
@@ -26,11 +26,11 @@
 // Book takes what turns out.
 type Book interface {
 	// Unclear is told that it is not clear yet whether a life of an endpoint has ended.
-	Unclear(endpoint string, life protocol.Lifetime)
+	Unclear(endpoint string, life protocol.Incarnation)
 	// Ended and Lives note what has turned out: Lives that an endpoint answered a question that
 	// was asked at a time, in the same life as far as it told.
-	Ended(endpoint string, life protocol.Lifetime, at time.Time)
-	Lives(endpoint string, life protocol.Lifetime, same bool, asked time.Time)
+	Ended(endpoint string, life protocol.Incarnation, at time.Time)
+	Lives(endpoint string, life protocol.Incarnation, same bool, asked time.Time)
 }
 
 // Asker asks an endpoint once how it stands.
@@ -41,7 +41,7 @@
 // Case is a life of an endpoint that may have ended.
 type Case struct {
 	Endpoint string
-	Life     protocol.Lifetime
+	Life     protocol.Incarnation
 	Asker    Asker
 	Book     Book
 	Logger   *slog.Logger // nil for none
--- a/transport/ending/ending_test.go
+++ b/transport/ending/ending_test.go
@@ -29,9 +29,9 @@
 	return e.answer
 }
 
-func (e *endpoint) Ended(string, protocol.Lifetime, time.Time)       { e.count(&e.ended) }
-func (e *endpoint) Lives(string, protocol.Lifetime, bool, time.Time) { e.count(&e.lives) }
-func (e *endpoint) Unclear(string, protocol.Lifetime)                { e.count(&e.unclear) }
+func (e *endpoint) Ended(string, protocol.Incarnation, time.Time)       { e.count(&e.ended) }
+func (e *endpoint) Lives(string, protocol.Incarnation, bool, time.Time) { e.count(&e.lives) }
+func (e *endpoint) Unclear(string, protocol.Incarnation)                { e.count(&e.unclear) }
 
 func (e *endpoint) count(n *int) {
 	e.mutex.Lock()
@@ -45,7 +45,7 @@
 	e.answer = answer
 }
 
-func (e *endpoint) begin(c *Checks, life protocol.Lifetime) {
+func (e *endpoint) begin(c *Checks, life protocol.Incarnation) {
 	c.Begin(&Case{Endpoint: "e", Life: life, Asker: e, Book: e}, time.Now())
 }
 
--- a/transport/engine/client.go
+++ b/transport/engine/client.go
@@ -49,7 +49,7 @@
 	queue   []protocol.Step
 	cancels []protocol.Cancel
 	waiting map[protocol.RequestID]waiter
-	life    protocol.Lifetime // of the process at the other end, 0 until it tells
+	life    protocol.Incarnation // of the process at the other end, 0 until it tells
 }
 
 // waiter is the one step that a request has in flight at this runner.
@@ -270,7 +270,7 @@
 
 // Lifetime returns which life of the engine this entry is connected to, 0 if it is to none or the
 // engine has not told.
-func (c *Client) Lifetime() protocol.Lifetime {
+func (c *Client) Lifetime() protocol.Incarnation {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.life
--- a/transport/engine/mailbox.go
+++ b/transport/engine/mailbox.go
@@ -30,7 +30,7 @@
 type Lost struct {
 	from *fleet.Runner
 	sent bool
-	life protocol.Lifetime
+	life protocol.Incarnation
 }
 
 // From returns the runner whose connection ended.
@@ -40,7 +40,7 @@
 func (l Lost) Sent() bool { return l.sent }
 
 // Lifetime returns the life of the engine that the connection was to, 0 if it had not told.
-func (l Lost) Lifetime() protocol.Lifetime { return l.life }
+func (l Lost) Lifetime() protocol.Incarnation { return l.life }
 
 func (Replied) arrival() {}
 func (Lost) arrival()    {}
--- a/transport/entry/end_check.go
+++ b/transport/entry/end_check.go
@@ -21,7 +21,7 @@
 // endCheck asks a runner whether a life of it has ended whose connection broke.
 type endCheck struct {
 	runner *fleet.Runner
-	life   protocol.Lifetime
+	life   protocol.Incarnation
 	at     time.Time // of day, when what broke was there
 }
 
--- a/transport/entry/leaving.go
+++ b/transport/entry/leaving.go
@@ -110,7 +110,7 @@
 }
 
 // hearLeaving takes what a peer says of leaving runners and VMs.
-func (e *Entry) hearLeaving(b *protocol.PeerBeat) {
+func (e *Entry) hearLeaving(b *protocol.PeerHeartbeat) {
 	for _, name := range b.Leaving {
 		if r := e.view.Load().Runner(name); r != nil {
 			r.MarkLeaving()
@@ -122,7 +122,7 @@
 }
 
 // tellLeaving adds to a heartbeat what this entry knows to be leaving.
-func (e *Entry) tellLeaving(b *protocol.PeerBeat) {
+func (e *Entry) tellLeaving(b *protocol.PeerHeartbeat) {
 	for name, r := range e.view.Load().Runners() {
 		if r.SaysLeaving() && !r.Spec().Drain {
 			b.Leaving = append(b.Leaving, name)
--- a/transport/entry/membership.go
+++ b/transport/entry/membership.go
@@ -121,8 +121,8 @@
 // Frame takes one frame of a peer.
 func (h *peerHandler) Frame(from string, f *protocol.PeerFrame) {
 	e := h.entry
-	if f.Beat != nil {
-		e.hearLeaving(f.Beat)
+	if f.Heartbeat != nil {
+		e.hearLeaving(f.Heartbeat)
 	}
 	if len(f.Work) > 0 {
 		e.suspects.hear(f.Work, from)
@@ -132,9 +132,9 @@
 }
 
 // Beat returns what this entry tells its peers.
-func (h *peerHandler) Beat() protocol.PeerBeat {
+func (h *peerHandler) Beat() protocol.PeerHeartbeat {
 	e := h.entry
-	beat := protocol.PeerBeat{Version: e.follower.Version()}
+	beat := protocol.PeerHeartbeat{Version: e.follower.Version()}
 	e.tellLeaving(&beat)
 	return beat
 }
--- a/transport/entry/restrain.go
+++ b/transport/entry/restrain.go
@@ -138,7 +138,7 @@
 
 // broke tells that the connection to a runner broke on which the request's work had begun a moment
 // ago, and has it found out whether the runner has ended.
-func (m *modelRun) broke(r *fleet.Runner, life protocol.Lifetime, sentAt time.Time) {
+func (m *modelRun) broke(r *fleet.Runner, life protocol.Incarnation, sentAt time.Time) {
 	now := clock.Now()
 	if !m.firstAt.IsZero() && now.Sub(m.firstAt) > quarantine.ProvenAfter {
 		return
@@ -172,10 +172,10 @@
 	m.tell(first, m.lifeOf(first), protocol.WorkRan, clock.Now())
 }
 
-func (m *modelRun) tell(r *fleet.Runner, life protocol.Lifetime, sign protocol.WorkSign, now time.Time) {
-	m.entry.suspects.book.Tell(protocol.RelayWork{Work: m.fingerprint(), Endpoint: r.Name(), Lifetime: life, Sign: sign}, now)
+func (m *modelRun) tell(r *fleet.Runner, life protocol.Incarnation, sign protocol.WorkObservation, now time.Time) {
+	m.entry.suspects.book.Tell(protocol.RelayWork{Work: m.fingerprint(), Endpoint: r.Name(), Incarnation: life, Observation: sign}, now)
 }
 
-func (m *modelRun) lifeOf(r *fleet.Runner) protocol.Lifetime {
+func (m *modelRun) lifeOf(r *fleet.Runner) protocol.Incarnation {
 	return m.entry.pool.Client(r).Lifetime()
 }
--- a/transport/entry/suspects.go
+++ b/transport/entry/suspects.go
@@ -104,7 +104,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, n := range news {
-		if n.Sign.Broke() || n.Sign == protocol.WorkRan {
+		if n.Observation.Broke() || n.Observation == protocol.WorkRan {
 			s.kept = append(s.kept, keptNews{news: n, at: n.At(now)})
 		}
 	}
@@ -144,8 +144,8 @@
 	now := clock.Now()
 	s.mutex.Lock()
 	for _, n := range all {
-		if n.Sign.Broke() {
-			s.heard = append(s.heard, heardEnd{runner: n.Endpoint, life: n.Lifetime, at: n.At(now)})
+		if n.Observation.Broke() {
+			s.heard = append(s.heard, heardEnd{runner: n.Endpoint, life: n.Incarnation, at: n.At(now)})
 		}
 	}
 	s.mutex.Unlock()
@@ -155,7 +155,7 @@
 // heardEnd is a life of a runner of which a peer told that it may have ended at a time.
 type heardEnd struct {
 	runner string
-	life   protocol.Lifetime
+	life   protocol.Incarnation
 	at     time.Time
 }
 
@@ -191,7 +191,7 @@
 
 // check begins to find out whether a life of a runner has ended under what was there at a time of
 // day, unless that is being found out.
-func (s *suspects) check(r *fleet.Runner, life protocol.Lifetime, at time.Time) {
+func (s *suspects) check(r *fleet.Runner, life protocol.Incarnation, at time.Time) {
 	s.endings.Begin(&ending.Case{
 		Endpoint: r.Name(), Life: life, Book: &s.book, Logger: s.entry.Logger, Asker: &endCheck{runner: r, life: life, at: at},
 	}, clock.Now())
--- a/transport/entry/suspects_test.go
+++ b/transport/entry/suspects_test.go
@@ -20,7 +20,7 @@
 
 // told is what runners of a test say of themselves.
 type told struct {
-	born protocol.Lifetime
+	born protocol.Incarnation
 }
 
 func (s *told) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
@@ -28,7 +28,7 @@
 }
 
 // newSuspects returns an entry's suspects before three runners that say that they were born at a time.
-func newSuspects(t *testing.T, born protocol.Lifetime) *suspects {
+func newSuspects(t *testing.T, born protocol.Incarnation) *suspects {
 	var specs []protocol.Runner
 	for _, name := range []string{"a", "b", "c"} {
 		s := httptest.NewServer(&told{born: born})
@@ -51,7 +51,7 @@
 	var all []protocol.RelayWork
 	for i, name := range []string{"a", "b", "c"} {
 		all = append(all, protocol.RelayWork{
-			Work: work, Endpoint: name, Lifetime: 1000, Witness: "e2", Sign: protocol.WorkBroke, AgoMS: float64(900 - 300*i),
+			Work: work, Endpoint: name, Incarnation: 1000, Observer: "e2", Observation: protocol.WorkBroke, AgoMS: float64(900 - 300*i),
 		})
 	}
 	return all
--- a/transport/follow/follow.go
+++ b/transport/follow/follow.go
@@ -250,8 +250,8 @@
 	if x.Change != nil {
 		f.changed(from, x.Change)
 	}
-	if x.Beat != nil {
-		f.compare(from, x.Beat.Version, x.Want)
+	if x.Heartbeat != nil {
+		f.compare(from, x.Heartbeat.Version, x.Want)
 	}
 }
 
@@ -273,8 +273,8 @@
 }
 
 func (f *Follower) want(from string) {
-	beat := protocol.PeerBeat{Version: f.Version()}
-	f.Mesh.Send(from, protocol.PeerFrame{Want: true, Beat: &beat})
+	beat := protocol.PeerHeartbeat{Version: f.Version()}
+	f.Mesh.Send(from, protocol.PeerFrame{Want: true, Heartbeat: &beat})
 }
 
 // compare makes up for a lost change: it asks whoever is ahead, and answers
--- a/transport/follow/follow_test.go
+++ b/transport/follow/follow_test.go
@@ -38,8 +38,10 @@
 }
 
 func (n *node) Frame(from string, f *protocol.PeerFrame) { n.follower.Frame(from, f) }
-func (n *node) Beat() protocol.PeerBeat                  { return protocol.PeerBeat{Version: n.follower.Version()} }
-func (n *node) Work() []protocol.RelayWork               { return nil }
+func (n *node) Beat() protocol.PeerHeartbeat {
+	return protocol.PeerHeartbeat{Version: n.follower.Version()}
+}
+func (n *node) Work() []protocol.RelayWork { return nil }
 
 func (n *node) inForce(c *config.Config) {
 	n.mutex.Lock()
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -46,20 +46,20 @@
 	out         chan<- message
 	reserved    *reservation // the room of the request
 	sentAt      time.Time
-	newEndpoint bool              // the request had not been sent there before; the exchange's
-	spoke       bool              // an event came; the exchange's
-	fell        bool              // the endpoint broke the connection off; the exchange's
-	overdue     bool              // it was told that its endpoint is slow; the exchange's
-	course      repath.Course     // orders to change its path; the exchange's
-	quietTill   time.Time         // until when a change of path may hold it up; the exchange's
-	movedAt     time.Time         // when its path changed, until an event comes; the exchange's
-	life        protocol.Lifetime // of the endpoint when it was sent; the exchange's
-	firstAt     time.Time         // when the first event came; the exchange's
-	trial       bool              // other work that may end endpoints keeps away; the exchange's
-	broken      bool              // it was told that the work broke there; the exchange's
-	proven      bool              // it was told that the work ran well there; the exchange's
-	lost        []*fleet.Runner   // later stages of which it was told that they are lost; the exchange's
-	answer      *http.Response    // head of the stream, once it came; the exchange's
+	newEndpoint bool                 // the request had not been sent there before; the exchange's
+	spoke       bool                 // an event came; the exchange's
+	fell        bool                 // the endpoint broke the connection off; the exchange's
+	overdue     bool                 // it was told that its endpoint is slow; the exchange's
+	course      repath.Course        // orders to change its path; the exchange's
+	quietTill   time.Time            // until when a change of path may hold it up; the exchange's
+	movedAt     time.Time            // when its path changed, until an event comes; the exchange's
+	life        protocol.Incarnation // of the endpoint when it was sent; the exchange's
+	firstAt     time.Time            // when the first event came; the exchange's
+	trial       bool                 // other work that may end endpoints keeps away; the exchange's
+	broken      bool                 // it was told that the work broke there; the exchange's
+	proven      bool                 // it was told that the work ran well there; the exchange's
+	lost        []*fleet.Runner      // later stages of which it was told that they are lost; the exchange's
+	answer      *http.Response       // head of the stream, once it came; the exchange's
 
 	released  bool // the connection rests, or was closed at rest; of run
 	cancelled context.Context
--- a/transport/forward/encode.go
+++ b/transport/forward/encode.go
@@ -50,8 +50,8 @@
 	return b.Bytes()
 }
 
-func (x *exchange) sendTerms(a *attempt) *protocol.SendTerms {
-	s := &protocol.SendTerms{EndpointID: a.endpoint.Name(), Deadline: x.deadline, LastEvent: x.lastEvent}
+func (x *exchange) sendTerms(a *attempt) *protocol.AttemptTerms {
+	s := &protocol.AttemptTerms{EndpointID: a.endpoint.Name(), Deadline: x.deadline, LastEvent: x.lastEvent}
 	if x.team != nil {
 		s.Team = x.team.Name
 	}
--- a/transport/forward/end_check.go
+++ b/transport/forward/end_check.go
@@ -33,7 +33,7 @@
 type endCheck struct {
 	forwarder *Forwarder
 	runner    *fleet.Runner
-	life      protocol.Lifetime
+	life      protocol.Incarnation
 	engine    bool
 	sentAt    time.Time // when what broke was sent there, by the time of day
 }
@@ -49,7 +49,7 @@
 	case err != nil:
 		return k.missed(err, asked)
 	default:
-		return quarantine.EndingOf(k.life, report.Lifetime, k.sentAt)
+		return quarantine.EndingOf(k.life, report.Incarnation, k.sentAt)
 	}
 }
 
--- a/transport/forward/forwarder.go
+++ b/transport/forward/forwarder.go
@@ -24,7 +24,7 @@
 // Headers translates between headers and what they say.
 type Headers interface {
 	Terms(h http.Header, now time.Time) protocol.CallerTerms
-	Mark(h http.Header, s *protocol.SendTerms, now time.Time)
+	Mark(h http.Header, s *protocol.AttemptTerms, now time.Time)
 	Answer(status int, h http.Header) protocol.AnswerTerms
 }
 
@@ -57,7 +57,7 @@
 	// Held bounds what is held for callers and of requests.
 	Held *backlog.Budget
 	// Tell tells the other entries that this one met a sign of an endpoint, nil for nobody.
-	Tell func(endpoint string, sign protocol.LossSign, at time.Time)
+	Tell func(endpoint string, sign protocol.LossObservation, at time.Time)
 	// Locate tells them which process answers at an endpoint's address, nil for nobody: "" is
 	// one that does not hold the layers of the endpoint's record.
 	Locate func(endpoint, occupant string, at time.Time)
--- a/transport/forward/news.go
+++ b/transport/forward/news.go
@@ -33,7 +33,7 @@
 
 // signOf returns what an error says of the endpoint, 0 for nothing, and whether that is
 // certain whatever else this entry hears.
-func signOf(cause error) (sign protocol.LossSign, certain bool) {
+func signOf(cause error) (sign protocol.LossObservation, certain bool) {
 	var n net.Error
 	switch {
 	case errors.Is(cause, syscall.ECONNREFUSED):
@@ -62,7 +62,7 @@
 	}
 }
 
-func (f *Forwarder) tell(r *fleet.Runner, sign protocol.LossSign, now time.Time) {
+func (f *Forwarder) tell(r *fleet.Runner, sign protocol.LossObservation, now time.Time) {
 	if f.Tell != nil {
 		f.Tell(r.Name(), sign, now)
 	}
--- a/transport/forward/news_test.go
+++ b/transport/forward/news_test.go
@@ -28,13 +28,13 @@
 type plainHeaders struct{}
 
 func (plainHeaders) Terms(http.Header, time.Time) protocol.CallerTerms    { return protocol.CallerTerms{} }
-func (plainHeaders) Mark(http.Header, *protocol.SendTerms, time.Time)     {}
+func (plainHeaders) Mark(http.Header, *protocol.AttemptTerms, time.Time)  {}
 func (plainHeaders) Answer(int, http.Header) (terms protocol.AnswerTerms) { return terms }
 
 // told is a report as the forwarder tells it.
 type told struct {
 	endpoint string
-	sign     protocol.LossSign
+	sign     protocol.LossObservation
 }
 
 // engines returns a forwarder before engines that hold the whole model each, and an
@@ -50,7 +50,7 @@
 	}
 	f.suspects.forwarder = f
 	if tells != nil {
-		f.Tell = func(endpoint string, sign protocol.LossSign, _ time.Time) {
+		f.Tell = func(endpoint string, sign protocol.LossObservation, _ time.Time) {
 			*tells = append(*tells, told{endpoint, sign})
 		}
 	}
--- a/transport/forward/pace.go
+++ b/transport/forward/pace.go
@@ -116,7 +116,7 @@
 		return
 	}
 	f.TellPace(protocol.RelaySlow{
-		Endpoint: r.Name(), Lifetime: report.Lifetime, Sign: protocol.SlowTold, Pace: report.Pace,
+		Endpoint: r.Name(), Incarnation: report.Incarnation, Observation: protocol.SlowTold, Pace: report.Pace,
 	}, asked.Add(-f.reportDelay()))
 }
 
--- a/transport/forward/pace_world_test.go
+++ b/transport/forward/pace_world_test.go
@@ -63,8 +63,8 @@
 func (j *judge) hear(f *Forwarder, news protocol.RelaySlow, at time.Time) {
 	j.mutex.Lock()
 	j.number++
-	if news.Witness == "" {
-		news.Witness, news.Number = f.Home.Name, j.number
+	if news.Observer == "" {
+		news.Observer, news.Number = f.Home.Name, j.number
 	}
 	r := slow.NewReport(news, at)
 	v := j.book.Take(r, time.Now())
@@ -86,7 +86,7 @@
 	now := time.Now()
 	f.paces.forwarder = f
 	var b slow.Book
-	report := slow.NewReport(protocol.RelaySlow{Endpoint: r.Name(), Witness: "another", Number: 1, Sign: protocol.SlowTold, Pace: 12}, now)
+	report := slow.NewReport(protocol.RelaySlow{Endpoint: r.Name(), Observer: "another", Number: 1, Observation: protocol.SlowTold, Pace: 12}, now)
 	f.Paced(report, b.Take(report, now))
 }
 
--- a/transport/forward/poll.go
+++ b/transport/forward/poll.go
@@ -109,8 +109,8 @@
 		f.log(event.ReportIgnored, slog.String("runner", p.runner.Name()), slog.String("cause", err.Error()))
 		return
 	}
-	if !report.RoomKnown {
+	if !report.CapacityKnown {
 		return // an engine whose room is unknown is never taken as full
 	}
-	p.runner.ReportUsed(report.RoomUsed, clock.Now())
+	p.runner.ReportUsed(report.CapacityUsed, clock.Now())
 }
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -40,7 +40,7 @@
 	// Tell notes what this entry met, and tells the others.
 	Tell(news protocol.RelayWork, at time.Time)
 	// Doubt notes that it may turn out soon whether a life of an endpoint has ended.
-	Doubt(endpoint string, life protocol.Lifetime, now time.Time)
+	Doubt(endpoint string, life protocol.Incarnation, now time.Time)
 	ending.Book
 }
 
@@ -265,8 +265,8 @@
 }
 
 // news returns what to tell of the request's work at an attempt's endpoint.
-func (x *exchange) news(a *attempt, sign protocol.WorkSign) protocol.RelayWork {
-	return protocol.RelayWork{Work: x.work(), Endpoint: a.endpoint.Name(), Lifetime: a.life, Sign: sign}
+func (x *exchange) news(a *attempt, sign protocol.WorkObservation) protocol.RelayWork {
+	return protocol.RelayWork{Work: x.work(), Endpoint: a.endpoint.Name(), Incarnation: a.life, Observation: sign}
 }
 
 // lostUnder tells of open attempts whose endpoint is lost before their connection breaks, or
@@ -297,7 +297,7 @@
 		x.forwarder.log(event.StageLost, x.id(), slog.Int("attempt", a.number), slog.String("endpoint", r.Name()),
 			slog.String("fingerprint", x.work().String()))
 		q.Tell(protocol.RelayWork{
-			Work: x.work(), Endpoint: r.Name(), Lifetime: x.forwarder.Roster.Lifetime(r.Name()), Sign: protocol.WorkBrokeBehind,
+			Work: x.work(), Endpoint: r.Name(), Incarnation: x.forwarder.Roster.Lifetime(r.Name()), Observation: protocol.WorkBrokeBehind,
 		}, now)
 	}
 }
--- a/transport/forward/usual.go
+++ b/transport/forward/usual.go
@@ -56,7 +56,7 @@
 	if f.TellPace == nil || pace <= 0 {
 		return
 	}
-	f.TellPace(protocol.RelaySlow{Endpoint: a.endpoint.Name(), Sign: protocol.SlowSeen, Pace: min(pace, protocol.MaxPace)}, now)
+	f.TellPace(protocol.RelaySlow{Endpoint: a.endpoint.Name(), Observation: protocol.SlowSeen, Pace: min(pace, protocol.MaxPace)}, now)
 }
 
 // usualOf returns how long an answer on a route to a plain service usually takes. Routes to one service
--- a/transport/front/firsts.go
+++ b/transport/front/firsts.go
@@ -34,9 +34,9 @@
 // keepFirsts writes the object with some entries if that has changed since this entry wrote it. Only the entry
 // that calls the platform for all does; two that take themselves for it write in turn.
 func (r *register) keepFirsts(ctx context.Context, entries []protocol.EntryRecord) {
-	var content protocol.FirstEntries
+	var content protocol.SeedEntries
 	for _, e := range entries {
-		e.Beat = 0 // rises with each renewal and says nothing
+		e.Heartbeat = 0 // rises with each renewal and says nothing
 		content.Entries = append(content.Entries, protocol.NamedEntry{Name: e.Name, Record: e})
 	}
 	value, err := json.Marshal(content)
@@ -79,7 +79,7 @@
 	if err != nil {
 		return protocol.Listing{}, err
 	}
-	var content protocol.FirstEntries
+	var content protocol.SeedEntries
 	if err := json.Unmarshal(o.Value, &content); err != nil {
 		event.EntryIgnored.Log(r.front.Logger, slog.String("peer", o.Name), slog.String("cause", err.Error()))
 		return protocol.Listing{}, nil
--- a/transport/front/fleet.go
+++ b/transport/front/fleet.go
@@ -41,7 +41,7 @@
 func described(e *protocol.Endpoint) protocol.EndpointStatus {
 	return protocol.EndpointStatus{
 		ID: e.ID, Service: e.Service, DataCenter: e.DataCenter, Address: e.Address, Accelerator: e.Accelerator,
-		From: e.Layers.From, To: e.Layers.To, StartedMS: int64(e.Lifetime), State: protocol.EndpointServes,
+		From: e.Layers.From, To: e.Layers.To, StartedMS: int64(e.Incarnation), State: protocol.EndpointServes,
 	}
 }
 
--- a/transport/front/occupants.go
+++ b/transport/front/occupants.go
@@ -69,11 +69,11 @@
 // record that says so, 0 if the endpoint's report or a list does.
 func (f *Front) restarted(e protocol.Endpoint, revision uint64) {
 	f.director.Restarted(e.ID)
-	if e.Lifetime.Known() {
-		f.source.Quarantine().Ended(e.ID, e.Lifetime-1, clock.Now()) // the lives before
+	if e.Incarnation.Known() {
+		f.source.Quarantine().Ended(e.ID, e.Incarnation-1, clock.Now()) // the lives before
 	}
 	f.Counters.Add(metric.RestartsSeen, 1)
-	event.EndpointRestarted.Log(f.Logger, slog.String("endpoint", e.ID), slog.Int64("lifetime", int64(e.Lifetime)),
+	event.EndpointRestarted.Log(f.Logger, slog.String("endpoint", e.ID), slog.Int64("lifetime", int64(e.Incarnation)),
 		slog.String("layers", e.Layers.String()), slog.Uint64("revision", revision))
 }
 
--- a/transport/front/opening_test.go
+++ b/transport/front/opening_test.go
@@ -22,7 +22,7 @@
 func (silentHeaders) Terms(http.Header, time.Time) protocol.CallerTerms {
 	return protocol.CallerTerms{}
 }
-func (silentHeaders) Mark(http.Header, *protocol.SendTerms, time.Time)     {}
+func (silentHeaders) Mark(http.Header, *protocol.AttemptTerms, time.Time)  {}
 func (silentHeaders) Answer(int, http.Header) (terms protocol.AnswerTerms) { return terms }
 
 // caller is a request that comes right after the start of a front.
--- a/transport/front/refusals.go
+++ b/transport/front/refusals.go
@@ -142,7 +142,7 @@
 func (r *refusals) keep(k *keeping) {
 	work := k.refusal.Work()
 	left := clock.Until(k.refusal.Till())
-	value, err := json.Marshal(protocol.RefusedWork{Ends: k.refusal.Ends(), TillMS: time.Now().Add(left).UnixMilli()})
+	value, err := json.Marshal(protocol.RefusedWork{Crashes: k.refusal.Ends(), UntilMS: time.Now().Add(left).UnixMilli()})
 	if err != nil {
 		event.RefusalIgnored.Log(r.front.Logger, slog.String("fingerprint", work.String()), slog.String("cause", err.Error()))
 		return
--- a/transport/front/refusals_test.go
+++ b/transport/front/refusals_test.go
@@ -39,9 +39,9 @@
 	now := time.Now()
 	var refused protocol.RefusedWork
 	for i, name := range []string{"a", "b", "c"} {
-		refused.Ends = append(refused.Ends, protocol.WorkEnd{Endpoint: name, Lifetime: 1, AtMS: now.Add(time.Duration(i-9) * time.Second).UnixMilli()})
+		refused.Crashes = append(refused.Crashes, protocol.WorkCrash{Endpoint: name, Incarnation: 1, AtMS: now.Add(time.Duration(i-9) * time.Second).UnixMilli()})
 	}
-	refused.TillMS = now.Add(10 * time.Minute).UnixMilli()
+	refused.UntilMS = now.Add(10 * time.Minute).UnixMilli()
 	value, _ := json.Marshal(refused) // of numbers and names
 	for i := range l.times {
 		work := protocol.Fingerprint{1, byte(i), byte(i >> 8)}
--- a/transport/front/register.go
+++ b/transport/front/register.go
@@ -180,7 +180,7 @@
 	f := r.front
 	r.beat++
 	record := f.source.Record()
-	record.Beat = r.beat
+	record.Heartbeat = r.beat
 	value, err := json.Marshal(record)
 	if err != nil {
 		return err
--- a/transport/front/register_test.go
+++ b/transport/front/register_test.go
@@ -121,7 +121,7 @@
 	if o, ok := s.objects[name]; ok {
 		require.NoError(t, json.Unmarshal(o.Value, &r))
 	}
-	return r.Beat
+	return r.Heartbeat
 }
 
 func newRegister(store *lateStore, name string) *register {
--- a/transport/front/sinks_test.go
+++ b/transport/front/sinks_test.go
@@ -68,7 +68,7 @@
 type lived struct{ fixed }
 
 func (lived) Endpoint(o protocol.Object) (protocol.Endpoint, error) {
-	return protocol.Endpoint{ID: o.Name, Service: "plain", Address: o.Name, Lifetime: protocol.Lifetime(len(o.Value))}, nil
+	return protocol.Endpoint{ID: o.Name, Service: "plain", Address: o.Name, Incarnation: protocol.Incarnation(len(o.Value))}, nil
 }
 
 // TestAnEndpointThatStartsAgainIsCountedOnce: its record tells a later start, and then one of
@@ -82,7 +82,7 @@
 		s.Changed(protocol.Change{Object: o}, now.Add(time.Duration(i)*time.Second))
 	}
 	require.EqualValues(t, 1, f.Counters.Value(string(metric.RestartsSeen)))
-	require.EqualValues(t, 2, f.roster.Endpoints()[0].Lifetime)
+	require.EqualValues(t, 2, f.roster.Endpoints()[0].Incarnation)
 }
 
 // TestAnEndpointThatStartsAgainIsCountedInAListToo: changes that are missed are made good by a list.
@@ -96,5 +96,5 @@
 		f.lookAtRecords(now.Add(time.Duration(i) * time.Second))
 	}
 	require.EqualValues(t, 1, f.Counters.Value(string(metric.RestartsSeen)))
-	require.EqualValues(t, 2, f.roster.Endpoints()[0].Lifetime)
+	require.EqualValues(t, 2, f.roster.Endpoints()[0].Incarnation)
 }
--- a/transport/front/start.go
+++ b/transport/front/start.go
@@ -121,12 +121,12 @@
 		if !r.renewAt.IsZero() {
 			return true // written in this life
 		}
-		r.version, r.beat = o.Version, record.Beat
+		r.version, r.beat = o.Version, record.Heartbeat
 		if record.Key != "" {
 			r.front.source.Keep(record.Key)
 		}
 		own := r.front.source.Record()
-		own.Name, own.Beat = "", record.Beat
+		own.Name, own.Heartbeat = "", record.Heartbeat
 		if record == own {
 			r.renewAt = now.Add(rand.N(census.Renew))
 		}
--- a/transport/peer/link.go
+++ b/transport/peer/link.go
@@ -79,7 +79,7 @@
 	socket.SetReadLimit(protocol.MaxFrameBytes)
 	hello := l.mesh.Self
 	beat := l.mesh.Handler.Beat()
-	first := protocol.PeerFrame{Hello: &hello, Beat: &beat, Members: l.mesh.Known(), Work: l.mesh.Handler.Work()}
+	first := protocol.PeerFrame{Hello: &hello, Heartbeat: &beat, Members: l.mesh.Known(), Work: l.mesh.Handler.Work()}
 	go (&linkWriter{link: l, socket: socket, first: first}).run(ctx)
 	l.mesh.lost(l, l.read(ctx, socket))
 }
--- a/transport/peer/mesh.go
+++ b/transport/peer/mesh.go
@@ -47,7 +47,7 @@
 	// Frame takes a frame from a peer.
 	Frame(from string, f *protocol.PeerFrame)
 	// Beat returns what to tell peers now.
-	Beat() protocol.PeerBeat
+	Beat() protocol.PeerHeartbeat
 	// Work returns what to tell a peer that has just been met of work that may end runners.
 	Work() []protocol.RelayWork
 }
@@ -114,7 +114,7 @@
 	m.mutex.Lock()
 	beat.Stops = m.stops
 	m.mutex.Unlock()
-	m.Broadcast(protocol.PeerFrame{Beat: &beat})
+	m.Broadcast(protocol.PeerFrame{Heartbeat: &beat})
 }
 
 // Send gives a frame to a peer's link and reports whether there is one. If
@@ -230,7 +230,7 @@
 	if f.Hello != nil {
 		m.table.Learn([]protocol.Member{*f.Hello}, time.Now())
 	}
-	if f.Beat != nil && f.Beat.Stops {
+	if f.Heartbeat != nil && f.Heartbeat.Stops {
 		m.table.Forget(l.name)
 	}
 	if len(f.Members) > 0 {
@@ -239,8 +239,8 @@
 	m.table.Heard(l.name, time.Now())
 	current := m.links[l.name]
 	m.mutex.Unlock()
-	if f.Beat != nil && current != nil {
-		current.told.Store(f.Beat.Version)
+	if f.Heartbeat != nil && current != nil {
+		current.told.Store(f.Heartbeat.Version)
 	}
 	if current != nil && current != l {
 		// Both sides dialled at once: each sends on its own link, and a word on
--- a/transport/relay/news.go
+++ b/transport/relay/news.go
@@ -25,7 +25,7 @@
 }
 
 // Tell passes on that this entry met a sign of an endpoint.
-func (s *Source) Tell(endpoint string, sign protocol.LossSign, at time.Time) {
+func (s *Source) Tell(endpoint string, sign protocol.LossObservation, at time.Time) {
 	s.hear(loss.NewReport(endpoint, s.Self.Name, sign, at).In(s.lifetimeOf(endpoint)), "")
 }
 
@@ -40,7 +40,7 @@
 }
 
 // lifetimeOf returns the lifetime of an endpoint as this entry knows it, 0 if it does not.
-func (s *Source) lifetimeOf(endpoint string) protocol.Lifetime {
+func (s *Source) lifetimeOf(endpoint string) protocol.Incarnation {
 	if s.Lifetime == nil {
 		return 0
 	}
@@ -69,7 +69,7 @@
 	now := clock.Now()
 	for _, l := range all {
 		at := now.Add(-time.Duration(l.AgoMS * float64(time.Millisecond)))
-		s.hear(loss.NewReport(l.Endpoint, l.Witness, l.Sign, at).In(l.Lifetime).Naming(l.Occupant), via)
+		s.hear(loss.NewReport(l.Endpoint, l.Observer, l.Observation, at).In(l.Incarnation).Naming(l.Occupant), via)
 	}
 }
 
@@ -94,7 +94,7 @@
 	for _, d := range queued {
 		r := d.(loss.Report)
 		all = append(all, protocol.RelayLoss{
-			Endpoint: r.Endpoint(), Lifetime: r.Lifetime(), Witness: r.Witness(), Sign: r.Sign(),
+			Endpoint: r.Endpoint(), Incarnation: r.Lifetime(), Observer: r.Witness(), Observation: r.Sign(),
 			AgoMS: max(0, milliseconds(now.Sub(r.At()))), Occupant: r.Occupant(),
 		})
 	}
--- a/transport/relay/news_test.go
+++ b/transport/relay/news_test.go
@@ -122,7 +122,7 @@
 		var mutex sync.Mutex
 		heard := make(map[string][]loss.Report)
 		for _, e := range all {
-			e.source.Lifetime = func(string) protocol.Lifetime { return 7 }
+			e.source.Lifetime = func(string) protocol.Incarnation { return 7 }
 			e.source.Judged = func(r loss.Report, _ loss.Verdict) {
 				mutex.Lock()
 				defer mutex.Unlock()
@@ -143,7 +143,7 @@
 			require.Len(t, reports, 1, name)
 			require.Equal(t, "other", reports[0].Occupant())
 			require.Equal(t, protocol.LossMisplaced, reports[0].Sign())
-			require.Equal(t, protocol.Lifetime(7), reports[0].Lifetime())
+			require.Equal(t, protocol.Incarnation(7), reports[0].Lifetime())
 		}
 	})
 }
--- a/transport/relay/pace.go
+++ b/transport/relay/pace.go
@@ -29,7 +29,7 @@
 // TellPace passes on that this entry met a sign of an endpoint's pace. It fills in the witness
 // and the number.
 func (s *Source) TellPace(news protocol.RelaySlow, at time.Time) {
-	news.Witness = s.Self.Name
+	news.Observer = s.Self.Name
 	news.Number = s.paces.next()
 	s.hearPace(slow.NewReport(news, at), "")
 }
--- a/transport/relay/pace_test.go
+++ b/transport/relay/pace_test.go
@@ -45,7 +45,7 @@
 }
 
 func twelveTimes() protocol.RelaySlow {
-	return protocol.RelaySlow{Endpoint: "engine", Lifetime: 7, Sign: protocol.SlowTold, Pace: 12}
+	return protocol.RelaySlow{Endpoint: "engine", Incarnation: 7, Observation: protocol.SlowTold, Pace: 12}
 }
 
 // TestASlowEngineIsKnownToAllAtOnce has one entry of thirty be told a pace of twelve: it is
@@ -85,7 +85,7 @@
 		all := newEntries(t, s, 6)
 		var heard slowNews
 		heard.listen(all)
-		late := protocol.RelaySlow{Endpoint: "plain", Sign: protocol.SlowSeen, Pace: 5}
+		late := protocol.RelaySlow{Endpoint: "plain", Observation: protocol.SlowSeen, Pace: 5}
 		all[2].source.TellPace(late, time.Now())
 		time.Sleep(300 * time.Millisecond)
 		require.Zero(t, heard.count())
--- a/transport/relay/quarantine.go
+++ b/transport/relay/quarantine.go
@@ -41,7 +41,7 @@
 // is known: answers break off for other reasons all the time, and each report goes to each entry. It
 // fills in the witness.
 func (q *Quarantine) Tell(news protocol.RelayWork, at time.Time) {
-	news.Witness = q.Self
+	news.Observer = q.Self
 	r := quarantine.NewReport(news, at)
 	now := clock.Now()
 	q.mutex.Lock()
@@ -62,7 +62,7 @@
 
 // Ended notes that a life of an endpoint ended, which each entry hears by itself, and tells what
 // it proves.
-func (q *Quarantine) Ended(endpoint string, life protocol.Lifetime, at time.Time) {
+func (q *Quarantine) Ended(endpoint string, life protocol.Incarnation, at time.Time) {
 	now := clock.Now()
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -81,7 +81,7 @@
 }
 
 // Doubt notes that it may turn out soon whether a life of an endpoint has ended.
-func (q *Quarantine) Doubt(endpoint string, life protocol.Lifetime, now time.Time) {
+func (q *Quarantine) Doubt(endpoint string, life protocol.Incarnation, now time.Time) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.book.Doubt(endpoint, life, now)
@@ -89,7 +89,7 @@
 
 // Lives notes that an endpoint answered a question that was asked at a time, in the same
 // life as far as it told.
-func (q *Quarantine) Lives(endpoint string, life protocol.Lifetime, same bool, asked time.Time) {
+func (q *Quarantine) Lives(endpoint string, life protocol.Incarnation, same bool, asked time.Time) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.book.Lives(endpoint, life, same, asked)
@@ -97,7 +97,7 @@
 
 // Unclear tells the others what broke here at a life of an endpoint of which it is not clear
 // whether it has ended: they must not send such work to further ones meanwhile.
-func (q *Quarantine) Unclear(endpoint string, life protocol.Lifetime) {
+func (q *Quarantine) Unclear(endpoint string, life protocol.Incarnation) {
 	now := clock.Now()
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -188,8 +188,8 @@
 	now := clock.Now()
 	for _, n := range all {
 		at := n.At(now)
-		if n.Sign.Broke() && s.isOver(n.Endpoint, n.Lifetime) {
-			s.quarantine.Ended(n.Endpoint, n.Lifetime, at)
+		if n.Observation.Broke() && s.isOver(n.Endpoint, n.Incarnation) {
+			s.quarantine.Ended(n.Endpoint, n.Incarnation, at)
 		}
 		s.quarantine.hear(quarantine.NewReport(n, at).InDoubt(), via)
 	}
@@ -197,7 +197,7 @@
 
 // isOver reports whether a life of an endpoint is over by what its record says: an entry that
 // has started since did not hear of its end.
-func (s *Source) isOver(endpoint string, life protocol.Lifetime) bool {
+func (s *Source) isOver(endpoint string, life protocol.Incarnation) bool {
 	now := s.lifetimeOf(endpoint)
 	return life.Known() && (!now.Known() || life.Before(now))
 }
--- a/transport/relay/quarantine_test.go
+++ b/transport/relay/quarantine_test.go
@@ -22,15 +22,15 @@
 func endUnder(e *entry, engine string) {
 	time.Sleep(time.Second)
 	now := time.Now()
-	e.source.Quarantine().Tell(protocol.RelayWork{Work: deadly, Endpoint: engine, Lifetime: 1, Sign: protocol.WorkBroke}, now)
+	e.source.Quarantine().Tell(protocol.RelayWork{Work: deadly, Endpoint: engine, Incarnation: 1, Observation: protocol.WorkBroke}, now)
 	e.source.Tell(engine, protocol.LossRefused, now)
 }
 
 // living has entries know that life of every engine.
-func living(all []*entry, life protocol.Lifetime) {
+func living(all []*entry, life protocol.Incarnation) {
 	for _, e := range all {
 		e.source.Endpoints = func() int { return 80 }
-		e.source.Lifetime = func(string) protocol.Lifetime { return life }
+		e.source.Lifetime = func(string) protocol.Incarnation { return life }
 	}
 }
 
@@ -68,7 +68,7 @@
 		s.put(table, "one")
 		all := newEntries(t, s, 5)
 		living(all, 1)
-		news := protocol.RelayWork{Work: deadly, Endpoint: "engine", Lifetime: 1, Sign: protocol.WorkBroke}
+		news := protocol.RelayWork{Work: deadly, Endpoint: "engine", Incarnation: 1, Observation: protocol.WorkBroke}
 		all[2].source.Quarantine().Tell(news, time.Now())
 		time.Sleep(time.Second)
 		for i, e := range all {
@@ -113,9 +113,9 @@
 // hold has entries read what the platform keeps of that work.
 func hold(all []*entry) {
 	now := time.Now()
-	kept := protocol.RefusedWork{TillMS: now.Add(time.Minute).UnixMilli()}
+	kept := protocol.RefusedWork{UntilMS: now.Add(time.Minute).UnixMilli()}
 	for i := range 3 {
-		kept.Ends = append(kept.Ends, protocol.WorkEnd{Endpoint: fmt.Sprint("engine-", i), Lifetime: 1, AtMS: now.Add(time.Duration(i-3) * time.Second).UnixMilli()})
+		kept.Crashes = append(kept.Crashes, protocol.WorkCrash{Endpoint: fmt.Sprint("engine-", i), Incarnation: 1, AtMS: now.Add(time.Duration(i-3) * time.Second).UnixMilli()})
 	}
 	for _, e := range all {
 		e.source.Quarantine().Hold(deadly, &kept, now, now)
--- a/transport/relay/source.go
+++ b/transport/relay/source.go
@@ -62,7 +62,7 @@
 	Endpoints func() int
 	Judged    func(r loss.Report, v loss.Verdict)
 	// Lifetime returns the life of an endpoint that is known, nil for none ever.
-	Lifetime func(endpoint string) protocol.Lifetime
+	Lifetime func(endpoint string) protocol.Incarnation
 	// Paced is told what a report of an endpoint's pace changes, nil for nobody.
 	Paced func(r slow.Report, v slow.Verdict)
 	// Dial connects to a peer's address, nil for TCP.
--- a/wire_test.go
+++ b/wire_test.go
@@ -57,7 +57,7 @@
 	}{
 		{"member", &protocol.Member{}},
 		{"entry-record", &protocol.EntryRecord{}},
-		{"first-entries", &protocol.FirstEntries{}},
+		{"first-entries", &protocol.SeedEntries{}},
 		{"refused-work", &protocol.RefusedWork{}},
 		{"order", &protocol.Order{}},
 		{"holding", &protocol.Holding{}},
