--- a/coordination/admit/admit.go
+++ b/coordination/admit/admit.go
@@ -48,12 +48,12 @@
 // Request is what admission needs to know of a request. Open is the most that
 // its team may have running and waiting here.
 type Request struct {
-	Ticket   Ticket
-	Team     string
-	Share    float64
-	Priority uint8
-	Deadline time.Time
-	Open     int
+	Ticket    Ticket
+	Team      string
+	Share     float64
+	Priority  uint8
+	Deadline  time.Time
+	OpenLimit int
 }
 
 // Decision is Run, Wait or Refuse.
@@ -78,8 +78,8 @@
 // Kind returns why.
 func (r Refuse) Kind() protocol.Kind { return r.kind }
 
-// Again returns when it is worth coming back.
-func (r Refuse) Again() time.Time { return r.again }
+// RetryAfter returns when it is worth coming back.
+func (r Refuse) RetryAfter() time.Time { return r.again }
 
 func (Run) decision()    {}
 func (Wait) decision()   {}
@@ -112,7 +112,7 @@
 // Offer decides on a new request.
 func (q *Queue) Offer(r Request, now time.Time) Decision {
 	t := q.team(r)
-	if r.Open > 0 && t.running+len(t.line) >= r.Open {
+	if r.OpenLimit > 0 && t.running+len(t.line) >= r.OpenLimit {
 		return q.refuse(r.Ticket, protocol.TeamLimit, now)
 	}
 	if !r.Deadline.After(now) {
@@ -164,10 +164,10 @@
 	return false
 }
 
-// Next returns the tickets that run from now on, and the requests given up:
+// Dispatch returns the tickets that run from now on, and the requests given up:
 // those whose deadline can't be met any more, and those of the longest lines
 // beyond the bound.
-func (q *Queue) Next(now time.Time) (admitted []Ticket, refused []Refuse) {
+func (q *Queue) Dispatch(now time.Time) (admitted []Ticket, refused []Refuse) {
 	refused = q.dropHopeless(now)
 	for q.waiting > q.Bound() {
 		refused = append(refused, q.dropFromLongest(now))
--- a/coordination/admit/admit_test.go
+++ b/coordination/admit/admit_test.go
@@ -32,7 +32,7 @@
 		waiting := map[admit.Ticket]string{}
 		var running []string
 		settle := func() {
-			admitted, refused := q.Next(now)
+			admitted, refused := q.Dispatch(now)
 			for _, x := range admitted {
 				require.Contains(t, waiting, x)
 				running = append(running, waiting[x])
@@ -54,7 +54,7 @@
 				team := fmt.Sprint("team", rapid.IntRange(0, 3).Draw(t, "team"))
 				r := admit.Request{
 					Ticket: next, Team: team, Share: rapid.Float64Range(0.5, 4).Draw(t, "share"),
-					Priority: rapid.Uint8Range(0, 9).Draw(t, "priority"), Open: rapid.IntRange(0, 9).Draw(t, "open"),
+					Priority: rapid.Uint8Range(0, 9).Draw(t, "priority"), OpenLimit: rapid.IntRange(0, 9).Draw(t, "open"),
 					Deadline: now.Add(time.Duration(rapid.IntRange(-1, 5).Draw(t, "seconds")) * time.Second),
 				}
 				switch q.Offer(r, now).(type) {
@@ -105,7 +105,7 @@
 			}
 		}
 		q.Finish(current, time.Millisecond, now)
-		admitted, _ := q.Next(now)
+		admitted, _ := q.Dispatch(now)
 		current = "large"
 		for _, a := range admitted {
 			if at, ok := since[a]; ok {
@@ -134,7 +134,7 @@
 	urgent.Priority = 1
 	require.IsType(t, admit.Wait{}, q.Offer(urgent, later))
 	q.Finish("a", time.Millisecond, later)
-	admitted, _ := q.Next(later)
+	admitted, _ := q.Dispatch(later)
 	require.Equal(t, []admit.Ticket{2}, admitted, "it has waited long enough")
 }
 
@@ -147,7 +147,7 @@
 	soon.Deadline = start.Add(time.Minute)
 	q.Offer(soon, start)
 	q.Finish("a", time.Millisecond, start)
-	admitted, _ := q.Next(start)
+	admitted, _ := q.Dispatch(start)
 	require.Equal(t, []admit.Ticket{3}, admitted)
 }
 
@@ -162,7 +162,7 @@
 	d, ok := q.Offer(hopeless, start).(admit.Refuse)
 	require.True(t, ok)
 	require.Equal(t, protocol.DeadlineUnreachable, d.Kind())
-	require.True(t, d.Again().After(start))
+	require.True(t, d.RetryAfter().After(start))
 }
 
 func TestAFullQueueGivesUpTheLongestLine(t *testing.T) {
@@ -176,7 +176,7 @@
 	require.True(t, ok)
 	require.Equal(t, protocol.QueueFull, d.Kind())
 	require.IsType(t, admit.Wait{}, q.Offer(request(1001, "small"), start))
-	_, refused := q.Next(start)
+	_, refused := q.Dispatch(start)
 	require.Len(t, refused, 1)
 	require.NotEqual(t, admit.Ticket(1001), refused[0].Ticket())
 }
@@ -200,7 +200,7 @@
 				ticket++
 				q.Offer(request(ticket, names[int(ticket)%teams]), start)
 				q.Finish(names[int(ticket)%teams], time.Millisecond, start)
-				q.Next(start)
+				q.Dispatch(start)
 			}
 		})
 	}
--- a/coordination/admit/group.go
+++ b/coordination/admit/group.go
@@ -29,7 +29,7 @@
 func (g *Group) Oldest() time.Time { return g.oldest }
 
 // Groups returns who waits, in order of priority and team.
-func (l *Line) Groups() []Group {
+func (l *WaitQueue) Groups() []Group {
 	var all []Group
 	for i := range l.waiting {
 		w := &l.waiting[i]
--- a/coordination/admit/group_test.go
+++ b/coordination/admit/group_test.go
@@ -11,13 +11,13 @@
 
 func TestWhoWaitsIsCountedByPriorityAndTeam(t *testing.T) {
 	now := time.Now()
-	var l Line
+	var l WaitQueue
 	require.Empty(t, l.Groups())
 	for i, w := range []Waiter{{Team: "b", Priority: 1}, {Team: "b"}, {Team: "a", Priority: 1}, {Team: "b", Priority: 1}} {
 		w.Ticket = Ticket(i)
 		w.Since = now.Add(-time.Duration(i) * time.Second)
-		w.HopeTill = now.Add(time.Hour)
-		_, ok := l.Join(w, now)
+		w.LatestStart = now.Add(time.Hour)
+		_, ok := l.Enqueue(w, now)
 		require.True(t, ok)
 	}
 	require.Equal(t, []Group{
@@ -25,6 +25,6 @@
 		{team: "a", priority: 1, requests: 1, oldest: now.Add(-2 * time.Second)},
 		{team: "b", priority: 1, requests: 2, oldest: now.Add(-3 * time.Second)},
 	}, l.Groups())
-	l.Leave(1)
+	l.Remove(1)
 	require.Len(t, l.Groups(), 2)
 }
--- a/coordination/admit/line.go
+++ b/coordination/admit/line.go
@@ -27,15 +27,15 @@
 // begin and still have its first event in time; HopeTill until when beginning is of any
 // use, because its caller leaves after that.
 type Waiter struct {
-	Ticket     Ticket
-	Team       string
-	Priority   int // 0 is the most urgent
-	Since      time.Time
-	OnTimeTill time.Time
-	HopeTill   time.Time
+	Ticket      Ticket
+	Team        string
+	Priority    int // 0 is the most urgent
+	Since       time.Time
+	TargetStart time.Time
+	LatestStart time.Time
 }
 
-// Line is the requests of one service that wait for room at its engines. How much room
+// WaitQueue is the requests of one service that wait for room at its engines. How much room
 // there is is not a number of requests but depends on each request's size and path, so
 // the line doesn't admit: it says whose turn it is. The most urgent priority goes first;
 // within it those that can still be on time, by the turn of their teams, and then those
@@ -45,7 +45,7 @@
 //	w, ok := line.Turn(0, now) // try to begin it
 //	line.Begun(w, now)
 //	line.Leave(w.Ticket)
-type Line struct {
+type WaitQueue struct {
 	waiting []Waiter
 	begun   map[string]float64 // of each team that waits or waited, its place in turns
 	clock   float64            // the place in turns of the last beginning
@@ -55,13 +55,13 @@
 }
 
 // Len returns how many requests wait.
-func (l *Line) Len() int { return len(l.waiting) }
+func (l *WaitQueue) Len() int { return len(l.waiting) }
 
-// Join lets a request wait. If it can't hope to begin in time, it reports false and
+// Enqueue lets a request wait. If it can't hope to begin in time, it reports false and
 // from when to come back.
-func (l *Line) Join(w Waiter, now time.Time) (again time.Time, ok bool) {
+func (l *WaitQueue) Enqueue(w Waiter, now time.Time) (again time.Time, ok bool) {
 	wait := l.expected(w.Priority, now)
-	if len(l.waiting) >= lineMost || now.Add(wait).After(w.HopeTill) {
+	if len(l.waiting) >= lineMost || now.Add(wait).After(w.LatestStart) {
 		return now.Add(min(max(wait, leastAgain), mostAgain)), false
 	}
 	if l.begun == nil {
@@ -72,13 +72,13 @@
 	return time.Time{}, true
 }
 
-// Again returns from when it is worth to come back for a request that waited in vain.
-func (l *Line) Again(now time.Time) time.Time {
+// RetryAfter returns from when it is worth to come back for a request that waited in vain.
+func (l *WaitQueue) RetryAfter(now time.Time) time.Time {
 	return now.Add(min(max(l.expected(0, now), leastAgain), mostAgain))
 }
 
-// Turn returns the request that goes after so many others.
-func (l *Line) Turn(after int, now time.Time) (Waiter, bool) {
+// Peek returns the request that goes after so many others.
+func (l *WaitQueue) Peek(after int, now time.Time) (Waiter, bool) {
 	if after >= len(l.waiting) {
 		return Waiter{}, false
 	}
@@ -88,21 +88,21 @@
 	return l.waiting[after], true
 }
 
-// Ahead reports whether requests wait that go before one of that priority.
-func (l *Line) Ahead(priority int) bool {
+// HasPredecessors reports whether requests wait that go before one of that priority.
+func (l *WaitQueue) HasPredecessors(priority int) bool {
 	return slices.ContainsFunc(l.waiting, func(w Waiter) bool { return w.Priority <= priority })
 }
 
-// Leave takes a request out of the line.
-func (l *Line) Leave(t Ticket) {
+// Remove takes a request out of the line.
+func (l *WaitQueue) Remove(t Ticket) {
 	l.waiting = slices.DeleteFunc(l.waiting, func(w Waiter) bool { return w.Ticket == t })
 	if len(l.waiting) == 0 {
 		clear(l.begun) // without anybody waiting nobody's turn was taken
 	}
 }
 
-// Begun notes that a request of a team began, whether it had waited or not.
-func (l *Line) Begun(team string, now time.Time) {
+// RecordDispatch notes that a request of a team began, whether it had waited or not.
+func (l *WaitQueue) RecordDispatch(team string, now time.Time) {
 	l.roll(now)
 	l.count++
 	if turn, ok := l.begun[team]; ok {
@@ -111,7 +111,7 @@
 	}
 }
 
-func (l *Line) compare(a, b *Waiter, now time.Time) int {
+func (l *WaitQueue) compare(a, b *Waiter, now time.Time) int {
 	return cmp.Or(
 		cmp.Compare(a.Priority, b.Priority),
 		cmp.Compare(late(a, now), late(b, now)),
@@ -121,7 +121,7 @@
 }
 
 func late(w *Waiter, now time.Time) int {
-	if now.After(w.OnTimeTill) {
+	if now.After(w.TargetStart) {
 		return 1
 	}
 	return 0
@@ -130,7 +130,7 @@
 // expected returns how long a request of that priority would wait behind those that go
 // before it, at the rate of the last beginnings. When nothing begins, it is not known
 // and taken to be nothing.
-func (l *Line) expected(priority int, now time.Time) time.Duration {
+func (l *WaitQueue) expected(priority int, now time.Time) time.Duration {
 	l.roll(now)
 	ahead := 0
 	for i := range l.waiting {
@@ -147,7 +147,7 @@
 }
 
 // roll begins a new window when the present one is over.
-func (l *Line) roll(now time.Time) {
+func (l *WaitQueue) roll(now time.Time) {
 	passed := now.Sub(l.window)
 	if passed < rateWindow {
 		return
--- a/coordination/admit/line_test.go
+++ b/coordination/admit/line_test.go
@@ -21,31 +21,31 @@
 	since := noon.Add(time.Duration(afterMS) * time.Millisecond)
 	return admit.Waiter{
 		Ticket: ticket, Team: team, Priority: priority, Since: since,
-		OnTimeTill: since.Add(300 * time.Millisecond), HopeTill: since.Add(1500 * time.Millisecond),
+		TargetStart: since.Add(300 * time.Millisecond), LatestStart: since.Add(1500 * time.Millisecond),
 	}
 }
 
-func join(t require.TestingT, l *admit.Line, w admit.Waiter) {
-	_, ok := l.Join(w, w.Since)
+func join(t require.TestingT, l *admit.WaitQueue, w admit.Waiter) {
+	_, ok := l.Enqueue(w, w.Since)
 	require.True(t, ok)
 }
 
 // turns takes every request out of the line in the order of their turns.
-func turns(l *admit.Line, now time.Time) []admit.Ticket {
+func turns(l *admit.WaitQueue, now time.Time) []admit.Ticket {
 	var order []admit.Ticket
 	for {
-		w, ok := l.Turn(0, now)
+		w, ok := l.Peek(0, now)
 		if !ok {
 			return order
 		}
 		order = append(order, w.Ticket)
-		l.Begun(w.Team, now)
-		l.Leave(w.Ticket)
+		l.RecordDispatch(w.Team, now)
+		l.Remove(w.Ticket)
 	}
 }
 
 func TestTheUrgentGoFirstThenThoseThatCanBeOnTime(t *testing.T) {
-	var l admit.Line
+	var l admit.WaitQueue
 	join(t, &l, waiter(1, "a", 1, 0))
 	join(t, &l, waiter(2, "b", 1, 200))
 	join(t, &l, waiter(3, "c", 0, 250))
@@ -54,7 +54,7 @@
 }
 
 func TestALargeTeamTakesTurnsWithASmallOne(t *testing.T) {
-	var l admit.Line
+	var l admit.WaitQueue
 	for i := range 6 {
 		join(t, &l, waiter(admit.Ticket(i), "large", 1, i))
 	}
@@ -65,17 +65,17 @@
 }
 
 func TestARequestWithoutHopeIsToldAtOnceWhenToComeBack(t *testing.T) {
-	var l admit.Line
+	var l admit.WaitQueue
 	now := noon
 	for i := range 5 { // ten a second
-		l.Begun("a", now)
+		l.RecordDispatch("a", now)
 		now = now.Add(100 * time.Millisecond)
 		_ = i
 	}
 	refused := 0
 	for i := range 40 {
 		w := waiter(admit.Ticket(i), "a", 1, 400)
-		again, ok := l.Join(w, now)
+		again, ok := l.Enqueue(w, now)
 		if ok {
 			continue
 		}
@@ -88,7 +88,7 @@
 }
 
 func TestWhileNothingBeginsTheLineWaits(t *testing.T) {
-	var l admit.Line
+	var l admit.WaitQueue
 	for i := range 20 {
 		join(t, &l, waiter(admit.Ticket(i), "a", 1, i))
 	}
@@ -99,7 +99,7 @@
 // to one that has left, and none goes before a more urgent one.
 func TestLineOnAnyRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var l admit.Line
+		var l admit.WaitQueue
 		now := noon
 		here := map[admit.Ticket]int{}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -107,14 +107,14 @@
 			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0, 1:
 				w := waiter(admit.Ticket(i), fmt.Sprint("team-", rapid.IntRange(0, 3).Draw(t, "team")), rapid.IntRange(0, 2).Draw(t, "priority"), 0)
-				w.Since, w.OnTimeTill, w.HopeTill = now, now.Add(300*time.Millisecond), now.Add(1500*time.Millisecond)
-				if again, ok := l.Join(w, now); ok {
+				w.Since, w.TargetStart, w.LatestStart = now, now.Add(300*time.Millisecond), now.Add(1500*time.Millisecond)
+				if again, ok := l.Enqueue(w, now); ok {
 					here[w.Ticket] = w.Priority
 				} else {
 					require.True(t, again.After(now))
 				}
 			case 2:
-				w, ok := l.Turn(0, now)
+				w, ok := l.Peek(0, now)
 				require.Equal(t, len(here) > 0, ok)
 				if !ok {
 					continue
@@ -123,8 +123,8 @@
 					require.LessOrEqual(t, w.Priority, p)
 				}
 				require.Contains(t, here, w.Ticket)
-				l.Begun(w.Team, now)
-				l.Leave(w.Ticket)
+				l.RecordDispatch(w.Team, now)
+				l.Remove(w.Ticket)
 				delete(here, w.Ticket)
 			}
 			require.Equal(t, len(here), l.Len())
@@ -135,13 +135,13 @@
 func BenchmarkTurn(b *testing.B) {
 	for _, n := range []int{1, 16, 256} {
 		b.Run(fmt.Sprint("waiting=", n), func(b *testing.B) {
-			var l admit.Line
+			var l admit.WaitQueue
 			for i := range n {
-				l.Join(waiter(admit.Ticket(i), fmt.Sprint("team-", i%10), 1, 0), noon)
+				l.Enqueue(waiter(admit.Ticket(i), fmt.Sprint("team-", i%10), 1, 0), noon)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				l.Turn(0, noon)
+				l.Peek(0, noon)
 			}
 		})
 	}
--- a/transport/entry/chat.go
+++ b/transport/entry/chat.go
@@ -32,7 +32,7 @@
 	k.story.Note(time.Now(), story.Queued, "")
 	place, err := e.gate.enter(c.Request().Context(), m, e.shareOf(m.Open), admit.Request{
 		Team: k.team.Name, Share: k.team.Share, Priority: k.team.Priority,
-		Deadline: clock.Timer(k.deadline), Open: e.shareOf(k.team.Open),
+		Deadline: clock.Timer(k.deadline), OpenLimit: e.shareOf(k.team.Open),
 	})
 	if err != nil {
 		return err
--- a/transport/entry/gate.go
+++ b/transport/entry/gate.go
@@ -77,7 +77,7 @@
 
 func (p *pass) decided(d admit.Decision) (*pass, error) {
 	if r, ok := d.(admit.Refuse); ok {
-		return nil, protocol.Refuse(r.Kind(), "model "+p.model+" has no room for the request").Again(r.Again())
+		return nil, protocol.Refuse(r.Kind(), "model "+p.model+" has no room for the request").Again(r.RetryAfter())
 	}
 	p.started = time.Now()
 	return p, nil
@@ -118,7 +118,7 @@
 
 // advance tells the requests that a queue admits or gives up. The mutex is held.
 func (g *gate) advance(q *admit.Queue, now time.Time) {
-	admitted, refused := q.Next(now)
+	admitted, refused := q.Dispatch(now)
 	for _, t := range admitted {
 		g.wait[t] <- admit.Run{}
 		delete(g.wait, t)
--- a/transport/forward/hold.go
+++ b/transport/forward/hold.go
@@ -37,7 +37,7 @@
 // line is the requests of one service that wait for room at its engines.
 type line struct {
 	mutex sync.Mutex
-	line  admit.Line
+	line  admit.WaitQueue
 	turns map[admit.Ticket]chan int
 	last  admit.Ticket
 }
@@ -48,7 +48,7 @@
 	defer l.mutex.Unlock()
 	l.last++
 	w.Ticket = l.last
-	if again, ok := l.line.Join(w, now); !ok {
+	if again, ok := l.line.Enqueue(w, now); !ok {
 		return 0, nil, again, false
 	}
 	if l.turns == nil {
@@ -63,7 +63,7 @@
 func (l *line) leave(t admit.Ticket) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.line.Leave(t)
+	l.line.Remove(t)
 	delete(l.turns, t)
 }
 
@@ -71,14 +71,14 @@
 func (l *line) begun(team string, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.line.Begun(team, now)
+	l.line.RecordDispatch(team, now)
 }
 
 // ahead reports whether requests wait that go before a new one of that priority.
 func (l *line) ahead(priority int) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.line.Ahead(priority)
+	return l.line.HasPredecessors(priority)
 }
 
 // groups returns who waits.
@@ -92,7 +92,7 @@
 func (l *line) again(now time.Time) time.Time {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.line.Again(now)
+	return l.line.RetryAfter(now)
 }
 
 // turn gives the request that goes after so many others its turn.
@@ -102,7 +102,7 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	w, ok := l.line.Turn(after, now)
+	w, ok := l.line.Peek(after, now)
 	if !ok {
 		return
 	}
@@ -244,7 +244,7 @@
 	h := &hold{line: l, till: till, since: now, failed: a, result: r, whole: whole}
 	h.ticket, h.turns, again, ok = l.join(admit.Waiter{
 		Team: x.teamName(), Priority: priority, Since: x.begun,
-		OnTimeTill: x.route.Aim(x.begun).Add(-onTimeMargin), HopeTill: till,
+		TargetStart: x.route.Aim(x.begun).Add(-onTimeMargin), LatestStart: till,
 	}, now)
 	if !ok {
 		return again, false
