--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -28,8 +28,8 @@
 import "time"
 
 const (
-	// Length is how long a lease lasts without renewal.
-	Length = 3 * time.Second
+	// TTL is how long a lease lasts without renewal.
+	TTL = 3 * time.Second
 	// renewEvery is when the holder renews, counted from its last renewal.
 	renewEvery = time.Second
 	// Margin is how much earlier the holder stops than others may take over. It
@@ -59,28 +59,28 @@
 	record Record
 }
 
-// Known returns the version that must still be there, 0 for none.
-func (w Write) Known() uint64 { return w.known }
+// ExpectedVersion returns the version that must still be there, 0 for none.
+func (w Write) ExpectedVersion() uint64 { return w.known }
 
 // Record returns what to write.
 func (w Write) Record() Record { return w.record }
 
-// Rest says until when there is nothing to do.
-type Rest struct{ till time.Time }
+// Wait says until when there is nothing to do.
+type Wait struct{ till time.Time }
 
-// Till returns when to ask again.
-func (r Rest) Till() time.Time { return r.till }
+// Until returns when to ask again.
+func (r Wait) Until() time.Time { return r.till }
 
 func (Read) action()  {}
 func (Write) action() {}
-func (Rest) action()  {}
+func (Wait) action()  {}
 
 // Lease is one entry's view of a lease. Set Self before use.
 type Lease struct {
 	Self string
-	// Life is drawn anew by each life of the process. A write of an earlier life that
+	// Incarnation is drawn anew by each life of the process. A write of an earlier life that
 	// takes effect late is not taken for a write of this one.
-	Life uint64
+	Incarnation uint64
 
 	seen      bool
 	doubt     bool // of the effect of the last write
@@ -102,25 +102,25 @@
 		return Read{}
 	case l.mine():
 		return l.renew(now)
-	case l.version == 0 || l.record.Holder == "" || now.Sub(l.since) > Length:
+	case l.version == 0 || l.record.Holder == "" || now.Sub(l.since) > TTL:
 		return l.hold(l.record.Epoch+1, now)
 	case l.hears:
-		return Rest{till: l.since.Add(Length)}
+		return Wait{till: l.since.Add(TTL)}
 	case now.Sub(l.readAt) >= lookEvery:
 		return Read{}
 	default:
-		return Rest{till: l.readAt.Add(lookEvery)}
+		return Wait{till: l.readAt.Add(lookEvery)}
 	}
 }
 
-// Heard takes the object as another entry told it, version 0 for none. It settles no
+// ObserveReport takes the object as another entry told it, version 0 for none. It settles no
 // doubt, and what is older than what is known counts for nothing.
-func (l *Lease) Heard(version uint64, r Record, now time.Time) {
+func (l *Lease) ObserveReport(version uint64, r Record, now time.Time) {
 	l.hears = true
 	if l.doubt || l.seen && version <= l.version {
 		return
 	}
-	l.Seen(version, r, now)
+	l.Observe(version, r, now)
 }
 
 // Release returns the write that gives the lease up, so that others need not wait for
@@ -147,7 +147,7 @@
 		return l.hold(l.record.Epoch+1, now)
 	}
 	if next := l.askedAt.Add(renewEvery); now.Before(next) {
-		return Rest{till: next}
+		return Wait{till: next}
 	}
 	return l.hold(l.record.Epoch, now)
 }
@@ -160,20 +160,20 @@
 // write returns the write of a record, which gets a mark of its own.
 func (l *Lease) write(r Record, now time.Time) Write {
 	l.writes++
-	r.Nonce = l.Life + l.writes
+	r.Nonce = l.Incarnation + l.writes
 	l.asking = r
 	l.askedAt = now
 	return Write{known: l.version, record: r}
 }
 
-// Wrote takes the success of the write in flight.
-func (l *Lease) Wrote(version uint64) { l.take(version) }
+// WriteSucceeded takes the success of the write in flight.
+func (l *Lease) WriteSucceeded(version uint64) { l.take(version) }
 
 // take notes that the write in flight stands and holds the lease. That counts from
 // when it was asked for, since others may have seen it any time after.
 func (l *Lease) take(version uint64) {
 	l.stands(version)
-	l.heldUntil = l.askedAt.Add(Length - Margin)
+	l.heldUntil = l.askedAt.Add(TTL - Margin)
 }
 
 // stands notes that the write in flight is what the platform holds.
@@ -184,15 +184,15 @@
 	l.readAt = l.askedAt
 }
 
-// Doubt notes that the write in flight met another version, had no effect, or
+// WriteUncertain notes that the write in flight met another version, had no effect, or
 // that its answer was lost. The object is read to find out.
-func (l *Lease) Doubt() {
+func (l *Lease) WriteUncertain() {
 	l.seen = false
 	l.doubt = true
 }
 
-// Seen takes the object as read; version 0 means that there is none.
-func (l *Lease) Seen(version uint64, r Record, now time.Time) {
+// Observe takes the object as read; version 0 means that there is none.
+func (l *Lease) Observe(version uint64, r Record, now time.Time) {
 	l.seen = true
 	l.doubt = false
 	l.readAt = now
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -75,11 +75,11 @@
 	e.flight = nil
 	switch a := action.(type) {
 	case lease.Read:
-		e.lease.Seen(w.version, w.record, w.clock(e))
+		e.lease.Observe(w.version, w.record, w.clock(e))
 	case lease.Write:
-		if w.version != a.Known() && w.mutant != unmatched {
+		if w.version != a.ExpectedVersion() && w.mutant != unmatched {
 			e.gives = false
-			e.lease.Doubt()
+			e.lease.WriteUncertain()
 			return
 		}
 		w.version++
@@ -87,11 +87,11 @@
 		w.past = append(w.past, w.record)
 		switch {
 		case lost:
-			e.lease.Doubt()
+			e.lease.WriteUncertain()
 		case e.gives:
 			e.lease.Released(w.version)
 		default:
-			e.lease.Wrote(w.version)
+			e.lease.WriteSucceeded(w.version)
 		}
 	}
 	e.gives = false
@@ -106,14 +106,14 @@
 	}
 	w.late = append(w.late, write)
 	e.flight, e.gives = nil, false
-	e.lease.Doubt()
+	e.lease.WriteUncertain()
 }
 
 // land lets a late write take effect if its condition still holds.
 func (w *world) land(i int) {
 	write := w.late[i]
 	w.late = append(w.late[:i:i], w.late[i+1:]...)
-	if write.Known() == w.version {
+	if write.ExpectedVersion() == w.version {
 		w.version++
 		w.record = write.Record()
 		w.past = append(w.past, w.record)
@@ -127,7 +127,7 @@
 		w.late = append(w.late, write)
 	}
 	w.lives++
-	*e = entry{lease: lease.Lease{Self: e.lease.Self, Life: w.lives << 32}, skew: e.skew}
+	*e = entry{lease: lease.Lease{Self: e.lease.Self, Incarnation: w.lives << 32}, skew: e.skew}
 }
 
 // hear tells an entry how the lease stood at some time, the latest or long ago.
@@ -140,7 +140,7 @@
 	if version > 0 {
 		r = w.past[version-1]
 	}
-	e.lease.Heard(version, r, w.clock(e))
+	e.lease.ObserveReport(version, r, w.clock(e))
 }
 
 // release lets an entry that has decided on no order give the lease up.
@@ -257,13 +257,13 @@
 	settle(0)
 	w.decide(0)
 	if m == unmatched {
-		w.entries[1].lease.Seen(0, lease.Record{}, w.clock(w.entries[1]))
+		w.entries[1].lease.Observe(0, lease.Record{}, w.clock(w.entries[1]))
 		settle(1) // it wrote over a lease that it had not seen
 		return w
 	}
 	w.entries[0].paused = true
 	settle(1)
-	w.now = w.now.Add(lease.Length + time.Second)
+	w.now = w.now.Add(lease.TTL + time.Second)
 	settle(1)
 	settle(1)
 	w.decide(1)
@@ -323,10 +323,10 @@
 func TestAHolderTakesItsOwnLapsedLeaseAtOnce(t *testing.T) {
 	w := newWorld(sound, 2)
 	require.True(t, w.takes(0))
-	w.now = w.now.Add(lease.Length)
+	w.now = w.now.Add(lease.TTL)
 	require.True(t, w.takes(0))
 	require.Equal(t, uint64(2), w.record.Epoch)
-	w.now = w.now.Add(lease.Length)
+	w.now = w.now.Add(lease.TTL)
 	require.False(t, w.takes(1), "the other has just seen it for the first time")
 	require.True(t, w.takes(0))
 	require.False(t, w.takes(1))
@@ -336,16 +336,16 @@
 // of its end, and of what was before.
 func TestWhoHearsOfTheLeaseNeedNotRead(t *testing.T) {
 	l := lease.Lease{Self: "me"}
-	l.Heard(4, lease.Record{Holder: "other", Epoch: 2}, start)
-	require.Equal(t, start.Add(lease.Length), l.Next(start.Add(2*time.Second)).(lease.Rest).Till())
-	l.Heard(5, lease.Record{Holder: "other", Epoch: 2, Nonce: 1}, start.Add(2*time.Second))
-	l.Heard(4, lease.Record{Holder: "other", Epoch: 2}, start.Add(4*time.Second))
-	require.IsType(t, lease.Rest{}, l.Next(start.Add(4*time.Second)), "it was renewed since")
-	l.Heard(6, lease.Record{Epoch: 2, Nonce: 2}, start.Add(4*time.Second))
+	l.ObserveReport(4, lease.Record{Holder: "other", Epoch: 2}, start)
+	require.Equal(t, start.Add(lease.TTL), l.Next(start.Add(2*time.Second)).(lease.Wait).Until())
+	l.ObserveReport(5, lease.Record{Holder: "other", Epoch: 2, Nonce: 1}, start.Add(2*time.Second))
+	l.ObserveReport(4, lease.Record{Holder: "other", Epoch: 2}, start.Add(4*time.Second))
+	require.IsType(t, lease.Wait{}, l.Next(start.Add(4*time.Second)), "it was renewed since")
+	l.ObserveReport(6, lease.Record{Epoch: 2, Nonce: 2}, start.Add(4*time.Second))
 	write := l.Next(start.Add(4 * time.Second)).(lease.Write)
-	require.EqualValues(t, 6, write.Known(), "it was given up")
-	l.Doubt()
-	l.Heard(7, write.Record(), start.Add(4*time.Second))
+	require.EqualValues(t, 6, write.ExpectedVersion(), "it was given up")
+	l.WriteUncertain()
+	l.ObserveReport(7, write.Record(), start.Add(4*time.Second))
 	require.Equal(t, lease.Read{}, l.Next(start.Add(4*time.Second)), "only the platform settles a doubt")
 	_, holds := l.Epoch(start.Add(4 * time.Second))
 	require.False(t, holds)
@@ -357,20 +357,20 @@
 // sent later than others began to count.
 func TestALateWriteOfAnEarlierLifeIsNotTakenForOurs(t *testing.T) {
 	held := lease.Record{Holder: "other", Epoch: 2, Nonce: 1}
-	lapsed := start.Add(lease.Length + time.Millisecond)
-	before := lease.Lease{Self: "me", Life: 1000}
-	before.Heard(3, held, start)
+	lapsed := start.Add(lease.TTL + time.Millisecond)
+	before := lease.Lease{Self: "me", Incarnation: 1000}
+	before.ObserveReport(3, held, start)
 	late := before.Next(lapsed).(lease.Write)
-	now := lease.Lease{Self: "me", Life: 2000}
-	now.Heard(3, held, start)
+	now := lease.Lease{Self: "me", Incarnation: 2000}
+	now.ObserveReport(3, held, start)
 	again := now.Next(lapsed.Add(time.Second)).(lease.Write)
-	require.Equal(t, late.Known(), again.Known())
-	now.Doubt() // the late write came between
-	now.Seen(4, late.Record(), lapsed.Add(time.Second))
+	require.Equal(t, late.ExpectedVersion(), again.ExpectedVersion())
+	now.WriteUncertain() // the late write came between
+	now.Observe(4, late.Record(), lapsed.Add(time.Second))
 	_, holds := now.Epoch(lapsed.Add(time.Second))
 	require.False(t, holds)
-	require.IsType(t, lease.Rest{}, now.Next(lapsed.Add(time.Second)), "it lasts as the lease of another")
-	require.EqualValues(t, 4, now.Next(lapsed.Add(time.Second+lease.Length+time.Millisecond)).(lease.Write).Record().Epoch)
+	require.IsType(t, lease.Wait{}, now.Next(lapsed.Add(time.Second)), "it lasts as the lease of another")
+	require.EqualValues(t, 4, now.Next(lapsed.Add(time.Second+lease.TTL+time.Millisecond)).(lease.Write).Record().Epoch)
 }
 
 // TestALateWriteOfTheHolderUndoesNothing lets each write of a lease take effect after a
@@ -386,7 +386,7 @@
 		begin()
 		require.IsType(t, lease.Write{}, e.flight)
 		w.lag(0)
-		w.now = w.now.Add(lease.Length + time.Millisecond)
+		w.now = w.now.Add(lease.TTL + time.Millisecond)
 		require.True(t, w.takes(0), "a write of its own that came to nothing keeps it from nothing")
 		version, record := w.version, w.record
 		w.land(0)
@@ -400,13 +400,13 @@
 func TestALeaseOfAnotherFormLastsAsAnyOther(t *testing.T) {
 	for _, foreign := range []lease.Record{{}, {Holder: "me"}, {Holder: "other", Epoch: 1 << 63}} {
 		l := lease.Lease{Self: "me"}
-		l.Seen(40, foreign, start)
+		l.Observe(40, foreign, start)
 		_, holds := l.Epoch(start)
 		require.False(t, holds)
 		_, writes := l.Next(start).(lease.Write)
 		require.False(t, writes, "its holder may live")
-		write := l.Next(start.Add(lease.Length + time.Millisecond)).(lease.Write)
-		require.EqualValues(t, 40, write.Known())
+		write := l.Next(start.Add(lease.TTL + time.Millisecond)).(lease.Write)
+		require.EqualValues(t, 40, write.ExpectedVersion())
 		require.EqualValues(t, 41, write.Record().Epoch, "above any epoch that was given before")
 	}
 }
--- a/transport/director/director.go
+++ b/transport/director/director.go
@@ -110,7 +110,7 @@
 // Start begins to look.
 func (d *Director) Start() {
 	d.lease.Self = d.Self
-	d.lease.Life = rand.Uint64N(leaseLives)
+	d.lease.Incarnation = rand.Uint64N(leaseLives)
 	d.starts = make(map[string]*start)
 	d.ordered = make(map[string]order)
 	d.resting = make(map[string]rest)
--- a/transport/director/lease.go
+++ b/transport/director/lease.go
@@ -57,7 +57,7 @@
 			answered = d.readLease(ctx)
 		case lease.Write:
 			answered = d.writeLease(ctx, a)
-		case lease.Rest:
+		case lease.Wait:
 			return d.epoch()
 		}
 		now = clock.Now()
@@ -142,7 +142,7 @@
 	o, err := d.Objects.Get(ctx, d.LeaseKind, LeaseName)
 	var missing *platform.NotFound
 	if errors.As(err, &missing) {
-		d.lease.Seen(0, lease.Record{}, clock.Now())
+		d.lease.Observe(0, lease.Record{}, clock.Now())
 		return true
 	}
 	if err != nil {
@@ -151,7 +151,7 @@
 	}
 	r := d.decodeLease(o.Value)
 	now := clock.Now()
-	d.lease.Seen(o.Version, r.Record, now)
+	d.lease.Observe(o.Version, r.Record, now)
 	d.learn(&r, now, doubtFor)
 	return true
 }
@@ -176,13 +176,13 @@
 		var raced *platform.Conflict
 		return errors.As(err, &raced)
 	}
-	d.lease.Wrote(version)
+	d.lease.WriteSucceeded(version)
 	return true
 }
 
 // unsure notes that a write of the lease had no effect or no answer.
 func (d *Director) unsure(err error) {
-	d.lease.Doubt()
+	d.lease.WriteUncertain()
 	event.LeaseUnsure.Log(d.Logger, slog.String("lease", LeaseName), slog.String("cause", err.Error()))
 }
 
@@ -192,5 +192,5 @@
 	if err != nil {
 		return 0, err
 	}
-	return d.Objects.Put(ctx, d.LeaseKind, LeaseName, w.Known(), value)
+	return d.Objects.Put(ctx, d.LeaseKind, LeaseName, w.ExpectedVersion(), value)
 }
--- a/transport/director/lease_test.go
+++ b/transport/director/lease_test.go
@@ -125,7 +125,7 @@
 					d.Close()
 				}
 			}
-			time.Sleep(lease.Length + 3*time.Second)
+			time.Sleep(lease.TTL + 3*time.Second)
 			require.Greater(t, w.lease(t).Epoch, first.Epoch, "another took it")
 			for _, d := range all {
 				d.Close()
--- a/transport/director/record.go
+++ b/transport/director/record.go
@@ -60,7 +60,7 @@
 	if h.version != 0 {
 		r = d.decodeLease(h.value)
 	}
-	d.lease.Heard(h.version, r.Record, h.at)
+	d.lease.ObserveReport(h.version, r.Record, h.at)
 	most := doubtFor
 	if !d.hearing {
 		most = listTrust // the record may have been written long ago
--- a/transport/entry/director.go
+++ b/transport/entry/director.go
@@ -93,7 +93,7 @@
 	for range maxLeaseActions {
 		var err error
 		switch a := d.lease.Next(clock.Now()).(type) {
-		case lease.Rest:
+		case lease.Wait:
 			return
 		case lease.Read:
 			err = d.read(ctx)
@@ -110,7 +110,7 @@
 	o, err := d.entry.platform.Get(ctx, protocol.ObjectLease, directorLease)
 	var missing *platform.NotFound
 	if errors.As(err, &missing) {
-		d.lease.Seen(0, lease.Record{}, clock.Now())
+		d.lease.Observe(0, lease.Record{}, clock.Now())
 		return nil
 	}
 	if err != nil {
@@ -120,7 +120,7 @@
 	if err := json.Unmarshal(o.Value, &r); err != nil {
 		return err // a foreign object: the lease stays with nobody
 	}
-	d.lease.Seen(o.Version, r, clock.Now())
+	d.lease.Observe(o.Version, r, clock.Now())
 	return nil
 }
 
@@ -129,12 +129,12 @@
 	if err != nil {
 		return err
 	}
-	version, err := d.entry.platform.Put(ctx, protocol.ObjectLease, directorLease, w.Known(), value)
+	version, err := d.entry.platform.Put(ctx, protocol.ObjectLease, directorLease, w.ExpectedVersion(), value)
 	if err != nil {
-		d.lease.Doubt()
+		d.lease.WriteUncertain()
 		return err
 	}
-	d.lease.Wrote(version)
+	d.lease.WriteSucceeded(version)
 	return nil
 }
 
--- a/transport/entry/director_test.go
+++ b/transport/entry/director_test.go
@@ -19,10 +19,10 @@
 	d := &director{entry: e, holding: true}
 	d.lease.Self = "e1"
 	now := time.Now()
-	d.lease.Seen(0, lease.Record{}, now)
+	d.lease.Observe(0, lease.Record{}, now)
 	_, writes := d.lease.Next(now).(lease.Write)
 	require.True(t, writes)
-	d.lease.Wrote(1)
+	d.lease.WriteSucceeded(1)
 	_, holding := d.lease.Epoch(now)
 	require.True(t, holding)
 	require.NotPanics(t, func() { d.pass(t.Context()) })
