--- a/coordination/member/member.go
+++ b/coordination/member/member.go
@@ -69,8 +69,8 @@
 	})
 }
 
-// Heard notes a sign of life.
-func (t *Table) Heard(name string, now time.Time) {
+// MarkAlive notes a sign of life.
+func (t *Table) MarkAlive(name string, now time.Time) {
 	if k := t.members[name]; k != nil {
 		k.heardAt = now
 		k.suspectTill = time.Time{}
@@ -98,9 +98,9 @@
 	return alive
 }
 
-// Gone reports whether a life of an entry is over, can't be reached, or is not
+// IsGone reports whether a life of an entry is over, can't be reached, or is not
 // known. A table that has just begun knows too little to ask.
-func (t *Table) Gone(name string, incarnation uint64, now time.Time) bool {
+func (t *Table) IsGone(name string, incarnation uint64, now time.Time) bool {
 	k := t.members[name]
 	return k == nil || k.member.Incarnation != incarnation || !k.alive(now)
 }
@@ -140,9 +140,9 @@
 // Forget drops an entry that has said that it stops.
 func (t *Table) Forget(name string) { delete(t.members, name) }
 
-// First returns the entry that ranks first for a piece of work, by rendezvous
+// Owner returns the entry that ranks first for a piece of work, by rendezvous
 // hashing, so that a change of one entry moves only the work of that entry.
-func (t *Table) First(work string, now time.Time) (protocol.Member, bool) {
+func (t *Table) Owner(work string, now time.Time) (protocol.Member, bool) {
 	ranked := Rank(work, t.Alive(now))
 	if len(ranked) == 0 {
 		return protocol.Member{}, false
--- a/coordination/member/member_test.go
+++ b/coordination/member/member_test.go
@@ -39,12 +39,12 @@
 		for i := range 30 {
 			w := fmt.Sprint("claim-", i)
 			work = append(work, w)
-			first, _ := table.First(w, now)
+			first, _ := table.Owner(w, now)
 			before[w] = first.Name
 		}
 		table.Suspect(lost, now)
 		for _, w := range work {
-			after, _ := table.First(w, now)
+			after, _ := table.Owner(w, now)
 			require.NotEqual(t, lost, after.Name)
 			if before[w] != lost {
 				require.Equal(t, before[w], after.Name)
@@ -94,7 +94,7 @@
 	list := entries(3, 1)
 	table.Learn(list, now)
 	later := now.Add(time.Minute)
-	table.Heard("entry-1", later)
+	table.MarkAlive("entry-1", later)
 	table.Learn(list[:1], later)
 	require.Len(t, table.Known(), 2)
 	table.Forget("entry-1")
@@ -111,7 +111,7 @@
 		at = at.Add(wait * time.Second)
 		require.Len(t, table.Alive(at), 1)
 	}
-	table.Heard("entry-0", at)
+	table.MarkAlive("entry-0", at)
 	table.Suspect("entry-0", at)
 	require.Len(t, table.Alive(at.Add(5*time.Second)), 1)
 }
--- a/coordination/member/sweep.go
+++ b/coordination/member/sweep.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// SweepWork is the work of removing the lines of entries that are gone; the
+	// SweepTask is the work of removing the lines of entries that are gone; the
 	// entry that ranks first for it does it.
-	SweepWork = "sweep"
+	SweepTask = "sweep"
 	// staleAfter is how long a line must have stood unchanged before this
 	// entry's eyes. Entries write theirs anew three times as often.
 	staleAfter = 15 * time.Minute
--- a/transport/peer/known.go
+++ b/transport/peer/known.go
@@ -37,7 +37,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := time.Now()
-	return now.After(m.knowsFrom) && m.table.Gone(name, incarnation, now)
+	return now.After(m.knowsFrom) && m.table.IsGone(name, incarnation, now)
 }
 
 // CountAlive returns how many entries are not suspected.
@@ -66,7 +66,7 @@
 func (m *Mesh) First(work string) string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	first, ok := m.table.First(work, time.Now())
+	first, ok := m.table.Owner(work, time.Now())
 	if !ok {
 		return m.Self.Name
 	}
--- a/transport/peer/mesh.go
+++ b/transport/peer/mesh.go
@@ -200,7 +200,7 @@
 	if l.asked != l.name && m.links[l.asked] == l {
 		delete(m.links, l.asked) // a seed that now has a name
 	}
-	m.table.Heard(l.name, time.Now())
+	m.table.MarkAlive(l.name, time.Now())
 	m.mutex.Unlock()
 	if old != nil && old != l && old.isOpen() {
 		return // the second of two links that were dialled at once
@@ -236,7 +236,7 @@
 	if len(f.Members) > 0 {
 		m.table.Learn(f.Members, time.Now())
 	}
-	m.table.Heard(l.name, time.Now())
+	m.table.MarkAlive(l.name, time.Now())
 	current := m.links[l.name]
 	m.mutex.Unlock()
 	if f.Heartbeat != nil && current != nil {
