--- a/coordination/census/census.go
+++ b/coordination/census/census.go
@@ -19,22 +19,22 @@
 )
 
 const (
-	// Renew is how often an entry writes its record: a call a minute each.
-	Renew = time.Minute
-	// Look is how often an entry reads all records.
-	Look = 15 * time.Second
+	// RenewInterval is how often an entry writes its record: a call a minute each.
+	RenewInterval = time.Minute
+	// ReadInterval is how often an entry reads all records.
+	ReadInterval = 15 * time.Second
 	// aliveFor is how long a record counts without being renewed.
 	aliveFor = 150 * time.Second
 	// keptFor is how long a record stays without being renewed before whoever sees
 	// it removes it.
 	keptFor = 10 * time.Minute
-	// Least is the count before anything is known, a little more than the seven or
+	// DefaultCount is the count before anything is known, a little more than the seven or
 	// eight entries of today's deployments.
-	Least = 10
+	DefaultCount = 10
 )
 
-// Census is what one entry knows of the records. The zero value knows nothing.
-type Census struct {
+// Counter is what one entry knows of the records. The zero value knows nothing.
+type Counter struct {
 	records map[string]record
 	known   bool
 }
@@ -44,8 +44,8 @@
 	since   time.Time // from when this entry has seen the version unchanged
 }
 
-// Seen takes all records as read at that time.
-func (c *Census) Seen(objects []protocol.Object, now time.Time) {
+// Observe takes all records as read at that time.
+func (c *Counter) Observe(objects []protocol.Object, now time.Time) {
 	next := make(map[string]record, len(objects))
 	for _, o := range objects {
 		r := record{version: o.Version, since: now}
@@ -59,9 +59,9 @@
 }
 
 // Count returns how many entries there may be, never less than 1.
-func (c *Census) Count(now time.Time) int {
+func (c *Counter) Count(now time.Time) int {
 	if !c.known {
-		return Least
+		return DefaultCount
 	}
 	n := 0
 	for _, r := range c.records {
@@ -72,24 +72,24 @@
 	return max(1, n)
 }
 
-// Old is a record that nobody renews any more.
-type Old struct {
+// StaleRecord is a record that nobody renews any more.
+type StaleRecord struct {
 	name    string
 	version uint64
 }
 
 // Name returns the record's name.
-func (o Old) Name() string { return o.name }
+func (o StaleRecord) Name() string { return o.name }
 
 // Version returns the version that must still be there to remove it.
-func (o Old) Version() uint64 { return o.version }
+func (o StaleRecord) Version() uint64 { return o.version }
 
-// Forgotten returns the records to remove.
-func (c *Census) Forgotten(now time.Time) []Old {
-	var old []Old
+// Stale returns the records to remove.
+func (c *Counter) Stale(now time.Time) []StaleRecord {
+	var old []StaleRecord
 	for name, r := range c.records {
 		if now.Sub(r.since) >= keptFor {
-			old = append(old, Old{name: name, version: r.version})
+			old = append(old, StaleRecord{name: name, version: r.version})
 		}
 	}
 	return old
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -110,7 +110,7 @@
 	if s.ChangePaths {
 		f.forwarder.Changer = f.Outside.Engines
 	}
-	f.forwarder.OpenBudget(forward.Retries{Share: s.RetryShare * shareKept, Slack: s.RetrySlack, Ends: s.RetryWindow}, census.Least, clock.Now())
+	f.forwarder.OpenBudget(forward.Retries{Share: s.RetryShare * shareKept, Slack: s.RetrySlack, Ends: s.RetryWindow}, census.DefaultCount, clock.Now())
 	f.director = director.Director{
 		Self: s.Name, LeaseKind: ownKind, Routing: &f.routing, Roster: &f.roster, Engines: f.Outside.Engines,
 		Objects: f.Outside.Objects, Entries: f.watching, Following: f.source.Following, Followed: f.source.Followed, Counters: f.Counters, Logger: f.Logger,
--- a/transport/front/register.go
+++ b/transport/front/register.go
@@ -37,7 +37,7 @@
 	front *Front
 
 	done     part.Done
-	census   census.Census
+	census   census.Counter
 	version  uint64 // of the own record, 0 if unknown
 	beat     uint64
 	renewAt  time.Time
@@ -115,7 +115,7 @@
 	if source.Followed() {
 		return now.Add(lookFollowed)
 	}
-	return now.Add(census.Look)
+	return now.Add(census.ReadInterval)
 }
 
 // take takes all records: it counts them, tells whom they are of, and removes those that
@@ -123,14 +123,14 @@
 func (r *register) take(ctx context.Context, list protocol.Listing) {
 	now := time.Now()
 	r.at = list.At
-	r.census.Seen(list.Objects, now)
+	r.census.Observe(list.Objects, now)
 	r.count(now)
 	records := r.learn(list.Objects, true)
 	if r.front.source.Following() {
 		return
 	}
 	r.keepFirsts(ctx, relay.Firsts(records))
-	for _, old := range r.census.Forgotten(now) {
+	for _, old := range r.census.Stale(now) {
 		if err := r.front.Outside.Objects.Delete(ctx, entryKind, old.Name(), old.Version()); err != nil {
 			r.front.platformFailed("entries", err)
 		}
@@ -196,6 +196,6 @@
 		return err
 	}
 	r.version = version
-	r.renewAt = time.Now().Add(census.Renew)
+	r.renewAt = time.Now().Add(census.RenewInterval)
 	return nil
 }
--- a/transport/front/register_test.go
+++ b/transport/front/register_test.go
@@ -179,7 +179,7 @@
 	list, err := store.List(t.Context(), entryKind)
 	require.NoError(t, err)
 	long := time.Now().Add(-time.Hour)
-	other.census.Seen(list.Objects, long)
+	other.census.Observe(list.Objects, long)
 	store.lag = true
 	other.take(t.Context(), list)
 	require.Len(t, store.late, 1)
--- a/transport/front/start.go
+++ b/transport/front/start.go
@@ -128,7 +128,7 @@
 		own := r.front.source.Record()
 		own.Name, own.Heartbeat = "", record.Heartbeat
 		if record == own {
-			r.renewAt = now.Add(rand.N(census.Renew))
+			r.renewAt = now.Add(rand.N(census.RenewInterval))
 		}
 		return true
 	}
