--- a/coordination/detect/detect.go
+++ b/coordination/detect/detect.go
@@ -33,8 +33,8 @@
 // Step is a step in flight: when it left and how many seconds it was then
 // expected to take.
 type Step struct {
-	SentAt   time.Time
-	Expected float64
+	SentAt          time.Time
+	ExpectedSeconds float64
 }
 
 // Verdict is Busy or Lost.
@@ -43,8 +43,8 @@
 // Busy says until when to wait before looking again.
 type Busy struct{ till time.Time }
 
-// Till returns the time to look again.
-func (b Busy) Till() time.Time { return b.till }
+// Until returns the time to look again.
+func (b Busy) Until() time.Time { return b.till }
 
 // Lost says that the step is to be given up. Dead tells a runner that has
 // fallen silent from one that is slow or has lost the reply.
@@ -56,16 +56,16 @@
 func (Busy) verdict() {}
 func (Lost) verdict() {}
 
-// Bound returns the time by which the step's reply is normally there.
-func Bound(r *fleet.Runner, s Step) time.Time {
+// ReplyDeadline returns the time by which the step's reply is normally there.
+func ReplyDeadline(r *fleet.Runner, s Step) time.Time {
 	mean, deviation := r.Slowness(s.SentAt)
-	seconds := s.Expected * (max(1, mean) + deviations*deviation)
+	seconds := s.ExpectedSeconds * (max(1, mean) + deviations*deviation)
 	return s.SentAt.Add(slack + time.Duration(seconds*float64(time.Second)))
 }
 
-// Judge returns the verdict on a step in flight.
-func Judge(r *fleet.Runner, s Step, now time.Time) Verdict {
-	bound := Bound(r, s)
+// Classify returns the verdict on a step in flight.
+func Classify(r *fleet.Runner, s Step, now time.Time) Verdict {
+	bound := ReplyDeadline(r, s)
 	if now.Before(bound) {
 		return Busy{till: bound}
 	}
--- a/transport/entry/flight.go
+++ b/transport/entry/flight.go
@@ -22,11 +22,11 @@
 func (m *modelRun) send(s stream.Send) {
 	now := time.Now()
 	r := s.Runner()
-	f := flight{runner: r, step: detect.Step{SentAt: now, Expected: r.Expected(now, s.Step().Count)}}
-	f.look = detect.Bound(r, f.step)
+	f := flight{runner: r, step: detect.Step{SentAt: now, ExpectedSeconds: r.Expected(now, s.Step().Count)}}
+	f.look = detect.ReplyDeadline(r, f.step)
 	m.flights = append(m.flights, f)
 	m.setSilence()
-	m.entry.pool.Client(r).Send(&s, f.step.Expected, m.mailbox)
+	m.entry.pool.Client(r).Send(&s, f.step.ExpectedSeconds, m.mailbox)
 }
 
 // landed removes a runner's step from those in flight and returns it.
--- a/transport/entry/recover.go
+++ b/transport/entry/recover.go
@@ -25,9 +25,9 @@
 		if now.Before(f.look) {
 			continue
 		}
-		switch v := detect.Judge(f.runner, f.step, now).(type) {
+		switch v := detect.Classify(f.runner, f.step, now).(type) {
 		case detect.Busy:
-			f.look = v.Till()
+			f.look = v.Until()
 		case detect.Lost:
 			return m.unanswered(ctx, *f, v)
 		}
@@ -41,7 +41,7 @@
 	took := time.Since(f.step.SentAt)
 	m.entry.detected.Record(took)
 	cause := "too slow"
-	f.runner.Overdue(took, f.step.Expected, time.Now())
+	f.runner.Overdue(took, f.step.ExpectedSeconds, time.Now())
 	if v.Dead() {
 		cause = "silence"
 		f.runner.Failed(time.Now())
