--- a/coordination/retry/resend.go
+++ b/coordination/retry/resend.go
@@ -17,66 +17,66 @@
 	Broken
 )
 
-// Forwarded is what the decision on a forwarded request depends on. Allowed says
+// FailedAttempt is what the decision on a forwarded request depends on. Allowed says
 // whether there is an endpoint that its route lets it be sent to next; Unsent
 // counts those that could not be reached.
-type Forwarded struct {
-	Result    Result
-	MayRepeat bool
-	MayHave   bool // an earlier send of the request may have run
-	Allowed   bool
-	Ready     bool // an endpoint can take it now
-	Unsent    int
-	Now       time.Time
-	Deadline  time.Time
-	Hope      time.Time // until when it is of use to wait for one, zero if not at all
+type FailedAttempt struct {
+	Result          Result
+	MayRepeat       bool
+	MayHaveRun      bool // an earlier send of the request may have run
+	EndpointAllowed bool
+	EndpointReady   bool // an endpoint can take it now
+	Unreachable     int
+	Now             time.Time
+	Deadline        time.Time
+	WaitUntil       time.Time // until when it is of use to wait for one, zero if not at all
 }
 
 // maxUnsent is how many endpoints are tried that can't be reached. Each may cost
 // a connect timeout.
 const maxUnsent = 3
 
-// Next is what to do with a forwarded request: one of the constants below.
-type Next uint8
+// Action is what to do with a forwarded request: one of the constants below.
+type Action uint8
 
-// Again: send it to another endpoint. Deliver: pass the endpoint's own failure
+// Resend: send it to another endpoint. Deliver: pass the endpoint's own failure
 // on. Refuse: tell the caller that it has not run and never will. Fail: tell the
-// caller that it may have run. Expire: its time is over. Hold: wait until an endpoint
+// caller that it may have run. Expire: its time is over. Enqueue: wait until an endpoint
 // can take it.
 const (
-	Again Next = iota
+	Resend Action = iota
 	Deliver
 	Refuse
 	Fail
 	Expire
-	Hold
+	Enqueue
 )
 
-// Resend decides on a forwarded request after a send without a good answer. A
+// Decide decides on a forwarded request after a send without a good answer. A
 // request that may not be repeated is sent again only if it is certain that it
 // has not run. Each further endpoint that it is sent to is taken from the budget.
-func (w *Window) Resend(f Forwarded) Next {
+func (w *WindowBudget) Decide(f FailedAttempt) Action {
 	if !f.Now.Before(f.Deadline) {
 		return Expire
 	}
-	mayRun := f.MayHave || f.Result == Failed || f.Result == Broken
-	if f.Allowed && (f.MayRepeat || !mayRun) {
-		if f.Ready && f.Result == NeverSent && f.Unsent <= maxUnsent {
-			return Again
+	mayRun := f.MayHaveRun || f.Result == Failed || f.Result == Broken
+	if f.EndpointAllowed && (f.MayRepeat || !mayRun) {
+		if f.EndpointReady && f.Result == NeverSent && f.Unreachable <= maxUnsent {
+			return Resend
 		}
-		if f.Ready && f.Result != NeverSent && w.Take(f.Now) {
-			return Again
+		if f.EndpointReady && f.Result != NeverSent && w.Spend(f.Now) {
+			return Resend
 		}
-		if f.Now.Before(f.Hope) {
-			return Hold
+		if f.Now.Before(f.WaitUntil) {
+			return Enqueue
 		}
 	}
-	return Ending(f.Result, mayRun)
+	return FinalAction(f.Result, mayRun)
 }
 
-// Ending returns how a request ends that is not sent again: after a send with that
+// FinalAction returns how a request ends that is not sent again: after a send with that
 // result, and whether an earlier one may have run.
-func Ending(r Result, mayHave bool) Next {
+func FinalAction(r Result, mayHave bool) Action {
 	switch {
 	case r == Failed:
 		return Deliver
--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -27,8 +27,8 @@
 	most = 100
 	// initial is the credit of a new budget.
 	initial = 20
-	// MaxTries is the largest number of tries of one request.
-	MaxTries    = 8
+	// MaxAttempts is the largest number of tries of one request.
+	MaxAttempts = 8
 	backoffBase = 2 * time.Millisecond
 	backoffMost = 200 * time.Millisecond
 )
@@ -39,11 +39,11 @@
 	spent float64
 }
 
-// First notes a first try.
-func (b *Budget) First() { b.spent = max(initial-most, b.spent-share) }
+// RecordFirst notes a first try.
+func (b *Budget) RecordFirst() { b.spent = max(initial-most, b.spent-share) }
 
-// Take takes one further try from the budget, and reports whether there was one.
-func (b *Budget) Take() bool {
+// Spend takes one further try from the budget, and reports whether there was one.
+func (b *Budget) Spend() bool {
 	if initial-b.spent < 1 {
 		return false
 	}
@@ -57,9 +57,9 @@
 type Query struct {
 	Now      time.Time
 	Deadline time.Time
-	Tries    int
+	Attempts int
 	Resuming bool
-	Draw     *rand.Rand
+	Rand     *rand.Rand
 }
 
 // Decision is either Wait or Stop.
@@ -68,8 +68,8 @@
 // Wait says from when to try again.
 type Wait struct{ till time.Time }
 
-// Till returns the time of the next try.
-func (w Wait) Till() time.Time { return w.till }
+// Until returns the time of the next try.
+func (w Wait) Until() time.Time { return w.till }
 
 // Stop says that no further try is allowed.
 type Stop struct{ kind protocol.Kind }
@@ -80,9 +80,9 @@
 func (Wait) decision() {}
 func (Stop) decision() {}
 
-// Again decides on one further try and takes it from the budget.
-func (b *Budget) Again(q Query) Decision {
-	if q.Tries >= MaxTries {
+// Decide decides on one further try and takes it from the budget.
+func (b *Budget) Decide(q Query) Decision {
+	if q.Attempts >= MaxAttempts {
 		return Stop{kind: protocol.RetriesSpent}
 	}
 	till := q.Now.Add(backoff(q))
@@ -92,7 +92,7 @@
 	if q.Resuming {
 		return Wait{till: till}
 	}
-	if !b.Take() {
+	if !b.Spend() {
 		return Stop{kind: protocol.RetriesSpent}
 	}
 	return Wait{till: till}
@@ -101,9 +101,9 @@
 // backoff returns nothing for the first retry, which goes to another runner,
 // and a jittered, doubling time after that.
 func backoff(q Query) time.Duration {
-	if q.Tries <= 1 {
+	if q.Attempts <= 1 {
 		return 0
 	}
-	ceiling := min(backoffMost, backoffBase<<min(q.Tries, 10))
-	return ceiling/2 + time.Duration(q.Draw.Int64N(int64(ceiling/2)+1))
+	ceiling := min(backoffMost, backoffBase<<min(q.Attempts, 10))
+	return ceiling/2 + time.Duration(q.Rand.Int64N(int64(ceiling/2)+1))
 }
--- a/coordination/retry/window.go
+++ b/coordination/retry/window.go
@@ -8,19 +8,19 @@
 // which the platform counts.
 const slotFor = 250 * time.Millisecond
 
-// Window is a budget of further tries where the platform bounds those of any span of a
+// WindowBudget is a budget of further tries where the platform bounds those of any span of a
 // given length by a share of the first tries of that span and a slack. It allows no more
 // than its part of that at any moment, and all of it at once: an entry that serves 4
 // requests a second may send 8 again right after an engine was lost, and not only the 3 of
 // a bucket as small as its part of the slack. Set the fields before use; it is not safe
 // for use by several goroutines at once.
-type Window struct {
+type WindowBudget struct {
 	// Share is how many further tries each first try pays for, and Slack how many there
 	// are beside that.
 	Share float64
 	Slack float64
-	// Ends returns the end of a span that begins at a time.
-	Ends func(begin time.Time) time.Time
+	// SpanEnd returns the end of a span that begins at a time.
+	SpanEnd func(begin time.Time) time.Time
 
 	slots []slot // the oldest first
 }
@@ -36,20 +36,20 @@
 	owesTo time.Time
 }
 
-// First notes a first try.
-func (w *Window) First(now time.Time) { w.current(now).firsts++ }
+// RecordFirst notes a first try.
+func (w *WindowBudget) RecordFirst(now time.Time) { w.current(now).firsts++ }
 
-// Take takes one further try, and reports whether there was one.
-func (w *Window) Take(now time.Time) bool {
-	if w.Left(now) < 1 {
+// Spend takes one further try, and reports whether there was one.
+func (w *WindowBudget) Spend(now time.Time) bool {
+	if w.Remaining(now) < 1 {
 		return false
 	}
 	w.current(now).spent++
 	return true
 }
 
-// Left returns how many further tries are allowed now.
-func (w *Window) Left(now time.Time) float64 {
+// Remaining returns how many further tries are allowed now.
+func (w *WindowBudget) Remaining(now time.Time) float64 {
 	w.forget(now)
 	left := w.Slack
 	for i := range w.slots {
@@ -63,18 +63,18 @@
 }
 
 // current returns the slot of now.
-func (w *Window) current(now time.Time) *slot {
+func (w *WindowBudget) current(now time.Time) *slot {
 	if n := len(w.slots); n > 0 && now.Before(w.slots[n-1].till) {
 		return &w.slots[n-1]
 	}
 	w.forget(now)
 	till := now.Add(slotFor)
-	w.slots = append(w.slots, slot{till: till, paysTo: w.Ends(now), owesTo: w.Ends(till)})
+	w.slots = append(w.slots, slot{till: till, paysTo: w.SpanEnd(now), owesTo: w.SpanEnd(till)})
 	return &w.slots[len(w.slots)-1]
 }
 
 // forget drops slots that count for nothing any more.
-func (w *Window) forget(now time.Time) {
+func (w *WindowBudget) forget(now time.Time) {
 	old := 0
 	for old < len(w.slots) && !now.Before(w.slots[old].owesTo) {
 		old++
--- a/coordination/retry/window_test.go
+++ b/coordination/retry/window_test.go
@@ -28,7 +28,7 @@
 		for range entries {
 			now := time.Unix(100, 0)
 			each := slack / float64(entries)
-			w := retry.Window{Share: share, Slack: most * each, Ends: ends}
+			w := retry.WindowBudget{Share: share, Slack: most * each, SpanEnd: ends}
 			lives := 0
 			fillAt := time.Time{}
 			for range rapid.IntRange(1, 120).Draw(t, "steps") {
@@ -39,12 +39,12 @@
 				switch n := rapid.IntRange(0, 40).Draw(t, "what"); {
 				case n == 0 && lives < 2:
 					lives++
-					w = retry.Window{Share: share, Slack: first * each, Ends: ends}
+					w = retry.WindowBudget{Share: share, Slack: first * each, SpanEnd: ends}
 					fillAt = now.Add(span)
 				case n%2 == 0:
-					w.First(now)
+					w.RecordFirst(now)
 					firsts = append(firsts, now)
-				case w.Take(now):
+				case w.Spend(now):
 					further = append(further, now)
 				}
 			}
@@ -71,33 +71,33 @@
 // none again for ten seconds: when an engine is lost it may send eight and more at once,
 // and ten seconds later as many again.
 func TestALossFindsTheWholeCredit(t *testing.T) {
-	w := retry.Window{Share: 0.19, Slack: 3.2, Ends: ends}
+	w := retry.WindowBudget{Share: 0.19, Slack: 3.2, SpanEnd: ends}
 	now := time.Unix(100, 0)
 	atOnce := func() int {
 		for range 40 {
 			now = now.Add(250 * time.Millisecond)
-			w.First(now)
+			w.RecordFirst(now)
 		}
 		n := 0
-		for w.Take(now) {
+		for w.Spend(now) {
 			n++
 		}
 		return n
 	}
 	require.Equal(t, 10, atOnce())
-	require.False(t, w.Take(now.Add(time.Second)), "what was spent counts on")
+	require.False(t, w.Spend(now.Add(time.Second)), "what was spent counts on")
 	now = now.Add(500 * time.Millisecond)
 	require.GreaterOrEqual(t, atOnce(), 9)
 }
 
 // BenchmarkWindow counts a first try and asks for a further one in a full window.
 func BenchmarkWindow(b *testing.B) {
-	w := retry.Window{Share: 0.19, Slack: 3.2, Ends: ends}
+	w := retry.WindowBudget{Share: 0.19, Slack: 3.2, SpanEnd: ends}
 	now := time.Unix(100, 0)
 	b.ReportAllocs()
 	for b.Loop() {
 		now = now.Add(25 * time.Millisecond)
-		w.First(now)
-		w.Take(now)
+		w.RecordFirst(now)
+		w.Spend(now)
 	}
 }
--- a/transport/entry/recover.go
+++ b/transport/entry/recover.go
@@ -79,8 +79,8 @@
 	}
 	now := time.Now()
 	d := m.entry.retries.again(retry.Query{
-		Now: now, Deadline: clock.Timer(m.deadline), Tries: m.tries,
-		Resuming: len(m.machine.Emitted()) > 0, Draw: m.draw,
+		Now: now, Deadline: clock.Timer(m.deadline), Attempts: m.tries,
+		Resuming: len(m.machine.Emitted()) > 0, Rand: m.draw,
 	})
 	wait, ok := d.(retry.Wait)
 	if !ok {
@@ -90,7 +90,7 @@
 	m.story.Note(now, story.Retried, string(reason)+" at "+nameOf(failed))
 	event.RequestRetried.Log(m.entry.Logger, slog.String("request", m.id.String()),
 		slog.String("reason", string(reason)), slog.String("runner", nameOf(failed)))
-	if !m.rest(ctx, wait.Till()) {
+	if !m.rest(ctx, wait.Until()) {
 		return m.givenUp(ctx)
 	}
 	return m.begin(ctx)
--- a/transport/entry/retries.go
+++ b/transport/entry/retries.go
@@ -18,13 +18,13 @@
 func (r *retries) first() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.budget.First()
+	r.budget.RecordFirst()
 }
 
 func (r *retries) again(q retry.Query) retry.Decision {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.budget.Again(q)
+	return r.budget.Decide(q)
 }
 
 func itoa(n int) string { return strconv.Itoa(n) }
--- a/transport/entry/service.go
+++ b/transport/entry/service.go
@@ -218,7 +218,7 @@
 	if s.sent && !s.repeatable || ctx.Err() != nil {
 		return s.final(r)
 	}
-	d := s.entry.retries.again(retry.Query{Now: time.Now(), Deadline: clock.Timer(s.call.deadline), Tries: s.tries, Draw: draw})
+	d := s.entry.retries.again(retry.Query{Now: time.Now(), Deadline: clock.Timer(s.call.deadline), Attempts: s.tries, Rand: draw})
 	wait, ok := d.(retry.Wait)
 	if !ok {
 		return s.final(r)
@@ -230,7 +230,7 @@
 	s.entry.counters.Retried(reason)
 	s.call.story.Note(time.Now(), story.Retried, string(reason)+" at "+endpoint.Name)
 	event.RequestRetried.Log(s.entry.Logger, slog.String("request", s.call.id.String()), slog.String("reason", string(reason)))
-	t := time.NewTimer(time.Until(wait.Till()))
+	t := time.NewTimer(time.Until(wait.Until()))
 	defer t.Stop()
 	select {
 	case <-t.C:
--- a/transport/forward/budget.go
+++ b/transport/forward/budget.go
@@ -33,7 +33,7 @@
 	mutex   sync.Mutex
 	entries float64
 	fillAt  time.Time // from when what the process before spent counts no longer
-	windows map[string]*retry.Window
+	windows map[string]*retry.WindowBudget
 }
 
 // open begins among that many entries.
@@ -56,31 +56,31 @@
 func (b *budgets) first(service string, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.of(service, now).First(now)
+	b.of(service, now).RecordFirst(now)
 }
 
 // take takes one further send of a request for a service.
 func (b *budgets) take(service string, now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.of(service, now).Take(now)
+	return b.of(service, now).Spend(now)
 }
 
 // resend asks what to do with a request for a service after a send without a good answer.
-func (b *budgets) resend(service string, q retry.Forwarded) retry.Next {
+func (b *budgets) resend(service string, q retry.FailedAttempt) retry.Action {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.of(service, q.Now).Resend(q)
+	return b.of(service, q.Now).Decide(q)
 }
 
 // of returns the budget of a service with the slack that it has now. The mutex is held.
-func (b *budgets) of(service string, now time.Time) *retry.Window {
+func (b *budgets) of(service string, now time.Time) *retry.WindowBudget {
 	w := b.windows[service]
 	if w == nil {
 		if b.windows == nil {
-			b.windows = make(map[string]*retry.Window)
+			b.windows = make(map[string]*retry.WindowBudget)
 		}
-		w = &retry.Window{Share: b.bound.Share, Ends: b.bound.Ends}
+		w = &retry.WindowBudget{Share: b.bound.Share, SpanEnd: b.bound.Ends}
 		b.windows[service] = w
 	}
 	part := firstPart
--- a/transport/forward/decide.go
+++ b/transport/forward/decide.go
@@ -44,18 +44,18 @@
 	}
 	p, ready := x.pickNext(now)
 	hope := x.hopeTill()
-	next := x.forwarder.budgets.resend(x.service.Name, retry.Forwarded{
-		Result: r, MayRepeat: x.route.MayRepeat(), MayHave: x.mayHave,
-		Allowed: x.mayReachMore(), Ready: ready && x.mayReach(&p), Unsent: x.unsent, Now: now, Deadline: x.deadline, Hope: hope,
+	next := x.forwarder.budgets.resend(x.service.Name, retry.FailedAttempt{
+		Result: r, MayRepeat: x.route.MayRepeat(), MayHaveRun: x.mayHave,
+		EndpointAllowed: x.mayReachMore(), EndpointReady: ready && x.mayReach(&p), Unreachable: x.unsent, Now: now, Deadline: x.deadline, WaitUntil: hope,
 	})
 	switch next {
-	case retry.Again:
+	case retry.Resend:
 		x.forwarder.Counters.Retried(reasonOf(r))
 		x.send(&p)
 		x.rhythm.restart(now)
-	case retry.Hold:
+	case retry.Enqueue:
 		if again, ok := x.wait(a, r, whole, hope, now); !ok {
-			x.end(retry.Ending(r, x.mayHave), whole, again)
+			x.end(retry.FinalAction(r, x.mayHave), whole, again)
 		}
 	default:
 		x.end(next, whole, now.Add(againFull))
@@ -73,7 +73,7 @@
 }
 
 // end ends the request as the retry policy says.
-func (x *exchange) end(next retry.Next, whole *wholeCame, again time.Time) {
+func (x *exchange) end(next retry.Action, whole *wholeCame, again time.Time) {
 	switch next {
 	case retry.Deliver:
 		x.deliver(whole)
--- a/transport/forward/hold.go
+++ b/transport/forward/hold.go
@@ -308,7 +308,7 @@
 		x.finish(noRoom(h.line.again(now)))
 		return
 	}
-	x.end(retry.Ending(h.result, x.mayHave), h.whole, h.line.again(now))
+	x.end(retry.FinalAction(h.result, x.mayHave), h.whole, h.line.again(now))
 }
 
 // priority ranks by team first, then by route, as engines do.
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -191,7 +191,7 @@
 		x.finish(protocol.Refuse(protocol.QueueFull, "endpoints ended when they ran this request, and none is free to run it alone").Again(again))
 		return
 	}
-	x.end(retry.Ending(t.result, x.mayHave), t.whole, again)
+	x.end(retry.FinalAction(t.result, x.mayHave), t.whole, again)
 }
 
 // takenBy adds to the runners that a request avoids those at which work is on trial that must
