--- a/coordination/claim/action.go
+++ b/coordination/claim/action.go
@@ -20,8 +20,8 @@
 // Slot returns where to write.
 func (w Write) Slot() int { return w.slot }
 
-// Known returns the version that the slot must have, 0 for none.
-func (w Write) Known() uint64 { return w.known }
+// ExpectedVersion returns the version that the slot must have, 0 for none.
+func (w Write) ExpectedVersion() uint64 { return w.known }
 
 // Batch returns what to write.
 func (w Write) Batch() protocol.ClaimBatch { return w.batch }
@@ -32,17 +32,17 @@
 // Slot returns which.
 func (r Read) Slot() int { return r.slot }
 
-// Rest says that nothing is to be done.
-type Rest struct{}
+// Idle says that nothing is to be done.
+type Idle struct{}
 
 func (Load) action()  {}
 func (Write) action() {}
 func (Read) action()  {}
-func (Rest) action()  {}
+func (Idle) action()  {}
 
-// Stored is a slot's content in the platform. A slot that does not exist has
+// StoredSlot is a slot's content in the platform. A slot that does not exist has
 // version 0.
-type Stored struct {
+type StoredSlot struct {
 	Slot    int
 	Version uint64
 	Batch   protocol.ClaimBatch
@@ -80,8 +80,8 @@
 	held    protocol.ClaimRecord
 }
 
-// Told returns the result that another entry's log gave.
-func Told(r protocol.ClaimRecord, v Verdict, held protocol.ClaimRecord) Result {
+// RemoteResult returns the result that another entry's log gave.
+func RemoteResult(r protocol.ClaimRecord, v Verdict, held protocol.ClaimRecord) Result {
 	return Result{record: r, verdict: v, held: held}
 }
 
@@ -91,6 +91,6 @@
 // Verdict returns what became of it.
 func (r Result) Verdict() Verdict { return r.verdict }
 
-// Held returns the record that stands under the key; for Settled it holds the
+// Existing returns the record that stands under the key; for Settled it holds the
 // answer.
-func (r Result) Held() protocol.ClaimRecord { return r.held }
+func (r Result) Existing() protocol.ClaimRecord { return r.held }
--- a/coordination/claim/judge.go
+++ b/coordination/claim/judge.go
@@ -38,7 +38,7 @@
 	if r.Kind != protocol.ClaimTaken {
 		return Kept, r
 	}
-	if !l.Retain(time.UnixMilli(r.IssuedMS)).After(now) {
+	if !l.RetainUntil(time.UnixMilli(r.IssuedMS)).After(now) {
 		return Expired, r
 	}
 	held, found := l.index[r.Key]
--- a/coordination/claim/log.go
+++ b/coordination/claim/log.go
@@ -51,7 +51,7 @@
 // Log is one shard. The zero value must be loaded first. Retain is how long a
 // key is remembered after it was issued; set it before use.
 type Log struct {
-	Retain func(issued time.Time) time.Time
+	RetainUntil func(issued time.Time) time.Time
 
 	loaded  bool
 	next    uint64 // sequence of the next batch
@@ -98,7 +98,7 @@
 func (l *Log) Next(now time.Time) Action {
 	if !l.loaded {
 		if len(l.pending) == 0 {
-			return Rest{}
+			return Idle{}
 		}
 		return Load{}
 	}
@@ -107,11 +107,11 @@
 	}
 	l.judge(now)
 	if len(l.pending) == 0 {
-		return Rest{}
+		return Idle{}
 	}
 	if l.slots[l.nextSlot()].expiry.After(now) {
 		l.refuseFull()
-		return Rest{}
+		return Idle{}
 	}
 	return l.write()
 }
@@ -137,11 +137,11 @@
 
 // Loaded takes every slot of the shard. It reports false when the slots do not
 // fit together, because one was written meanwhile: load again.
-func (l *Log) Loaded(all []Stored) bool {
+func (l *Log) Loaded(all []StoredSlot) bool {
 	l.index = map[protocol.ClaimKey]protocol.ClaimRecord{}
 	l.slots = map[int]slot{}
 	l.next = 0
-	slices.SortFunc(all, func(a, b Stored) int { return int(a.Batch.Sequence) - int(b.Batch.Sequence) })
+	slices.SortFunc(all, func(a, b StoredSlot) int { return int(a.Batch.Sequence) - int(b.Batch.Sequence) })
 	for i, s := range all {
 		if s.Slot < 0 || s.Slot >= Slots || i > 0 && s.Batch.Sequence != all[i-1].Batch.Sequence+1 {
 			return false
@@ -152,8 +152,8 @@
 	return true
 }
 
-// Wrote takes the success of the write in flight.
-func (l *Log) Wrote(version uint64) {
+// WriteSucceeded takes the success of the write in flight.
+func (l *Log) WriteSucceeded(version uint64) {
 	batch := protocol.ClaimBatch{Sequence: l.next, Records: slices.Clone(l.pending[:l.written])}
 	for _, r := range batch.Records {
 		v := Kept
@@ -164,19 +164,19 @@
 	}
 	l.pending = slices.Delete(l.pending, 0, l.written)
 	l.written = 0
-	l.apply(Stored{Slot: l.nextSlot(), Version: version, Batch: batch})
+	l.apply(StoredSlot{Slot: l.nextSlot(), Version: version, Batch: batch})
 }
 
-// Unwritten notes that the write in flight had no effect.
-func (l *Log) Unwritten() { l.written = 0 }
+// WriteFailed notes that the write in flight had no effect.
+func (l *Log) WriteFailed() { l.written = 0 }
 
-// Doubt notes that the write in flight met another version or that its answer
+// WriteUncertain notes that the write in flight met another version or that its answer
 // was lost. What happened shows once the slot is read.
-func (l *Log) Doubt() { l.written, l.doubt = 0, true }
+func (l *Log) WriteUncertain() { l.written, l.doubt = 0, true }
 
-// Found takes the slot of the next batch as read. Records of ours that turn out
+// SlotRead takes the slot of the next batch as read. Records of ours that turn out
 // to be in the log get their results from the next call of Next.
-func (l *Log) Found(s Stored) {
+func (l *Log) SlotRead(s StoredSlot) {
 	l.doubt, l.stale = false, false
 	switch {
 	case s.Version == 0:
@@ -219,7 +219,7 @@
 }
 
 // apply adds the next batch of the log to the index.
-func (l *Log) apply(s Stored) {
+func (l *Log) apply(s StoredSlot) {
 	for _, r := range s.Batch.Records {
 		l.applyRecord(r)
 	}
@@ -231,7 +231,7 @@
 func (l *Log) expiryOf(b protocol.ClaimBatch) time.Time {
 	var last time.Time
 	for _, r := range b.Records {
-		if till := l.Retain(time.UnixMilli(r.IssuedMS)).Add(skewMargin); till.After(last) {
+		if till := l.RetainUntil(time.UnixMilli(r.IssuedMS)).Add(skewMargin); till.After(last) {
 			last = till
 		}
 	}
@@ -264,14 +264,14 @@
 // Expire drops keys that are remembered no longer, to bound memory.
 func (l *Log) Expire(now time.Time) {
 	for k, r := range l.index {
-		if now.After(l.Retain(time.UnixMilli(r.IssuedMS)).Add(skewMargin)) {
+		if now.After(l.RetainUntil(time.UnixMilli(r.IssuedMS)).Add(skewMargin)) {
 			delete(l.index, k)
 		}
 	}
 }
 
-// Keys returns how many keys are held or settled.
-func (l *Log) Keys() int {
+// KeyCount returns how many keys are held or settled.
+func (l *Log) KeyCount() int {
 	held := 0
 	for _, r := range l.index {
 		if r.Kind != protocol.ClaimReleased {
--- a/coordination/claim/log_test.go
+++ b/coordination/claim/log_test.go
@@ -32,7 +32,7 @@
 // often each key was run.
 type world struct {
 	mutant  mutant
-	slots   map[int]claim.Stored
+	slots   map[int]claim.StoredSlot
 	version uint64
 	late    []claim.Write // writes on their way that their entry gave up on
 	entries []*writer
@@ -47,7 +47,7 @@
 }
 
 func newWorld(m mutant, entries int) *world {
-	w := &world{mutant: m, slots: map[int]claim.Stored{}, runs: map[protocol.ClaimKey]int{}}
+	w := &world{mutant: m, slots: map[int]claim.StoredSlot{}, runs: map[protocol.ClaimKey]int{}}
 	for range entries {
 		w.entries = append(w.entries, &writer{})
 		w.restart(len(w.entries) - 1)
@@ -60,7 +60,7 @@
 	if write, ok := w.entries[i].flight.(claim.Write); ok {
 		w.late = append(w.late, write)
 	}
-	w.entries[i] = &writer{log: &claim.Log{Retain: retain}}
+	w.entries[i] = &writer{log: &claim.Log{RetainUntil: retain}}
 }
 
 func (w *world) offer(i int, key byte) {
@@ -79,11 +79,11 @@
 
 func (w *world) put(x claim.Write) (uint64, bool) {
 	held := w.slots[x.Slot()].Version
-	if held != x.Known() && w.mutant != unconditional {
+	if held != x.ExpectedVersion() && w.mutant != unconditional {
 		return held, false
 	}
 	w.version++
-	w.slots[x.Slot()] = claim.Stored{Slot: x.Slot(), Version: w.version, Batch: x.Batch()}
+	w.slots[x.Slot()] = claim.StoredSlot{Slot: x.Slot(), Version: w.version, Batch: x.Batch()}
 	return w.version, true
 }
 
@@ -111,7 +111,7 @@
 	switch action := action.(type) {
 	case claim.Load:
 		if a == answered {
-			var all []claim.Stored
+			var all []claim.StoredSlot
 			for _, s := range w.slots {
 				all = append(all, s)
 			}
@@ -121,7 +121,7 @@
 		if a == answered {
 			s := w.slots[action.Slot()]
 			s.Slot = action.Slot()
-			e.log.Found(s)
+			e.log.SlotRead(s)
 		}
 	case claim.Write:
 		w.endWrite(e, action, a)
@@ -132,12 +132,12 @@
 func (w *world) endWrite(e *writer, x claim.Write, a answer) {
 	switch a {
 	case refused:
-		e.log.Unwritten()
+		e.log.WriteFailed()
 	case answered:
 		if version, done := w.put(x); done {
-			e.log.Wrote(version)
+			e.log.WriteSucceeded(version)
 		} else {
-			e.log.Doubt()
+			e.log.WriteUncertain()
 		}
 	case lostDone, lostLate:
 		if a == lostDone {
@@ -146,10 +146,10 @@
 			w.late = append(w.late, x)
 		}
 		if w.mutant == believesLost {
-			e.log.Wrote(w.version + 1)
+			e.log.WriteSucceeded(w.version + 1)
 			return
 		}
-		e.log.Doubt()
+		e.log.WriteUncertain()
 	}
 }
 
@@ -306,14 +306,14 @@
 				e.flight = nil
 				switch a := a.(type) {
 				case claim.Load:
-					var all []claim.Stored
+					var all []claim.StoredSlot
 					for _, s := range w.slots {
 						all = append(all, s)
 					}
 					e.log.Loaded(all)
 				case claim.Read:
 					s := w.slots[a.Slot()]
-					e.log.Found(s)
+					e.log.SlotRead(s)
 				case claim.Write:
 					w.endWrite(e, a, answered)
 				}
@@ -343,7 +343,7 @@
 	require.Equal(t, claim.Kept, claimAt(0, outcome).Verdict())
 	again := claimAt(1, repeat)
 	require.Equal(t, claim.Settled, again.Verdict())
-	require.Equal(t, "done", string(again.Held().Answer))
+	require.Equal(t, "done", string(again.Existing().Answer))
 	old := record
 	old.Key, old.IssuedMS = protocol.ClaimKey{8}, epoch.Add(-time.Hour).UnixMilli()
 	require.Equal(t, claim.Expired, claimAt(1, old).Verdict())
@@ -362,7 +362,7 @@
 	r.Kind = protocol.ClaimReleased
 	l.Add(r)
 	writeAll(l, 2)
-	require.Zero(t, l.Keys())
+	require.Zero(t, l.KeyCount())
 }
 
 // TestAFullRingRefusesNewClaims fills every slot with keys that are still
@@ -376,7 +376,7 @@
 	l.Results()
 	extra := protocol.ClaimRecord{Key: protocol.ClaimKey{7, 7, 7}, Claimant: 99, IssuedMS: epoch.UnixMilli()}
 	l.Add(extra)
-	require.IsType(t, claim.Rest{}, l.Next(epoch))
+	require.IsType(t, claim.Idle{}, l.Next(epoch))
 	require.Equal(t, claim.Full, l.Results()[0].Verdict())
 	later := epoch.Add(time.Hour)
 	extra.IssuedMS = later.UnixMilli()
@@ -412,13 +412,13 @@
 }
 
 func loadedLog() *claim.Log {
-	l := &claim.Log{Retain: retain}
+	l := &claim.Log{RetainUntil: retain}
 	l.Loaded(nil)
 	return l
 }
 
 func writeAll(l *claim.Log, version uint64) {
 	if _, ok := l.Next(epoch).(claim.Write); ok {
-		l.Wrote(version)
+		l.WriteSucceeded(version)
 	}
 }
--- a/transport/claims/ask.go
+++ b/transport/claims/ask.go
@@ -55,7 +55,7 @@
 		if a.Failed {
 			return claim.Result{}, errNoAnswer
 		}
-		return claim.Told(r, claim.Verdict(a.Verdict), a.Held), nil
+		return claim.RemoteResult(r, claim.Verdict(a.Verdict), a.Held), nil
 	case <-ctx.Done():
 		return claim.Result{}, errNoAnswer
 	}
@@ -119,7 +119,7 @@
 		answer.Failed = true
 	} else {
 		answer.Verdict = uint8(result.Verdict())
-		answer.Held = result.Held()
+		answer.Held = result.Existing()
 	}
 	a.keeper.Mesh.Send(a.from, protocol.PeerFrame{Answers: []protocol.ClaimAnswer{answer}})
 }
--- a/transport/claims/keeper.go
+++ b/transport/claims/keeper.go
@@ -113,14 +113,14 @@
 			return result, err
 		}
 		seen = result
-		held := result.Held()
+		held := result.Existing()
 		switch {
 		case k.Gone == nil || held.Holder == "" || !k.Gone(held.Holder, held.Life):
 			gone = time.Time{}
 		case gone.IsZero():
 			gone = time.Now()
 		case time.Since(gone) >= goneFor:
-			return claim.Told(r, claim.Doubtful, held), nil
+			return claim.RemoteResult(r, claim.Doubtful, held), nil
 		}
 		t := time.NewTimer(pause)
 		select {
--- a/transport/claims/shard.go
+++ b/transport/claims/shard.go
@@ -41,7 +41,7 @@
 func newShard(k *Keeper, number int) *shard {
 	return &shard{
 		keeper: k, number: number, wake: make(chan struct{}, 1),
-		log: claim.Log{Retain: k.Retain}, waiting: map[waitKey][]chan claim.Result{},
+		log: claim.Log{RetainUntil: k.Retain}, waiting: map[waitKey][]chan claim.Result{},
 	}
 }
 
@@ -170,7 +170,7 @@
 		s.deliver()
 		s.mutex.Unlock()
 		switch a := action.(type) {
-		case claim.Rest:
+		case claim.Idle:
 			s.tellEmptied()
 			return
 		case claim.Load:
--- a/transport/claims/shard_store.go
+++ b/transport/claims/shard_store.go
@@ -23,7 +23,7 @@
 		s.failed()
 		return
 	}
-	stored := make([]claim.Stored, 0, len(objects))
+	stored := make([]claim.StoredSlot, 0, len(objects))
 	for _, o := range objects {
 		if one, err := storedOf(o); err == nil {
 			stored = append(stored, one)
@@ -32,7 +32,7 @@
 	s.pause = 0
 	s.mutex.Lock()
 	loaded := s.log.Loaded(stored)
-	keys := s.log.Keys()
+	keys := s.log.KeyCount()
 	s.mutex.Unlock()
 	if !loaded {
 		s.failed()
@@ -42,13 +42,13 @@
 }
 
 // storedOf decodes an object of the platform as a batch in its slot.
-func storedOf(o protocol.Object) (claim.Stored, error) {
+func storedOf(o protocol.Object) (claim.StoredSlot, error) {
 	slot, err := strconv.Atoi(o.Name)
 	if err != nil {
-		return claim.Stored{}, err
+		return claim.StoredSlot{}, err
 	}
 	batch, err := protocol.DecodeClaims(o.Value)
-	return claim.Stored{Slot: slot, Version: o.Version, Batch: batch}, err
+	return claim.StoredSlot{Slot: slot, Version: o.Version, Batch: batch}, err
 }
 
 // read reads one slot, which is empty if the platform has no object for it.
@@ -59,7 +59,7 @@
 		s.failed()
 		return
 	}
-	found := claim.Stored{Slot: a.Slot()}
+	found := claim.StoredSlot{Slot: a.Slot()}
 	if err == nil {
 		if found, err = storedOf(o); err != nil {
 			s.failed()
@@ -69,7 +69,7 @@
 	s.pause = 0
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.log.Found(found)
+	s.log.SlotRead(found)
 }
 
 // write writes a batch into its slot, if that still has the version that the log knows.
@@ -81,7 +81,7 @@
 		return
 	}
 	s.keeper.Counters.Add(metric.ClaimWrites, 1)
-	version, err := s.keeper.Platform.Put(ctx, s.kind(), strconv.Itoa(w.Slot()), w.Known(), value)
+	version, err := s.keeper.Platform.Put(ctx, s.kind(), strconv.Itoa(w.Slot()), w.ExpectedVersion(), value)
 	s.nextWrite = time.Now().Add(writeEvery)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -90,18 +90,18 @@
 	switch {
 	case err == nil:
 		s.pause = 0
-		s.log.Wrote(version)
+		s.log.WriteSucceeded(version)
 	case errors.As(err, &conflict):
 		s.pause = 0
 		s.keeper.Counters.Retried(metric.ClaimRace)
 		event.ClaimWriteRaced.Log(s.keeper.Logger, slog.Int("shard", s.number))
-		s.log.Doubt()
+		s.log.WriteUncertain()
 	case errors.As(err, &uncertain):
 		s.keeper.Counters.Retried(metric.ClaimLost)
 		event.ClaimAnswerLost.Log(s.keeper.Logger, slog.Int("shard", s.number), slog.Any("cause", err))
-		s.log.Doubt()
+		s.log.WriteUncertain()
 	default:
 		s.failed()
-		s.log.Unwritten()
+		s.log.WriteFailed()
 	}
 }
--- a/transport/entry/claimed.go
+++ b/transport/entry/claimed.go
@@ -102,7 +102,7 @@
 
 // replay answers a repeat from what the claim log holds.
 func (s *serviceRun) replay(result claim.Result) (serviceAnswer, error) {
-	held := result.Held()
+	held := result.Existing()
 	again := time.Now().Add(time.Second)
 	switch result.Verdict() {
 	case claim.Settled:
