--- a/command/plan.go
+++ b/command/plan.go
@@ -41,7 +41,7 @@
 	s := flaggy.NewSubcommand("intent")
 	s.Description = "State an intent and print its plan: pinerun intent -do set_team -team app -share 6"
 	v.call.attach(s)
-	s.String(&v.do, "d", "do", "what to do: "+strings.Join(plan.Kinds(), ", "))
+	s.String(&v.do, "d", "do", "what to do: "+strings.Join(plan.IntentKinds(), ", "))
 	s.String(&v.team, "t", "team", "the team")
 	s.String(&v.vm, "", "vm", "the VM")
 	s.String(&v.model, "m", "model", "the model")
@@ -81,7 +81,7 @@
 		return content, nil
 	}
 	if v.do == "" {
-		return nil, errors.New("no intent; give -do with one of " + strings.Join(plan.Kinds(), ", "))
+		return nil, errors.New("no intent; give -do with one of " + strings.Join(plan.IntentKinds(), ", "))
 	}
 	intent := struct {
 		Do       string   `json:"do"`
@@ -108,7 +108,7 @@
 // printPlan writes a plan for people.
 func printPlan(o *output, p *plan.Plan) {
 	fmt.Fprintf(o.out, "plan %s (%s), made from version %d by %s, to be confirmed until %s\n",
-		p.ID, p.State, p.Base, p.Author, p.Deadline.Format("2006-01-02 15:04:05 MST"))
+		p.ID, p.State, p.BaseVersion, p.Author, p.Deadline.Format("2006-01-02 15:04:05 MST"))
 	w := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', 0)
 	for _, s := range p.Steps {
 		fmt.Fprintf(w, "  %s\t%s\t-> %s\n", s.Part, orNone(s.Before), orNone(s.After))
--- a/coordination/plan/intent.go
+++ b/coordination/plan/intent.go
@@ -58,8 +58,8 @@
 	Service  *protocol.Service `json:"service"`
 }
 
-// Kinds are the names of the intents, as in the field "do".
-func Kinds() []string {
+// IntentKinds are the names of the intents, as in the field "do".
+func IntentKinds() []string {
 	return []string{"set_team", "add_team", "add_model", "retire_model", "add_service", "drain_vm", "restore_vm"}
 }
 
@@ -91,7 +91,7 @@
 	case "restore_vm":
 		return RestoreVM{VM: w.VM}, nil
 	default:
-		return nil, protocol.Refuse(protocol.UnknownIntent, fmt.Sprintf("intent %q is unknown; there are %v", w.Do, Kinds()))
+		return nil, protocol.Refuse(protocol.UnknownIntent, fmt.Sprintf("intent %q is unknown; there are %v", w.Do, IntentKinds()))
 	}
 }
 
--- a/coordination/plan/plan.go
+++ b/coordination/plan/plan.go
@@ -69,19 +69,19 @@
 
 // Plan is what an intent would do. It is kept in the platform as JSON.
 type Plan struct {
-	ID       string          `json:"id"`
-	State    State           `json:"state"`
-	Author   string          `json:"author"`
-	Intent   json.RawMessage `json:"intent"`
-	Base     uint64          `json:"base"`
-	Made     time.Time       `json:"made"`
-	Deadline time.Time       `json:"deadline"`
-	Steps    []Step          `json:"steps"`
-	Flows    []FlowEffect    `json:"flows"`
-	Shares   []ShareEffect   `json:"shares"`
-	Changes  []Change        `json:"changes"`
-	EndedBy  string          `json:"ended_by,omitempty"`
-	Version  uint64          `json:"version,omitempty"`
+	ID          string          `json:"id"`
+	State       State           `json:"state"`
+	Author      string          `json:"author"`
+	Intent      json.RawMessage `json:"intent"`
+	BaseVersion uint64          `json:"base"`
+	CreatedAt   time.Time       `json:"made"`
+	Deadline    time.Time       `json:"deadline"`
+	Steps       []Step          `json:"steps"`
+	Flows       []FlowEffect    `json:"flows"`
+	Shares      []ShareEffect   `json:"shares"`
+	Changes     []Change        `json:"changes"`
+	EndedBy     string          `json:"ended_by,omitempty"`
+	Version     uint64          `json:"version,omitempty"`
 }
 
 // Make returns the plan for an intent, made from the configuration in force. It
@@ -99,8 +99,8 @@
 		return nil, wrong("the intent changes nothing")
 	}
 	p := &Plan{
-		ID: id, State: Proposed, Author: author, Intent: body, Base: c.Version(),
-		Made: now, Deadline: now.Add(confirmWithin), Steps: d.steps, Changes: d.changes,
+		ID: id, State: Proposed, Author: author, Intent: body, BaseVersion: c.Version(),
+		CreatedAt: now, Deadline: now.Add(confirmWithin), Steps: d.steps, Changes: d.changes,
 	}
 	after, err := p.result(c)
 	if err != nil {
@@ -187,15 +187,15 @@
 	return part
 }
 
-// Next returns the manifest that accepts the plan in place of current. It is to
+// NextManifest returns the manifest that accepts the plan in place of current. It is to
 // be written only if current is still there.
-func (p *Plan) Next(current protocol.Manifest, now time.Time) (protocol.Manifest, error) {
+func (p *Plan) NextManifest(current protocol.Manifest, now time.Time) (protocol.Manifest, error) {
 	switch {
 	case p.State == Withdrawn:
 		return current, protocol.Refuse(protocol.StalePlan, "plan "+p.ID+" was withdrawn by "+p.EndedBy)
-	case current.Version != p.Base:
+	case current.Version != p.BaseVersion:
 		return current, protocol.Refuse(protocol.StalePlan, fmt.Sprintf(
-			"plan %s was made from version %d; version %d (plan %s by %s) is in force", p.ID, p.Base, current.Version, current.Plan, current.Author))
+			"plan %s was made from version %d; version %d (plan %s by %s) is in force", p.ID, p.BaseVersion, current.Version, current.Plan, current.Author))
 	case !now.Before(p.Deadline):
 		return current, protocol.Refuse(protocol.StalePlan, "plan "+p.ID+" could be confirmed until "+p.Deadline.Format(time.RFC3339))
 	}
@@ -208,9 +208,9 @@
 	return next, nil
 }
 
-// Accepted reports whether a manifest says that the plan was accepted, and as
+// AcceptedVersion reports whether a manifest says that the plan was accepted, and as
 // which version.
-func Accepted(m protocol.Manifest, id string) (uint64, bool) {
+func AcceptedVersion(m protocol.Manifest, id string) (uint64, bool) {
 	for _, a := range m.Accepted {
 		if a.Plan == id {
 			return a.Version, true
--- a/coordination/plan/plan_test.go
+++ b/coordination/plan/plan_test.go
@@ -44,7 +44,7 @@
 func with(t require.TestingT, c *config.Config, intent string) *config.Config {
 	p, err := plan.Make(c, []byte(intent), "clerk", "before", now)
 	require.NoError(t, err)
-	next, err := p.Next(c.Manifest(), now)
+	next, err := p.NextManifest(c.Manifest(), now)
 	require.NoError(t, err)
 	contents := map[string][]byte{}
 	for _, ref := range next.Parts {
@@ -107,14 +107,14 @@
 			plans = append(plans, p)
 		}
 		first := rapid.SampledFrom(plans).Draw(t, "first")
-		next, err := first.Next(m, now)
+		next, err := first.NextManifest(m, now)
 		require.NoError(t, err)
 		require.Equal(t, m.Version+1, next.Version)
 		for _, p := range plans {
-			_, err := p.Next(next, now)
+			_, err := p.NextManifest(next, now)
 			require.Error(t, err)
 			require.Equal(t, protocol.StalePlan, protocol.AsRefusal(err).Kind())
-			_, accepted := plan.Accepted(next, p.ID)
+			_, accepted := plan.AcceptedVersion(next, p.ID)
 			require.Equal(t, p == first, accepted)
 		}
 	})
@@ -124,10 +124,10 @@
 	c := base(t)
 	p, err := plan.Make(c, []byte(`{"do":"drain_vm","vm":"v1"}`), "clerk", "p", now)
 	require.NoError(t, err)
-	_, err = p.Next(c.Manifest(), p.Deadline)
+	_, err = p.NextManifest(c.Manifest(), p.Deadline)
 	require.ErrorContains(t, err, "could be confirmed until")
 	p.State, p.EndedBy = plan.Withdrawn, "clerk"
-	_, err = p.Next(c.Manifest(), now)
+	_, err = p.NextManifest(c.Manifest(), now)
 	require.ErrorContains(t, err, "was withdrawn by clerk")
 }
 
--- a/transport/entry/confirm.go
+++ b/transport/entry/confirm.go
@@ -67,7 +67,7 @@
 	if err := json.Unmarshal(current.Value, &m); err != nil {
 		return 0, false, protocol.Refuse(protocol.StalePlan, "the manifest in the platform is broken").Because(err)
 	}
-	if version, ok := plan.Accepted(m, id); ok {
+	if version, ok := plan.AcceptedVersion(m, id); ok {
 		e.finishPlan(ctx, id, version, o)
 		return version, true, nil
 	}
@@ -75,7 +75,7 @@
 	if err != nil {
 		return 0, false, err
 	}
-	next, err := p.Next(m, time.Now())
+	next, err := p.NextManifest(m, time.Now())
 	if err != nil {
 		return 0, false, err
 	}
