--- a/coordination/quarantine/behind_test.go
+++ b/coordination/quarantine/behind_test.go
@@ -16,7 +16,7 @@
 // endBehind ends a later stage of the paths of some work.
 func (p *page) endBehind(endpoint string, works ...protocol.Fingerprint) {
 	p.now = p.now.Add(time.Second)
-	p.book.Ended(endpoint, 1, p.now)
+	p.book.RecordCrash(endpoint, 1, p.now)
 	for _, f := range works {
 		p.tell(protocol.WorkBrokeBehind, f, endpoint, "entry")
 	}
@@ -29,15 +29,15 @@
 	p, deadly, beside := newPage(), number(0), number(1)
 	p.endBehind("e-1", deadly, beside)
 	p.endBehind("e-2", deadly, beside)
-	require.IsType(t, quarantine.Free{}, p.standing(deadly))
-	require.True(t, p.book.Knows(deadly), "running well clears it")
+	require.IsType(t, quarantine.Unrestricted{}, p.standing(deadly))
+	require.True(t, p.book.IsSuspected(deadly), "running well clears it")
 	p.endBehind("e-3", deadly, beside)
-	require.IsType(t, quarantine.Alone{}, p.standing(deadly))
-	require.IsType(t, quarantine.Alone{}, p.standing(beside))
+	require.IsType(t, quarantine.RequireIsolation{}, p.standing(deadly))
+	require.IsType(t, quarantine.RequireIsolation{}, p.standing(beside))
 	p.tell(protocol.WorkRan, beside, "e-9", "entry")
 	p.endBehind("e-4", deadly)
 	require.IsType(t, quarantine.Refused{}, p.standing(deadly))
-	require.IsType(t, quarantine.Free{}, p.standing(beside))
+	require.IsType(t, quarantine.Unrestricted{}, p.standing(beside))
 }
 
 // TestManyLaterStagesAloneRefuseNobody: half of a fleet ends at once, and the same request waits
@@ -57,5 +57,5 @@
 	for i := range 4 {
 		p.tell(protocol.WorkBrokeBehind, work, fmt.Sprint("e-", i), "entry")
 	}
-	require.IsType(t, quarantine.Free{}, p.standing(work))
+	require.IsType(t, quarantine.Unrestricted{}, p.standing(work))
 }
--- a/coordination/quarantine/bench_test.go
+++ b/coordination/quarantine/bench_test.go
@@ -18,7 +18,7 @@
 	for n := range 1000 {
 		p.tell(protocol.WorkBroke, number(n), "e-1", "entry")
 	}
-	p.book.Ended("e-1", 1, p.now)
+	p.book.RecordCrash("e-1", 1, p.now)
 	b.ReportAllocs()
 	for n := range b.N {
 		p.standing(number(n % 2000))
--- a/coordination/quarantine/book.go
+++ b/coordination/quarantine/book.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// ProvenAfter is how long after its first event work is no longer what ends its endpoint. A
+	// SafeAfter is how long after its first event work is no longer what ends its endpoint. A
 	// request that crashes an engine does so as it begins to run, 0.01 to 0.11 s after that and
 	// before any event where it was seen. Streams that have run for longer are only there at
 	// the time, and are most of what breaks; other suspected work need not keep away from them.
-	ProvenAfter = 200 * time.Millisecond
+	SafeAfter = 200 * time.Millisecond
 	// refusedFrom is at how many ends work must have been to be refused. One or two can be chance:
 	// what broke is sent on to the same few engines.
 	refusedFrom = 3
@@ -35,22 +35,22 @@
 	// unprovenFor is how long a broken answer counts for caution although its endpoint is not
 	// known to have ended: a refused connection tells within ms.
 	unprovenFor = 5 * time.Second
-	// DoubtFor is how long work that was at two ends or more waits while it is not known whether
+	// UnresolvedTimeout is how long work that was at two ends or more waits while it is not known whether
 	// one of them was an end: a port that takes connections and resets them tells nothing, and the
 	// engine is back after some seconds. Most answers come within 2 ms. Without the wait one piece
 	// of work ended 6 to 10 of ten engines behind such ports, with it 3 or 4 (three entries, 24 tries).
-	DoubtFor = 2 * time.Second
-	// UnprovenKept is how long it is remembered, to be proven by the record of the endpoint's next
+	UnresolvedTimeout = 2 * time.Second
+	// UnconfirmedRetention is how long it is remembered, to be proven by the record of the endpoint's next
 	// life: engines are back some seconds after they ended.
-	UnprovenKept = 30 * time.Second
+	UnconfirmedRetention = 30 * time.Second
 	// refuseFor is how long work is refused at its third end; each further end doubles it, up
 	// to refuseDoublings times. A caller may come for hours, and each trial costs an endpoint; what
 	// was wrong may be mended, and then one trial clears it.
 	refuseFor       = 10 * time.Minute
 	refuseDoublings = 7
-	// KeptFor is how long an end counts that has not led to a refusal, and a refusal after it
+	// Retention is how long an end counts that has not led to a refusal, and a refusal after it
 	// has lapsed.
-	KeptFor = time.Hour
+	Retention = time.Hour
 	// worksMost bounds the work that is remembered, some 1,000 bytes each: an outage of a data
 	// center ends some hundred endpoints with a few pieces of fresh work at each.
 	worksMost = 4096
@@ -62,8 +62,8 @@
 	expireEvery = time.Second
 )
 
-// Book keeps the reports that count. The zero value is empty.
-type Book struct {
+// Tracker keeps the reports that count. The zero value is empty.
+type Tracker struct {
 	works   map[protocol.Fingerprint]*work
 	ends    map[end]map[protocol.Fingerprint]bool // the work that was at each
 	gone    map[string]departure                  // the latest life of each endpoint that ended
@@ -93,10 +93,10 @@
 	at   time.Time
 }
 
-// Take takes a report and returns whether it changes anything, so that it must be passed on.
-func (b *Book) Take(r Report, now time.Time) bool {
+// Apply takes a report and returns whether it changes anything, so that it must be passed on.
+func (b *Tracker) Apply(r Report, now time.Time) bool {
 	b.expire(now)
-	if now.Sub(r.at) > KeptFor || r.at.After(now) {
+	if now.Sub(r.at) > Retention || r.at.After(now) {
 		return false
 	}
 	switch r.sign {
@@ -115,7 +115,7 @@
 
 // broke notes work that broke at an endpoint, once for each end of one: what comes again meets
 // the same end once.
-func (b *Book) broke(r *Report, now time.Time) bool {
+func (b *Tracker) broke(r *Report, now time.Time) bool {
 	w := b.works[r.work]
 	if w != nil {
 		if _, known := w.ends[r.end()]; known || !r.at.After(w.clearedAt) {
@@ -130,7 +130,7 @@
 	}
 	s := sighting{at: r.at, proven: b.gone[r.endpoint].ends(r.life, r.at), behind: r.sign == protocol.WorkBrokeBehind}
 	if r.inDoubt {
-		s.doubtTill = r.at.Add(DoubtFor)
+		s.doubtTill = r.at.Add(UnresolvedTimeout)
 	}
 	w.ends[r.end()] = s
 	if b.ends == nil {
@@ -144,7 +144,7 @@
 }
 
 // open returns a new page for some work, in place of one that says less if there is no room.
-func (b *Book) open(f protocol.Fingerprint, now time.Time) *work {
+func (b *Tracker) open(f protocol.Fingerprint, now time.Time) *work {
 	if b.works == nil {
 		b.works = make(map[protocol.Fingerprint]*work)
 	}
@@ -157,7 +157,7 @@
 }
 
 // ran clears work that ran well after its ends.
-func (b *Book) ran(r *Report) bool {
+func (b *Tracker) ran(r *Report) bool {
 	w := b.works[r.work]
 	if w == nil || !r.at.After(w.clearedAt) || !r.at.After(w.last()) {
 		return false
@@ -167,7 +167,7 @@
 }
 
 // clear takes all that was met until a time from some work.
-func (b *Book) clear(f protocol.Fingerprint, w *work, at time.Time) {
+func (b *Tracker) clear(f protocol.Fingerprint, w *work, at time.Time) {
 	for e := range w.ends {
 		b.leave(f, e)
 	}
@@ -177,16 +177,16 @@
 }
 
 // leave takes work from an end.
-func (b *Book) leave(f protocol.Fingerprint, e end) {
+func (b *Tracker) leave(f protocol.Fingerprint, e end) {
 	delete(b.ends[e], f)
 	if len(b.ends[e]) == 0 {
 		delete(b.ends, e)
 	}
 }
 
-// Ended notes that a life of an endpoint ended: its port refused a connection, or a later
+// RecordCrash notes that a life of an endpoint ended: its port refused a connection, or a later
 // life is known. A life of 0 is not known.
-func (b *Book) Ended(endpoint string, life protocol.Incarnation, at time.Time) {
+func (b *Tracker) RecordCrash(endpoint string, life protocol.Incarnation, at time.Time) {
 	if b.gone == nil {
 		b.gone = make(map[string]departure)
 	}
@@ -265,9 +265,9 @@
 	return t
 }
 
-// Proven reports whether work was at an end that is known for itself: at one of its
+// Confirmed reports whether work was at an end that is known for itself: at one of its
 // ends for a report that it broke, at any for others.
-func (b *Book) Proven(r *Report) bool {
+func (b *Tracker) Confirmed(r *Report) bool {
 	w := b.works[r.work]
 	if w == nil {
 		return false
@@ -283,11 +283,11 @@
 	return false
 }
 
-// Knows reports whether anything was met of some work that running well would clear.
-func (b *Book) Knows(f protocol.Fingerprint) bool {
+// IsSuspected reports whether anything was met of some work that running well would clear.
+func (b *Tracker) IsSuspected(f protocol.Fingerprint) bool {
 	w := b.works[f]
 	return w != nil && (len(w.ends) > 0 || !w.keptTill.IsZero())
 }
 
 // Empty reports whether nothing is known against any work.
-func (b *Book) Empty() bool { return len(b.works) == 0 }
+func (b *Tracker) Empty() bool { return len(b.works) == 0 }
--- a/coordination/quarantine/doubt.go
+++ b/coordination/quarantine/doubt.go
@@ -8,20 +8,20 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// Doubt notes that it may turn out soon whether a life of an endpoint has ended at which work broke.
-func (b *Book) Doubt(endpoint string, life protocol.Incarnation, now time.Time) {
+// RecordUnresolved notes that it may turn out soon whether a life of an endpoint has ended at which work broke.
+func (b *Tracker) RecordUnresolved(endpoint string, life protocol.Incarnation, now time.Time) {
 	e := end{endpoint: endpoint, life: life}
 	for f := range b.ends[e] {
 		s := b.works[f].ends[e]
-		s.doubtTill = now.Add(DoubtFor)
+		s.doubtTill = now.Add(UnresolvedTimeout)
 		b.works[f].ends[e] = s
 	}
 }
 
-// Lives notes that an endpoint answered a question that was asked at a time. Where it told that it
+// RecordAnswer notes that an endpoint answered a question that was asked at a time. Where it told that it
 // is in the same life, what broke there before broke for another reason. Else it may be a next
 // life, whose record tells of the end; work need not wait for that.
-func (b *Book) Lives(endpoint string, life protocol.Incarnation, same bool, asked time.Time) {
+func (b *Tracker) RecordAnswer(endpoint string, life protocol.Incarnation, same bool, asked time.Time) {
 	e := end{endpoint: endpoint, life: life}
 	for f := range b.ends[e] {
 		w := b.works[f]
--- a/coordination/quarantine/doubt_test.go
+++ b/coordination/quarantine/doubt_test.go
@@ -18,7 +18,7 @@
 	for _, f := range works {
 		p.tell(protocol.WorkBroke, f, endpoint, "entry")
 	}
-	p.book.Doubt(endpoint, 1, p.now)
+	p.book.RecordUnresolved(endpoint, 1, p.now)
 }
 
 // TestWorkWaitsWhileItIsNotClearWhetherItWasAtTwoEnds: sent on meanwhile it ended each engine
@@ -26,38 +26,38 @@
 func TestWorkWaitsWhileItIsNotClearWhetherItWasAtTwoEnds(t *testing.T) {
 	for name, c := range map[string]struct {
 		turnsOut func(p *page)
-		standing quarantine.Standing
+		standing quarantine.Status
 	}{
 		"both ended": {
 			turnsOut: func(p *page) {
-				p.book.Ended("e-1", 1, p.now)
-				p.book.Ended("e-2", 1, p.now)
+				p.book.RecordCrash("e-1", 1, p.now)
+				p.book.RecordCrash("e-2", 1, p.now)
 			},
-			standing: quarantine.Alone{},
+			standing: quarantine.RequireIsolation{},
 		},
 		"both are in the same life": {
 			turnsOut: func(p *page) {
-				p.book.Lives("e-1", 1, true, p.now)
-				p.book.Lives("e-2", 1, true, p.now)
+				p.book.RecordAnswer("e-1", 1, true, p.now)
+				p.book.RecordAnswer("e-2", 1, true, p.now)
 			},
-			standing: quarantine.Free{},
+			standing: quarantine.Unrestricted{},
 		},
 		"both answer, perhaps in the next life": {
 			turnsOut: func(p *page) {
-				p.book.Lives("e-1", 1, false, p.now)
-				p.book.Lives("e-2", 1, false, p.now)
+				p.book.RecordAnswer("e-1", 1, false, p.now)
+				p.book.RecordAnswer("e-2", 1, false, p.now)
 			},
-			standing: quarantine.Apart{},
+			standing: quarantine.PreferIsolation{},
 		},
 		"nothing, in time": {
-			turnsOut: func(p *page) { p.now = p.now.Add(quarantine.DoubtFor) },
-			standing: quarantine.Apart{},
+			turnsOut: func(p *page) { p.now = p.now.Add(quarantine.UnresolvedTimeout) },
+			standing: quarantine.PreferIsolation{},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p, work := newPage(), number(0)
 			p.breakUnclear("e-1", work)
-			require.IsType(t, quarantine.Apart{}, p.standing(work), "one further send is let through")
+			require.IsType(t, quarantine.PreferIsolation{}, p.standing(work), "one further send is let through")
 			p.breakUnclear("e-2", work)
 			require.IsType(t, quarantine.Waiting{}, p.standing(work))
 			c.turnsOut(p)
@@ -68,13 +68,13 @@
 
 // TestWhatAnotherEntryIsInDoubtOfIsWaitedForToo, but for no longer: news may come late.
 func TestWhatAnotherEntryIsInDoubtOfIsWaitedForToo(t *testing.T) {
-	for ago, standing := range map[time.Duration]quarantine.Standing{
-		time.Millisecond: quarantine.Waiting{}, quarantine.DoubtFor: quarantine.Apart{},
+	for ago, standing := range map[time.Duration]quarantine.Status{
+		time.Millisecond: quarantine.Waiting{}, quarantine.UnresolvedTimeout: quarantine.PreferIsolation{},
 	} {
 		p, work := newPage(), number(0)
 		for _, e := range []string{"e-1", "e-2"} {
 			news := protocol.RelayWork{Work: work, Endpoint: e, Incarnation: 1, Observer: "entry", Observation: protocol.WorkBroke}
-			p.book.Take(quarantine.NewReport(news, p.now.Add(-ago)).InDoubt(), p.now)
+			p.book.Apply(quarantine.NewReport(news, p.now.Add(-ago)).AsUnresolved(), p.now)
 		}
 		require.IsType(t, standing, p.standing(work), ago)
 	}
@@ -85,10 +85,10 @@
 func TestAnEndLongAfterABrokenConnectionCountsForNothing(t *testing.T) {
 	p, work := newPage(), number(0)
 	p.breakUnclear("e-1", work)
-	p.book.Lives("e-1", 1, true, p.now)
+	p.book.RecordAnswer("e-1", 1, true, p.now)
 	p.now = p.now.Add(10 * time.Second)
-	p.book.Ended("e-1", 1, p.now)
-	require.IsType(t, quarantine.Free{}, p.standing(work))
+	p.book.RecordCrash("e-1", 1, p.now)
+	require.IsType(t, quarantine.Unrestricted{}, p.standing(work))
 }
 
 // TestAnAnswerToAnEarlierQuestionClearsNothing: the work broke after it was asked.
@@ -97,6 +97,6 @@
 	asked := p.now
 	p.breakUnclear("e-1", work)
 	p.breakUnclear("e-2", work)
-	p.book.Lives("e-1", 1, true, asked)
+	p.book.RecordAnswer("e-1", 1, true, asked)
 	require.IsType(t, quarantine.Waiting{}, p.standing(work))
 }
--- a/coordination/quarantine/ending.go
+++ b/coordination/quarantine/ending.go
@@ -8,43 +8,43 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// Ending is what a question to an endpoint shows at which work broke.
-type Ending uint8
+// ProbeResult is what a question to an endpoint shows at which work broke.
+type ProbeResult uint8
 
 // The endpoint may have ended or not; it has; it answers, and may be in its next life; it is in
 // the same one.
 const (
-	EndUnclear Ending = iota
-	EndOver
-	EndAnswers
-	EndLives
+	ProbeInconclusive ProbeResult = iota
+	ProbeCrashed
+	ProbeAnswered
+	ProbeSameIncarnation
 )
 
 // String returns it as logs say it.
-func (e Ending) String() string {
+func (e ProbeResult) String() string {
 	switch e {
-	case EndOver:
+	case ProbeCrashed:
 		return "ended"
-	case EndAnswers:
+	case ProbeAnswered:
 		return "answers, perhaps in its next life"
-	case EndLives:
+	case ProbeSameIncarnation:
 		return "lives"
 	default:
 		return "not clear"
 	}
 }
 
-// EndingOf returns what it shows that an endpoint tells of a life, where work broke that was sent to
+// ClassifyAnswer returns what it shows that an endpoint tells of a life, where work broke that was sent to
 // an earlier or the same one at a time of day. Either life may not be known.
-func EndingOf(life, told protocol.Incarnation, sentAt time.Time) Ending {
+func ClassifyAnswer(life, told protocol.Incarnation, sentAt time.Time) ProbeResult {
 	switch {
 	case !told.Known():
-		return EndAnswers
+		return ProbeAnswered
 	case life.Before(told), !life.Known() && told.Start().After(sentAt):
-		return EndOver
+		return ProbeCrashed
 	case life.Known():
-		return EndLives
+		return ProbeSameIncarnation
 	default:
-		return EndAnswers
+		return ProbeAnswered
 	}
 }
--- a/coordination/quarantine/ending_test.go
+++ b/coordination/quarantine/ending_test.go
@@ -16,16 +16,16 @@
 func TestWhatAnEndpointTellsOfItsLifeShowsWhetherAnEarlierOneEnded(t *testing.T) {
 	for _, c := range []struct {
 		life, told protocol.Incarnation
-		want       quarantine.Ending
+		want       quarantine.ProbeResult
 	}{
-		{1000, 0, quarantine.EndAnswers},
-		{1000, 1000, quarantine.EndLives},
-		{1000, 2500, quarantine.EndOver},
-		{1000, 1500, quarantine.EndOver}, // it had ended before the work came
-		{0, 0, quarantine.EndAnswers},
-		{0, 1000, quarantine.EndAnswers},
-		{0, 2500, quarantine.EndOver},
+		{1000, 0, quarantine.ProbeAnswered},
+		{1000, 1000, quarantine.ProbeSameIncarnation},
+		{1000, 2500, quarantine.ProbeCrashed},
+		{1000, 1500, quarantine.ProbeCrashed}, // it had ended before the work came
+		{0, 0, quarantine.ProbeAnswered},
+		{0, 1000, quarantine.ProbeAnswered},
+		{0, 2500, quarantine.ProbeCrashed},
 	} {
-		require.Equal(t, c.want, quarantine.EndingOf(c.life, c.told, time.UnixMilli(2000)), "%+v", c)
+		require.Equal(t, c.want, quarantine.ClassifyAnswer(c.life, c.told, time.UnixMilli(2000)), "%+v", c)
 	}
 }
--- a/coordination/quarantine/expire.go
+++ b/coordination/quarantine/expire.go
@@ -11,22 +11,22 @@
 )
 
 // expire forgets what has lapsed.
-func (b *Book) expire(now time.Time) {
+func (b *Tracker) expire(now time.Time) {
 	if now.Sub(b.expired) < expireEvery {
 		return
 	}
 	b.expired = now
 	for f, w := range b.works {
-		if now.Sub(w.keptTill) > KeptFor {
+		if now.Sub(w.keptTill) > Retention {
 			w.keptTill = time.Time{}
 		}
 		b.expireEnds(f, w, now)
-		if len(w.ends) == 0 && w.keptTill.IsZero() && now.Sub(w.clearedAt) > UnprovenKept {
+		if len(w.ends) == 0 && w.keptTill.IsZero() && now.Sub(w.clearedAt) > UnconfirmedRetention {
 			delete(b.works, f)
 		}
 	}
 	for id, d := range b.gone {
-		if now.Sub(d.at) > KeptFor {
+		if now.Sub(d.at) > Retention {
 			delete(b.gone, id)
 		}
 	}
@@ -35,14 +35,14 @@
 
 // expireEnds forgets the ends of some work that count no longer. Those of refused work count
 // until it may come no more.
-func (b *Book) expireEnds(f protocol.Fingerprint, w *work, now time.Time) {
+func (b *Tracker) expireEnds(f protocol.Fingerprint, w *work, now time.Time) {
 	proven := w.count(now).proven()
-	till := w.last().Add(KeptFor)
+	till := w.last().Add(Retention)
 	if proven >= refusedFrom {
-		till = w.last().Add(refuseFor<<min(refuseDoublings, proven-refusedFrom) + KeptFor)
+		till = w.last().Add(refuseFor<<min(refuseDoublings, proven-refusedFrom) + Retention)
 	}
 	for e, s := range w.ends {
-		if now.After(till) || !s.proven && now.Sub(s.at) > UnprovenKept {
+		if now.After(till) || !s.proven && now.Sub(s.at) > UnconfirmedRetention {
 			delete(w.ends, e)
 			b.leave(f, e)
 		}
@@ -50,7 +50,7 @@
 }
 
 // forgetOldest forgets the oldest end of some work.
-func (b *Book) forgetOldest(f protocol.Fingerprint, w *work) {
+func (b *Tracker) forgetOldest(f protocol.Fingerprint, w *work) {
 	var oldest end
 	first := true
 	for e, s := range w.ends {
@@ -64,7 +64,7 @@
 
 // forgetLeast makes room for other work: it forgets the work that was at the fewest ends, the
 // oldest of it first. It takes a part at once, since an outage brings thousands of pieces.
-func (b *Book) forgetLeast(now time.Time) {
+func (b *Tracker) forgetLeast(now time.Time) {
 	all := make([]page, 0, len(b.works))
 	for f, w := range b.works {
 		n := w.count(now).proven()
--- a/coordination/quarantine/judge.go
+++ b/coordination/quarantine/judge.go
@@ -8,11 +8,11 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// Standing returns what some work may do now.
-func (b *Book) Standing(f protocol.Fingerprint, now time.Time) Standing {
+// Status returns what some work may do now.
+func (b *Tracker) Status(f protocol.Fingerprint, now time.Time) Status {
 	w := b.works[f]
 	if w == nil {
-		return Free{}
+		return Unrestricted{}
 	}
 	if r, ok := b.refused(f, w, now); ok {
 		return r
@@ -20,15 +20,15 @@
 	known := w.count(now)
 	switch {
 	case known.most() == 0:
-		return Free{}
+		return Unrestricted{}
 	case known.most() < aloneFrom:
-		return Apart{}
+		return PreferIsolation{}
 	}
 	if till := w.doubtTill(now); !till.IsZero() {
 		return Waiting{till: till}
 	}
 	if known.proven() == 0 {
-		return Apart{}
+		return PreferIsolation{}
 	}
 	if known.proven() >= refusedFrom {
 		if till := w.last().Add(settleFor); now.Before(till) {
@@ -38,11 +38,11 @@
 	if till := b.underTrial(f, now); !till.IsZero() {
 		return Waiting{till: till}
 	}
-	return Alone{}
+	return RequireIsolation{}
 }
 
 // refused returns the refusal of work that is refused now.
-func (b *Book) refused(f protocol.Fingerprint, w *work, now time.Time) (Refused, bool) {
+func (b *Tracker) refused(f protocol.Fingerprint, w *work, now time.Time) (Refused, bool) {
 	known := w.count(now)
 	proven := known.proven()
 	r := Refused{ends: proven, till: w.keptTill}
@@ -61,7 +61,7 @@
 
 // stands reports whether work was at an end, after two others, where no other work had been at
 // an earlier one: that was its trial. What else was there began to run there for the first time.
-func (b *Book) stands(f protocol.Fingerprint, w *work) bool {
+func (b *Tracker) stands(f protocol.Fingerprint, w *work) bool {
 	for e, s := range w.ends {
 		if s.proven && w.before(s.at) >= aloneFrom && b.aloneAt(f, e, s.at) && !b.explained(f, e) {
 			return true
@@ -71,7 +71,7 @@
 }
 
 // aloneAt reports whether no other work at an end had been at an earlier one.
-func (b *Book) aloneAt(f protocol.Fingerprint, e end, at time.Time) bool {
+func (b *Tracker) aloneAt(f protocol.Fingerprint, e end, at time.Time) bool {
 	for other := range b.ends[e] {
 		if other != f && b.works[other].before(at) > 0 {
 			return false
@@ -82,7 +82,7 @@
 
 // explained reports whether other work at an end is refused, and so known to have ended it. It
 // may have come for the first time, to where this one was tried.
-func (b *Book) explained(f protocol.Fingerprint, e end) bool {
+func (b *Tracker) explained(f protocol.Fingerprint, e end) bool {
 	for other := range b.ends[e] {
 		if other != f && b.works[other].told && len(b.works[other].ends) >= len(b.works[f].ends) {
 			return true
--- a/coordination/quarantine/machine_test.go
+++ b/coordination/quarantine/machine_test.go
@@ -31,7 +31,7 @@
 
 // machine is a book, and what truly happened.
 type machine struct {
-	book  quarantine.Book
+	book  quarantine.Tracker
 	now   time.Time
 	lives [machineEndpoints]protocol.Incarnation
 	ended map[lifeOf]bool
@@ -54,7 +54,7 @@
 	news := protocol.RelayWork{
 		Work: number(work), Endpoint: fmt.Sprint(endpoint), Incarnation: m.lives[endpoint], Observer: "entry", Observation: sign,
 	}
-	m.book.Take(quarantine.NewReport(news, m.now), m.now)
+	m.book.Apply(quarantine.NewReport(news, m.now), m.now)
 }
 
 func (m *machine) breakAt(t *rapid.T, sign protocol.WorkObservation) {
@@ -62,7 +62,7 @@
 	m.tell(sign, work, endpoint)
 	m.broke[work][lifeOf{endpoint, m.lives[endpoint]}] = true
 	if rapid.Bool().Draw(t, "in doubt") {
-		m.book.Doubt(fmt.Sprint(endpoint), m.lives[endpoint], m.now)
+		m.book.RecordUnresolved(fmt.Sprint(endpoint), m.lives[endpoint], m.now)
 	}
 }
 
@@ -70,7 +70,7 @@
 func (m *machine) end(t *rapid.T) {
 	endpoint := drawEndpoint(t)
 	m.ended[lifeOf{endpoint, m.lives[endpoint]}] = true
-	m.book.Ended(fmt.Sprint(endpoint), m.lives[endpoint], m.now)
+	m.book.RecordCrash(fmt.Sprint(endpoint), m.lives[endpoint], m.now)
 	if rapid.Bool().Draw(t, "late news") {
 		work := drawWork(t)
 		m.tell(protocol.WorkBroke, work, endpoint)
@@ -81,7 +81,7 @@
 
 func (m *machine) answer(t *rapid.T) {
 	endpoint := drawEndpoint(t)
-	m.book.Lives(fmt.Sprint(endpoint), m.lives[endpoint], rapid.Bool().Draw(t, "same"), m.now)
+	m.book.RecordAnswer(fmt.Sprint(endpoint), m.lives[endpoint], rapid.Bool().Draw(t, "same"), m.now)
 }
 
 func (m *machine) runWell(t *rapid.T) {
@@ -92,7 +92,7 @@
 
 func (m *machine) wait(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
-	m.book.Newly(m.now, m.now)
+	m.book.NewRefusals(m.now, m.now)
 }
 
 // check holds what the book says against what happened.
@@ -104,17 +104,17 @@
 				ends++
 			}
 		}
-		switch s := m.book.Standing(number(work), m.now).(type) {
+		switch s := m.book.Status(number(work), m.now).(type) {
 		case quarantine.Refused:
 			if ends < refusalEnds {
 				t.Fatalf("work %d is refused after %d ends", work, ends)
 			}
-		case quarantine.Alone:
+		case quarantine.RequireIsolation:
 			if ends == 0 {
 				t.Fatalf("work %d runs alone, and was at no end", work)
 			}
 		case quarantine.Waiting:
-			if wait := s.Till().Sub(m.now); wait > longestWait || wait <= 0 {
+			if wait := s.Until().Sub(m.now); wait > longestWait || wait <= 0 {
 				t.Fatalf("work %d waits for %v", work, wait)
 			}
 		}
--- a/coordination/quarantine/play_test.go
+++ b/coordination/quarantine/play_test.go
@@ -51,7 +51,7 @@
 // playEntry is an entry with what it knows.
 type playEntry struct {
 	name string
-	book quarantine.Book
+	book quarantine.Tracker
 }
 
 // playEngine is an engine and what runs there.
@@ -138,7 +138,7 @@
 
 // begin does with a request what its entry believes it may do.
 func (p *play) begin(r *playRequest) {
-	switch r.entry.book.Standing(r.work, p.now).(type) {
+	switch r.entry.book.Status(r.work, p.now).(type) {
 	case quarantine.Refused:
 		if !r.deadly {
 			p.refused++
@@ -147,8 +147,8 @@
 	case quarantine.Waiting:
 		p.again(r)
 		return
-	case quarantine.Alone:
-		if e := p.choose(r, true); e != nil && r.entry.book.MayTry(p.now, p.draw.Float64()) {
+	case quarantine.RequireIsolation:
+		if e := p.choose(r, true); e != nil && r.entry.book.MayStartIsolatedRun(p.now, p.draw.Float64()) {
 			p.send(r, e)
 			return
 		}
@@ -168,16 +168,16 @@
 		p.fail(r)
 		return
 	}
-	p.after(quarantine.TrialLook, func() { p.begin(r) })
+	p.after(quarantine.IsolationPollInterval, func() { p.begin(r) })
 }
 
 // choose returns the first engine that is up, for suspected work one that is not taken.
 func (p *play) choose(r *playRequest, alone bool) *playEngine {
 	taken := map[string]bool{}
-	for _, id := range r.entry.book.Taken(r.work, p.now) {
+	for _, id := range r.entry.book.ReservedEndpoints(r.work, p.now) {
 		taken[id] = true
 	}
-	_, free := r.entry.book.Standing(r.work, p.now).(quarantine.Free)
+	_, free := r.entry.book.Status(r.work, p.now).(quarantine.Unrestricted)
 	var any *playEngine
 	for _, e := range p.engines {
 		if !e.up {
@@ -198,8 +198,8 @@
 	r.engine, r.firstAt = e, time.Time{}
 	r.sends++
 	e.runs = append(e.runs, r)
-	switch r.entry.book.Standing(r.work, p.now).(type) {
-	case quarantine.Apart, quarantine.Alone:
+	switch r.entry.book.Status(r.work, p.now).(type) {
+	case quarantine.PreferIsolation, quarantine.RequireIsolation:
 		r.trial = true
 		p.tell(r, protocol.WorkTried)
 	}
@@ -219,12 +219,12 @@
 			return
 		}
 		r.firstAt = p.now
-		p.after(quarantine.ProvenAfter, func() {
+		p.after(quarantine.SafeAfter, func() {
 			if !still() {
 				return
 			}
 			p.dismiss(r)
-			if _, free := r.entry.book.Standing(r.work, p.now).(quarantine.Free); !free {
+			if _, free := r.entry.book.Status(r.work, p.now).(quarantine.Unrestricted); !free {
 				p.tell(r, protocol.WorkRan)
 			}
 		})
@@ -243,12 +243,12 @@
 	at := p.now
 	e.up = false
 	for _, n := range p.entries {
-		p.after(p.within(time.Millisecond, 15*time.Millisecond), func() { n.book.Ended(e.id, life, at) })
+		p.after(p.within(time.Millisecond, 15*time.Millisecond), func() { n.book.RecordCrash(e.id, life, at) })
 	}
 	broken := e.runs
 	e.runs = nil
 	for _, r := range broken {
-		if r.firstAt.IsZero() || p.now.Sub(r.firstAt) <= quarantine.ProvenAfter {
+		if r.firstAt.IsZero() || p.now.Sub(r.firstAt) <= quarantine.SafeAfter {
 			p.tell(r, protocol.WorkBroke)
 		}
 		p.dismiss(r)
@@ -291,10 +291,10 @@
 // tell does, and tells the others, whom it takes some ms to reach.
 func (p *play) tell(r *playRequest, sign protocol.WorkObservation) {
 	report := p.report(r, sign)
-	r.entry.book.Take(report, p.now)
+	r.entry.book.Apply(report, p.now)
 	for _, n := range p.entries {
 		if n != r.entry {
-			p.after(p.within(time.Millisecond, 20*time.Millisecond), func() { n.book.Take(report, p.now) })
+			p.after(p.within(time.Millisecond, 20*time.Millisecond), func() { n.book.Apply(report, p.now) })
 		}
 	}
 }
--- a/coordination/quarantine/refusal.go
+++ b/coordination/quarantine/refusal.go
@@ -18,15 +18,15 @@
 // Work returns which work it is.
 func (r *Refusal) Work() protocol.Fingerprint { return r.work }
 
-// Till returns from when it is tried again.
-func (r *Refusal) Till() time.Time { return r.till }
+// Until returns from when it is tried again.
+func (r *Refusal) Until() time.Time { return r.till }
 
-// Ends returns the ends of endpoints under it, with times of day.
-func (r *Refusal) Ends() []protocol.WorkCrash { return r.ends }
+// Crashes returns the ends of endpoints under it, with times of day.
+func (r *Refusal) Crashes() []protocol.WorkCrash { return r.ends }
 
-// Newly returns the work that is refused since the last call, by the reports of entries. Day is
+// NewRefusals returns the work that is refused since the last call, by the reports of entries. Day is
 // the time of day that belongs to now.
-func (b *Book) Newly(now, day time.Time) []Refusal {
+func (b *Tracker) NewRefusals(now, day time.Time) []Refusal {
 	b.expire(now)
 	var all []Refusal
 	for f, w := range b.works {
@@ -42,7 +42,7 @@
 
 // review gives up a refusal that the platform keeps where it has turned out that other work
 // ended the endpoint at which this one was tried.
-func (b *Book) review(f protocol.Fingerprint, w *work, now time.Time) {
+func (b *Tracker) review(f protocol.Fingerprint, w *work, now time.Time) {
 	if !w.keptTill.IsZero() && w.count(now).first < refusedAnyway && !b.stands(f, w) {
 		w.keptTill, w.told = time.Time{}, false
 	}
@@ -59,9 +59,9 @@
 	return all
 }
 
-// Hold takes what the platform keeps of refused work, as long as it has the evidence for it:
+// RestoreRefusal takes what the platform keeps of refused work, as long as it has the evidence for it:
 // records of other writers, and old ones, count for nothing. It reports whether it does.
-func (b *Book) Hold(f protocol.Fingerprint, r *protocol.RefusedWork, now, day time.Time) bool {
+func (b *Tracker) RestoreRefusal(f protocol.Fingerprint, r *protocol.RefusedWork, now, day time.Time) bool {
 	left := time.UnixMilli(r.UntilMS).Sub(day)
 	if distinct(r.Crashes) < refusedFrom || !tried(r.Crashes) || left <= 0 || left > refuseFor<<refuseDoublings {
 		return false
@@ -104,7 +104,7 @@
 }
 
 // hold notes an end that the platform keeps.
-func (b *Book) hold(f protocol.Fingerprint, w *work, e protocol.WorkCrash, at time.Time) {
+func (b *Tracker) hold(f protocol.Fingerprint, w *work, e protocol.WorkCrash, at time.Time) {
 	r := Report{work: f, endpoint: e.Endpoint, life: e.Incarnation, at: at}
 	if !at.After(w.clearedAt) {
 		return
@@ -120,7 +120,7 @@
 
 // Release forgets what is known against some work, as an operator asks, and what entries tell
 // later of the time before. It reports whether it was refused.
-func (b *Book) Release(f protocol.Fingerprint, now time.Time) bool {
+func (b *Tracker) Release(f protocol.Fingerprint, now time.Time) bool {
 	w := b.works[f]
 	if w == nil || w.keptTill.IsZero() {
 		return false
@@ -129,8 +129,8 @@
 	return true
 }
 
-// Kept returns the work that is refused by what the platform keeps.
-func (b *Book) Kept() []protocol.Fingerprint {
+// StoredRefusals returns the work that is refused by what the platform keeps.
+func (b *Tracker) StoredRefusals() []protocol.Fingerprint {
 	var all []protocol.Fingerprint
 	for f, w := range b.works {
 		if !w.keptTill.IsZero() {
--- a/coordination/quarantine/report.go
+++ b/coordination/quarantine/report.go
@@ -24,15 +24,15 @@
 	return Report{work: news.Work, sign: news.Observation, endpoint: news.Endpoint, life: news.Incarnation, witness: news.Observer, at: at}
 }
 
-// InDoubt returns the report of work that broke at an endpoint of which it may turn out soon
+// AsUnresolved returns the report of work that broke at an endpoint of which it may turn out soon
 // whether it ended.
-func (r Report) InDoubt() Report { //nolint:gocritic // a copy is what it returns
+func (r Report) AsUnresolved() Report { //nolint:gocritic // a copy is what it returns
 	r.inDoubt = true
 	return r
 }
 
-// News returns the report as it is told at a time.
-func (r *Report) News(now time.Time) protocol.RelayWork {
+// Message returns the report as it is told at a time.
+func (r *Report) Message(now time.Time) protocol.RelayWork {
 	const perMS = float64(time.Millisecond)
 	return protocol.RelayWork{
 		Work: r.work, Observation: r.sign, Endpoint: r.endpoint, Incarnation: r.life, Observer: r.witness,
@@ -43,17 +43,17 @@
 // Work returns which work it is.
 func (r *Report) Work() protocol.Fingerprint { return r.work }
 
-// Sign returns what the witness met.
-func (r *Report) Sign() protocol.WorkObservation { return r.sign }
+// Observation returns what the witness met.
+func (r *Report) Observation() protocol.WorkObservation { return r.sign }
 
 // Endpoint returns the ID of the endpoint.
 func (r *Report) Endpoint() string { return r.endpoint }
 
-// Lifetime returns which life of it, 0 if that is not known.
-func (r *Report) Lifetime() protocol.Incarnation { return r.life }
+// Incarnation returns which life of it, 0 if that is not known.
+func (r *Report) Incarnation() protocol.Incarnation { return r.life }
 
-// Witness returns the name of the entry that met the sign.
-func (r *Report) Witness() string { return r.witness }
+// Observer returns the name of the entry that met the sign.
+func (r *Report) Observer() string { return r.witness }
 
 // At returns when.
 func (r *Report) At() time.Time { return r.at }
--- a/coordination/quarantine/standing.go
+++ b/coordination/quarantine/standing.go
@@ -4,25 +4,25 @@
 
 import "time"
 
-// Standing is what work may do: Free, Apart, Alone, Waiting or Refused.
-type Standing interface{ standing() }
+// Status is what work may do: Free, Apart, Alone, Waiting or Refused.
+type Status interface{ standing() }
 
-// Free says that nothing is known against the work.
-type Free struct{}
+// Unrestricted says that nothing is known against the work.
+type Unrestricted struct{}
 
-// Apart says that the work broke at one endpoint that may have ended under it. It runs
+// PreferIsolation says that the work broke at one endpoint that may have ended under it. It runs
 // where no other such work does, as long as there is such a place, and at one place at a time.
-type Apart struct{}
+type PreferIsolation struct{}
 
-// Alone says that the work was at two ends or more. It runs only where no other such work does.
-type Alone struct{}
+// RequireIsolation says that the work was at two ends or more. It runs only where no other such work does.
+type RequireIsolation struct{}
 
 // Waiting says that the work must not run yet: it is on trial elsewhere, not all entries can have
 // told what was at the last end, or it may turn out soon that it was at one more.
 type Waiting struct{ till time.Time }
 
-// Till returns when to ask again.
-func (w Waiting) Till() time.Time { return w.till }
+// Until returns when to ask again.
+func (w Waiting) Until() time.Time { return w.till }
 
 // Refused says that the work ends what runs it.
 type Refused struct {
@@ -30,14 +30,14 @@
 	ends int
 }
 
-// Till returns from when it is tried again.
-func (r Refused) Till() time.Time { return r.till }
+// Until returns from when it is tried again.
+func (r Refused) Until() time.Time { return r.till }
 
-// Ends returns how many endpoints ended under it.
-func (r Refused) Ends() int { return r.ends }
+// Crashes returns how many endpoints ended under it.
+func (r Refused) Crashes() int { return r.ends }
 
-func (Free) standing()    {}
-func (Apart) standing()   {}
-func (Alone) standing()   {}
-func (Waiting) standing() {}
-func (Refused) standing() {}
+func (Unrestricted) standing()     {}
+func (PreferIsolation) standing()  {}
+func (RequireIsolation) standing() {}
+func (Waiting) standing()          {}
+func (Refused) standing()          {}
--- a/coordination/quarantine/trial.go
+++ b/coordination/quarantine/trial.go
@@ -13,14 +13,14 @@
 	// trialMost is how long a trial counts whose end is not told: waiting at an engine, reading
 	// its prompt and ProvenAfter.
 	trialMost = 3 * time.Second
-	// TrialLook is how often an entry looks whether work that waits for its trial may begin it:
+	// IsolationPollInterval is how often an entry looks whether work that waits for its trial may begin it:
 	// news of a trial has reached the others by then.
-	TrialLook = 20 * time.Millisecond
-	// TrialPatience is how long a request waits for its trial where nothing else bounds the wait:
+	IsolationPollInterval = 20 * time.Millisecond
+	// IsolationTimeout is how long a request waits for its trial where nothing else bounds the wait:
 	// one takes less than half a second.
-	TrialPatience = 2 * time.Second
-	// AgainTrial is when to come back after a trial did not begin in time.
-	AgainTrial = 500 * time.Millisecond
+	IsolationTimeout = 2 * time.Second
+	// IsolationRetryAfter is when to come back after a trial did not begin in time.
+	IsolationRetryAfter = 500 * time.Millisecond
 )
 
 // trialKey names a trial: an endpoint, and the work that was sent there.
@@ -38,7 +38,7 @@
 func (r *Report) trial() trialKey { return trialKey{endpoint: r.endpoint, work: r.work} }
 
 // begin notes that work is on trial at an endpoint.
-func (b *Book) begin(r *Report, now time.Time) bool {
+func (b *Tracker) begin(r *Report, now time.Time) bool {
 	till := r.at.Add(trialMost)
 	if t := b.trials[r.trial()]; !now.Before(till) || now.Before(t.till) && t.witness == r.witness {
 		return false
@@ -51,7 +51,7 @@
 }
 
 // over notes that a trial is over.
-func (b *Book) over(r *Report) bool {
+func (b *Tracker) over(r *Report) bool {
 	if t, there := b.trials[r.trial()]; !there || t.witness != r.witness {
 		return false
 	}
@@ -59,8 +59,8 @@
 	return true
 }
 
-// Taken returns the endpoints at which other work is on trial.
-func (b *Book) Taken(f protocol.Fingerprint, now time.Time) []string {
+// ReservedEndpoints returns the endpoints at which other work is on trial.
+func (b *Tracker) ReservedEndpoints(f protocol.Fingerprint, now time.Time) []string {
 	var all []string
 	for k, t := range b.trials {
 		if k.work != f && now.Before(t.till) && !slices.Contains(all, k.endpoint) {
@@ -71,7 +71,7 @@
 }
 
 // underTrial returns until when work is on trial somewhere, zero if it is not.
-func (b *Book) underTrial(f protocol.Fingerprint, now time.Time) time.Time {
+func (b *Tracker) underTrial(f protocol.Fingerprint, now time.Time) time.Time {
 	for k, t := range b.trials {
 		if k.work == f && now.Before(t.till) {
 			return t.till
@@ -80,11 +80,11 @@
 	return time.Time{}
 }
 
-// MayTry reports, for a draw between 0 and 1, whether a trial begins that may begin at this look.
+// MayStartIsolatedRun reports, for a draw between 0 and 1, whether a trial begins that may begin at this look.
 // All that wait see the same engine come free, and those that begin within the time that news takes
 // would meet there; so each begins with the chance of one in as many as wait. With a single draw
 // before the first look, work was with another piece at all five of its trials (played load).
-func (b *Book) MayTry(now time.Time, draw float64) bool {
+func (b *Tracker) MayStartIsolatedRun(now time.Time, draw float64) bool {
 	waiting := 0
 	for f, w := range b.works {
 		if w.count(now).most() < aloneFrom {
@@ -98,7 +98,7 @@
 }
 
 // expireTrials forgets trials whose end was not told.
-func (b *Book) expireTrials(now time.Time) {
+func (b *Tracker) expireTrials(now time.Time) {
 	for k, t := range b.trials {
 		if !now.Before(t.till) {
 			delete(b.trials, k)
--- a/transport/ending/ending.go
+++ b/transport/ending/ending.go
@@ -35,7 +35,7 @@
 
 // Asker asks an endpoint once how it stands.
 type Asker interface {
-	Ask() quarantine.Ending
+	Ask() quarantine.ProbeResult
 }
 
 // Case is a life of an endpoint that may have ended.
@@ -59,7 +59,7 @@
 
 // Begin sees to it that an endpoint is asked after what broke there, for a while from now on.
 func (c *Checks) Begin(k *Case, now time.Time) {
-	till := now.Add(quarantine.DoubtFor)
+	till := now.Add(quarantine.UnresolvedTimeout)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if open := c.open[k.Endpoint]; open != nil && open.is.Life == k.Life {
@@ -82,10 +82,10 @@
 }
 
 // goesOn reports whether a check asks again, and forgets it otherwise.
-func (c *Checks) goesOn(k *check, found quarantine.Ending, now time.Time) bool {
+func (c *Checks) goesOn(k *check, found quarantine.ProbeResult, now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if now.Before(k.till) && found != quarantine.EndOver && (found == quarantine.EndUnclear || k.again) {
+	if now.Before(k.till) && found != quarantine.ProbeCrashed && (found == quarantine.ProbeInconclusive || k.again) {
 		k.again = false
 		return true
 	}
@@ -106,11 +106,11 @@
 func (k *check) run() {
 	pause := time.NewTicker(checkEvery)
 	defer pause.Stop()
-	begun, before := clock.Now(), quarantine.EndOver // what is clear at once is not logged
+	begun, before := clock.Now(), quarantine.ProbeCrashed // what is clear at once is not logged
 	for {
 		asked := clock.Now()
 		found := k.is.Asker.Ask()
-		if found != before && (found == quarantine.EndUnclear || before == quarantine.EndUnclear) {
+		if found != before && (found == quarantine.ProbeInconclusive || before == quarantine.ProbeInconclusive) {
 			event.EndInDoubt.Log(k.is.Logger, slog.String("endpoint", k.is.Endpoint), slog.Int64("lifetime", int64(k.is.Life)),
 				slog.String("state", found.String()), slog.Int64("after_ms", clock.Since(begun).Milliseconds()))
 		}
@@ -128,13 +128,13 @@
 }
 
 // note writes down what a question asked at a time found.
-func (k *check) note(found quarantine.Ending, asked time.Time) {
+func (k *check) note(found quarantine.ProbeResult, asked time.Time) {
 	switch found {
-	case quarantine.EndOver:
+	case quarantine.ProbeCrashed:
 		k.is.Book.Ended(k.is.Endpoint, k.is.Life, asked)
-	case quarantine.EndAnswers, quarantine.EndLives:
-		k.is.Book.Lives(k.is.Endpoint, k.is.Life, found == quarantine.EndLives, asked)
-	case quarantine.EndUnclear:
+	case quarantine.ProbeAnswered, quarantine.ProbeSameIncarnation:
+		k.is.Book.Lives(k.is.Endpoint, k.is.Life, found == quarantine.ProbeSameIncarnation, asked)
+	case quarantine.ProbeInconclusive:
 		k.is.Book.Unclear(k.is.Endpoint, k.is.Life)
 	}
 }
--- a/transport/ending/ending_test.go
+++ b/transport/ending/ending_test.go
@@ -17,12 +17,12 @@
 // endpoint answers as it is told to, and notes what is found out of it.
 type endpoint struct {
 	mutex                 sync.Mutex
-	answer                quarantine.Ending
+	answer                quarantine.ProbeResult
 	asked                 int
 	ended, lives, unclear int
 }
 
-func (e *endpoint) Ask() quarantine.Ending {
+func (e *endpoint) Ask() quarantine.ProbeResult {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.asked++
@@ -39,7 +39,7 @@
 	*n++
 }
 
-func (e *endpoint) set(answer quarantine.Ending) {
+func (e *endpoint) set(answer quarantine.ProbeResult) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.answer = answer
@@ -58,11 +58,11 @@
 func TestAnEndpointIsAskedUntilItIsClear(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Checks
-		e := &endpoint{answer: quarantine.EndUnclear}
+		e := &endpoint{answer: quarantine.ProbeInconclusive}
 		e.begin(&c, 1)
 		pass(4*checkEvery + checkEvery/2)
 		require.Equal(t, 5, e.asked)
-		e.set(quarantine.EndOver)
+		e.set(quarantine.ProbeCrashed)
 		pass(time.Minute)
 		require.Equal(t, 6, e.asked)
 		require.Equal(t, 5, e.unclear)
@@ -74,11 +74,11 @@
 func TestWhatStaysUnclearIsGivenUpUnlessMoreBreaks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Checks
-		e := &endpoint{answer: quarantine.EndUnclear}
+		e := &endpoint{answer: quarantine.ProbeInconclusive}
 		e.begin(&c, 1)
-		pass(quarantine.DoubtFor / 2)
+		pass(quarantine.UnresolvedTimeout / 2)
 		e.begin(&c, 1)
-		pass(quarantine.DoubtFor - checkEvery)
+		pass(quarantine.UnresolvedTimeout - checkEvery)
 		require.Equal(t, 1, c.Open(), "one check, for as long as after the second")
 		pass(2 * checkEvery)
 		require.Zero(t, c.Open())
@@ -89,15 +89,15 @@
 func TestAnEndpointThatAnswersIsAskedAgainOnlyIfMoreBroke(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Checks
-		e := &endpoint{answer: quarantine.EndLives}
+		e := &endpoint{answer: quarantine.ProbeSameIncarnation}
 		e.begin(&c, 1)
 		synctest.Wait()
 		require.Equal(t, 1, e.asked)
 		require.Zero(t, c.Open())
-		e.set(quarantine.EndUnclear)
+		e.set(quarantine.ProbeInconclusive)
 		e.begin(&c, 1)
 		synctest.Wait()
-		e.set(quarantine.EndLives)
+		e.set(quarantine.ProbeSameIncarnation)
 		e.begin(&c, 1) // while it is asked
 		pass(time.Minute)
 		require.Equal(t, 3, e.lives, "once before, and once more than the answer that came first")
@@ -107,7 +107,7 @@
 func TestChecksEndWithTheirOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Checks
-		e := &endpoint{answer: quarantine.EndUnclear}
+		e := &endpoint{answer: quarantine.ProbeInconclusive}
 		e.begin(&c, 1)
 		e.begin(&c, 2) // another life is another matter
 		synctest.Wait()
--- a/transport/entry/end_check.go
+++ b/transport/entry/end_check.go
@@ -27,17 +27,17 @@
 
 // Ask asks the runner once how it stands. A port that refuses connections has no process; one that
 // takes them and says nothing proves nothing.
-func (k *endCheck) Ask() quarantine.Ending {
+func (k *endCheck) Ask() quarantine.ProbeResult {
 	ctx, cancel := context.WithTimeout(context.Background(), checkLimit)
 	defer cancel()
 	report, err := k.load(ctx)
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return quarantine.EndOver
+		return quarantine.ProbeCrashed
 	case err != nil:
-		return quarantine.EndUnclear
+		return quarantine.ProbeInconclusive
 	default:
-		return quarantine.EndingOf(k.life, report.Lifetime, k.at)
+		return quarantine.ClassifyAnswer(k.life, report.Lifetime, k.at)
 	}
 }
 
--- a/transport/entry/restrain.go
+++ b/transport/entry/restrain.go
@@ -18,9 +18,9 @@
 )
 
 // standing returns what the request's work may do now.
-func (m *modelRun) standing(now time.Time) quarantine.Standing {
+func (m *modelRun) standing(now time.Time) quarantine.Status {
 	if m.entry.suspects.book.Empty() {
-		return quarantine.Free{}
+		return quarantine.Unrestricted{}
 	}
 	return m.entry.suspects.book.Standing(m.fingerprint(), now)
 }
@@ -38,7 +38,7 @@
 // ended two runners runs where no other such work is, one request at a time.
 func (m *modelRun) await(ctx context.Context) (path.Path, error) {
 	var waited bool
-	for till := clock.Now().Add(quarantine.TrialPatience); ; {
+	for till := clock.Now().Add(quarantine.IsolationTimeout); ; {
 		now := clock.Now()
 		p, runs, err := m.choose(m.standing(now), now)
 		if runs || err != nil {
@@ -51,27 +51,27 @@
 		if !now.Before(till) {
 			return p, m.untried()
 		}
-		if !m.rest(ctx, time.Now().Add(quarantine.TrialLook)) {
+		if !m.rest(ctx, time.Now().Add(quarantine.IsolationPollInterval)) {
 			return p, m.givenUp(ctx)
 		}
 	}
 }
 
 // choose returns a path for work of that standing, and whether it may run there now.
-func (m *modelRun) choose(s quarantine.Standing, now time.Time) (p path.Path, runs bool, err error) {
+func (m *modelRun) choose(s quarantine.Status, now time.Time) (p path.Path, runs bool, err error) {
 	var taken []string
 	switch s := s.(type) {
 	case quarantine.Refused:
 		return p, false, m.endsRunners(s)
 	case quarantine.Waiting:
 		return p, false, nil
-	case quarantine.Apart, quarantine.Alone:
+	case quarantine.PreferIsolation, quarantine.RequireIsolation:
 		taken = m.entry.suspects.book.Taken(m.fingerprint(), now)
 	}
 	if p, err = m.path(taken); err != nil {
 		return p, false, err
 	}
-	if _, alone := s.(quarantine.Alone); alone {
+	if _, alone := s.(quarantine.RequireIsolation); alone {
 		first := p.Runner(0)
 		return p, first.Usable(time.Now()) && !slices.Contains(taken, first.Name()) && m.entry.suspects.book.MayTry(now), nil
 	}
@@ -100,11 +100,11 @@
 
 // endsRunners returns what the caller of refused work is told.
 func (m *modelRun) endsRunners(r quarantine.Refused) *protocol.Refusal {
-	message := fmt.Sprintf("%d runners ended when they ran the same request", r.Ends())
+	message := fmt.Sprintf("%d runners ended when they ran the same request", r.Crashes())
 	if m.ran {
 		return protocol.Uncertain(protocol.StageFailed, message)
 	}
-	return protocol.Refuse(protocol.EndsEndpoints, message).Again(r.Till())
+	return protocol.Refuse(protocol.EndsEndpoints, message).Again(r.Until())
 }
 
 // untried returns what the caller is told whose request has waited for its trial in vain.
@@ -113,14 +113,14 @@
 	if m.ran {
 		return protocol.Uncertain(protocol.StageFailed, message)
 	}
-	return protocol.Refuse(protocol.QueueFull, message).Again(time.Now().Add(quarantine.AgainTrial))
+	return protocol.Refuse(protocol.QueueFull, message).Again(time.Now().Add(quarantine.IsolationRetryAfter))
 }
 
 // enrol notes that the work is on trial at the runner that begins to run it, if it is suspected:
 // other such work keeps away from there.
 func (m *modelRun) enrol(p *path.Path) {
 	now := clock.Now()
-	if _, free := m.standing(now).(quarantine.Free); free || !p.Runner(0).Usable(time.Now()) {
+	if _, free := m.standing(now).(quarantine.Unrestricted); free || !p.Runner(0).Usable(time.Now()) {
 		return
 	}
 	m.trial = p.Runner(0)
@@ -140,7 +140,7 @@
 // ago, and has it found out whether the runner has ended.
 func (m *modelRun) broke(r *fleet.Runner, life protocol.Incarnation, sentAt time.Time) {
 	now := clock.Now()
-	if !m.firstAt.IsZero() && now.Sub(m.firstAt) > quarantine.ProvenAfter {
+	if !m.firstAt.IsZero() && now.Sub(m.firstAt) > quarantine.SafeAfter {
 		return
 	}
 	s := &m.entry.suspects
@@ -155,7 +155,7 @@
 	if m.firstAt.IsZero() {
 		m.firstAt = now
 	}
-	if now.Sub(m.firstAt) >= quarantine.ProvenAfter {
+	if now.Sub(m.firstAt) >= quarantine.SafeAfter {
 		m.ranWell()
 	}
 }
--- a/transport/entry/suspects.go
+++ b/transport/entry/suspects.go
@@ -47,7 +47,7 @@
 
 // run tells peers what is proven here, and notes what is refused.
 func (s *suspects) run() {
-	t := time.NewTicker(quarantine.TrialLook)
+	t := time.NewTicker(quarantine.IsolationPollInterval)
 	defer t.Stop()
 	for {
 		met, ticks := s.book.Met(), t.C
@@ -79,8 +79,8 @@
 	for i := range newly {
 		r := &newly[i]
 		s.entry.counters.Add(metric.WorkRefused, 1)
-		event.WorkRefused.Log(s.entry.Logger, slog.String("fingerprint", r.Work().String()), slog.Int("ends", len(r.Ends())),
-			slog.Int64("till_ms", clock.Until(r.Till()).Milliseconds()))
+		event.WorkRefused.Log(s.entry.Logger, slog.String("fingerprint", r.Work().String()), slog.Int("ends", len(r.Crashes())),
+			slog.Int64("till_ms", clock.Until(r.Until()).Milliseconds()))
 	}
 }
 
@@ -120,7 +120,7 @@
 // all returns what a peer has to be told that has just been met.
 func (s *suspects) all() []protocol.RelayWork {
 	now := clock.Now()
-	return s.since(now.Add(-quarantine.KeptFor), now)
+	return s.since(now.Add(-quarantine.Retention), now)
 }
 
 // since returns what was kept that was met after a time, as it is told now.
@@ -172,7 +172,7 @@
 		switch {
 		case r != nil:
 			s.check(r, h.life, time.Now().Add(-now.Sub(h.at)))
-		case now.Sub(h.at) < quarantine.UnprovenKept:
+		case now.Sub(h.at) < quarantine.UnconfirmedRetention:
 			left = append(left, h)
 		}
 	}
--- a/transport/entry/suspects_test.go
+++ b/transport/entry/suspects_test.go
@@ -58,7 +58,7 @@
 }
 
 // settled waits until no runner is asked any more, and returns what the work may do then.
-func settled(t *testing.T, s *suspects, work protocol.Fingerprint) quarantine.Standing {
+func settled(t *testing.T, s *suspects, work protocol.Fingerprint) quarantine.Status {
 	t.Helper()
 	require.Eventually(t, func() bool { return s.endings.Open() == 0 }, time.Minute, time.Millisecond)
 	return s.book.Standing(work, clock.Now())
@@ -69,7 +69,7 @@
 	s := newSuspects(t, 1000)
 	work := protocol.Fingerprint{1}
 	s.hear(news(work), "e2")
-	require.Equal(t, quarantine.Free{}, settled(t, s, work))
+	require.Equal(t, quarantine.Unrestricted{}, settled(t, s, work))
 }
 
 // TestEndsThatAPeerTellsCountOnceTheyShow tells the same of runners that are in a later life.
@@ -80,5 +80,5 @@
 	s.hear(news(work), "e3") // and again
 	refused, ok := settled(t, s, work).(quarantine.Refused)
 	require.True(t, ok)
-	require.Equal(t, 3, refused.Ends())
+	require.Equal(t, 3, refused.Crashes())
 }
--- a/transport/forward/end_check.go
+++ b/transport/forward/end_check.go
@@ -39,7 +39,7 @@
 }
 
 // Ask asks the endpoint once.
-func (k *endCheck) Ask() quarantine.Ending {
+func (k *endCheck) Ask() quarantine.ProbeResult {
 	if !k.engine {
 		return k.connect()
 	}
@@ -49,12 +49,12 @@
 	case err != nil:
 		return k.missed(err, asked)
 	default:
-		return quarantine.EndingOf(k.life, report.Incarnation, k.sentAt)
+		return quarantine.ClassifyAnswer(k.life, report.Incarnation, k.sentAt)
 	}
 }
 
 // connect connects to an endpoint that makes no reports.
-func (k *endCheck) connect() quarantine.Ending {
+func (k *endCheck) connect() quarantine.ProbeResult {
 	ctx, cancel := context.WithTimeout(context.Background(), dialLimit)
 	defer cancel()
 	asked := clock.Now()
@@ -64,19 +64,19 @@
 	}
 	defer func() { _ = c.Close() }() // nothing was asked on it
 	if err := c.SetReadDeadline(time.Now().Add(portQuiet)); err != nil {
-		return quarantine.EndUnclear // it is closed already
+		return quarantine.ProbeInconclusive // it is closed already
 	}
 	if _, err := c.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
-		return quarantine.EndAnswers
+		return quarantine.ProbeAnswered
 	}
-	return quarantine.EndUnclear
+	return quarantine.ProbeInconclusive
 }
 
 // missed takes a question without an answer: its port refuses connections, or it is not clear.
-func (k *endCheck) missed(cause error, asked time.Time) quarantine.Ending {
+func (k *endCheck) missed(cause error, asked time.Time) quarantine.ProbeResult {
 	k.forwarder.met(k.runner, cause, asked, clock.Now())
 	if sign, _ := signOf(cause); sign == protocol.LossRefused {
-		return quarantine.EndOver
+		return quarantine.ProbeCrashed
 	}
-	return quarantine.EndUnclear
+	return quarantine.ProbeInconclusive
 }
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -30,7 +30,7 @@
 type Quarantine interface {
 	// Empty reports whether nothing is known against any work.
 	Empty() bool
-	Standing(work protocol.Fingerprint, now time.Time) quarantine.Standing
+	Standing(work protocol.Fingerprint, now time.Time) quarantine.Status
 	// Knows reports whether anything was met of some work that running well would clear.
 	Knows(work protocol.Fingerprint) bool
 	// Taken returns the endpoints at which other such work is on trial.
@@ -54,10 +54,10 @@
 }
 
 // standing returns what the request's work may do now.
-func (x *exchange) standing(now time.Time) quarantine.Standing {
+func (x *exchange) standing(now time.Time) quarantine.Status {
 	q := x.forwarder.Quarantine
 	if q == nil || q.Empty() {
-		return quarantine.Free{}
+		return quarantine.Unrestricted{}
 	}
 	return q.Standing(x.work(), now)
 }
@@ -74,9 +74,9 @@
 // refusal returns what the caller of refused work is told.
 func (x *exchange) refusal(r quarantine.Refused) *protocol.Refusal {
 	if x.mayHave {
-		return protocol.Uncertain(protocol.StageFailed, fmt.Sprintf("%d endpoints ended when they ran this request", r.Ends()))
+		return protocol.Uncertain(protocol.StageFailed, fmt.Sprintf("%d endpoints ended when they ran this request", r.Crashes()))
 	}
-	return protocol.Refuse(protocol.EndsEndpoints, fmt.Sprintf("%d endpoints ended when they ran the same request", r.Ends())).Again(r.Till())
+	return protocol.Refuse(protocol.EndsEndpoints, fmt.Sprintf("%d endpoints ended when they ran the same request", r.Crashes())).Again(r.Until())
 }
 
 // refusedMeanwhile ends a request that is under way while its work is found to end endpoints,
@@ -87,7 +87,7 @@
 		return
 	}
 	for _, a := range x.live {
-		if !a.firstAt.IsZero() && now.Sub(a.firstAt) >= quarantine.ProvenAfter {
+		if !a.firstAt.IsZero() && now.Sub(a.firstAt) >= quarantine.SafeAfter {
 			a.proven = false
 			x.ran(a, now)
 			return
@@ -108,7 +108,7 @@
 	case quarantine.Refused:
 		x.finish(x.refusal(s))
 		return true
-	case quarantine.Alone, quarantine.Waiting:
+	case quarantine.RequireIsolation, quarantine.Waiting:
 		x.trial = &trialWait{till: x.trialTill(now), lookAt: now, failed: a, result: r, whole: whole}
 		x.forwarder.Counters.Add(metric.RequestsTried, 1)
 		x.forwarder.log(event.TrialAwaited, x.id(), slog.String("fingerprint", x.work().String()),
@@ -124,7 +124,7 @@
 	if till := x.hopeTill(); !till.IsZero() {
 		return till
 	}
-	if till := now.Add(quarantine.TrialPatience); till.Before(x.deadline) {
+	if till := now.Add(quarantine.IsolationTimeout); till.Before(x.deadline) {
 		return till
 	}
 	return x.deadline
@@ -133,17 +133,17 @@
 // wakeTrial looks whether a request that waits for its trial may run.
 func (x *exchange) wakeTrial(now time.Time) {
 	t := x.trial
-	t.lookAt = now.Add(quarantine.TrialLook)
+	t.lookAt = now.Add(quarantine.IsolationPollInterval)
 	switch s := x.standing(now).(type) {
 	case quarantine.Refused:
 		x.trial = nil
 		x.finish(x.refusal(s))
 		return
 	case quarantine.Waiting:
-		if s.Till().Before(t.lookAt) {
-			t.lookAt = s.Till()
+		if s.Until().Before(t.lookAt) {
+			t.lookAt = s.Until()
 		}
-	case quarantine.Alone:
+	case quarantine.RequireIsolation:
 		if x.tryAlone(now) {
 			return
 		}
@@ -186,7 +186,7 @@
 func (x *exchange) endTrialWait() {
 	t := x.trial
 	x.trial = nil
-	again := clock.Now().Add(quarantine.AgainTrial)
+	again := clock.Now().Add(quarantine.IsolationRetryAfter)
 	if t.failed == nil {
 		x.finish(protocol.Refuse(protocol.QueueFull, "endpoints ended when they ran this request, and none is free to run it alone").Again(again))
 		return
@@ -197,7 +197,7 @@
 // takenBy adds to the runners that a request avoids those at which work is on trial that must
 // not meet it.
 func (x *exchange) takenBy(avoid []*fleet.Runner, now time.Time) []*fleet.Runner {
-	if _, free := x.standing(now).(quarantine.Free); free {
+	if _, free := x.standing(now).(quarantine.Unrestricted); free {
 		return avoid
 	}
 	avoid = slices.Clip(avoid)
@@ -215,7 +215,7 @@
 func (x *exchange) enrol(a *attempt, now time.Time) {
 	q := x.forwarder.Quarantine
 	a.life = x.forwarder.Roster.Lifetime(a.endpoint.Name())
-	if _, free := x.standing(now).(quarantine.Free); !free {
+	if _, free := x.standing(now).(quarantine.Unrestricted); !free {
 		a.trial = true
 		q.Tell(x.news(a, protocol.WorkTried), now)
 	}
@@ -233,7 +233,7 @@
 // work began there. It is told once for each attempt.
 func (x *exchange) broke(a *attempt, now time.Time) {
 	f := x.forwarder
-	if f.Quarantine == nil || a.broken || !a.firstAt.IsZero() && now.Sub(a.firstAt) > quarantine.ProvenAfter {
+	if f.Quarantine == nil || a.broken || !a.firstAt.IsZero() && now.Sub(a.firstAt) > quarantine.SafeAfter {
 		return
 	}
 	a.broken = true
@@ -258,7 +258,7 @@
 	if a.firstAt.IsZero() {
 		a.firstAt = now
 	}
-	if now.Sub(a.firstAt) >= quarantine.ProvenAfter {
+	if now.Sub(a.firstAt) >= quarantine.SafeAfter {
 		x.dismiss(a, now)
 		x.ran(a, now)
 	}
@@ -285,7 +285,7 @@
 // engine run the work.
 func (x *exchange) brokeBehind(a *attempt, now time.Time) {
 	q := x.forwarder.Quarantine
-	if q == nil || !a.firstAt.IsZero() && x.rhythm.last.Sub(a.firstAt) >= quarantine.ProvenAfter {
+	if q == nil || !a.firstAt.IsZero() && x.rhythm.last.Sub(a.firstAt) >= quarantine.SafeAfter {
 		return
 	}
 	for i := 1; i < a.path.Len(); i++ {
@@ -306,7 +306,7 @@
 // those may end under it.
 func (x *exchange) mayMove(now time.Time) bool {
 	switch x.standing(now).(type) {
-	case quarantine.Free, quarantine.Apart:
+	case quarantine.Unrestricted, quarantine.PreferIsolation:
 		return true
 	default:
 		return false
@@ -316,9 +316,9 @@
 // mayHedge reports whether a request may be open at two endpoints: not if it may end both.
 func (x *exchange) mayHedge(silent *attempt, now time.Time) bool {
 	switch x.standing(now).(type) {
-	case quarantine.Free:
+	case quarantine.Unrestricted:
 		return true
-	case quarantine.Apart:
+	case quarantine.PreferIsolation:
 		return !silent.firstAt.IsZero() || now.Sub(silent.sentAt) >= apartFor
 	default:
 		return false
@@ -348,8 +348,8 @@
 // Refused tells requests under way that some work is refused from now on.
 func (f *Forwarder) Refused(r *quarantine.Refusal) {
 	f.Counters.Add(metric.WorkRefused, 1)
-	f.log(event.WorkRefused, slog.String("fingerprint", r.Work().String()), slog.Int("ends", len(r.Ends())),
-		slog.Int64("till_ms", clock.Until(r.Till()).Milliseconds()))
+	f.log(event.WorkRefused, slog.String("fingerprint", r.Work().String()), slog.Int("ends", len(r.Crashes())),
+		slog.Int64("till_ms", clock.Until(r.Until()).Milliseconds()))
 	f.RefusalsChanged()
 }
 
--- a/transport/front/refusals.go
+++ b/transport/front/refusals.go
@@ -141,8 +141,8 @@
 // keep writes a refusal.
 func (r *refusals) keep(k *keeping) {
 	work := k.refusal.Work()
-	left := clock.Until(k.refusal.Till())
-	value, err := json.Marshal(protocol.RefusedWork{Crashes: k.refusal.Ends(), UntilMS: time.Now().Add(left).UnixMilli()})
+	left := clock.Until(k.refusal.Until())
+	value, err := json.Marshal(protocol.RefusedWork{Crashes: k.refusal.Crashes(), UntilMS: time.Now().Add(left).UnixMilli()})
 	if err != nil {
 		event.RefusalIgnored.Log(r.front.Logger, slog.String("fingerprint", work.String()), slog.String("cause", err.Error()))
 		return
--- a/transport/relay/quarantine.go
+++ b/transport/relay/quarantine.go
@@ -30,7 +30,7 @@
 	Self string // the name of this entry
 
 	mutex  sync.Mutex
-	book   quarantine.Book
+	book   quarantine.Tracker
 	known  atomic.Bool         // whether the book says anything
 	unsaid []quarantine.Report // of this entry, not told while the end is not known
 	queue  queue
@@ -46,16 +46,16 @@
 	now := clock.Now()
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	known := !r.Sign().Broke() && q.book.Proven(&r)
-	if !q.book.Take(r, now) {
+	known := !r.Observation().Broke() && q.book.Confirmed(&r)
+	if !q.book.Apply(r, now) {
 		return
 	}
 	q.known.Store(true)
 	q.met.Tell()
 	switch {
-	case known || q.book.Proven(&r):
+	case known || q.book.Confirmed(&r):
 		q.passOn(r, "", now)
-	case r.Sign().Broke():
+	case r.Observation().Broke():
 		q.unsaid = append(q.unsaid[max(0, len(q.unsaid)-unsaidMost+1):], r)
 	}
 }
@@ -66,14 +66,14 @@
 	now := clock.Now()
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.book.Ended(endpoint, life, at)
+	q.book.RecordCrash(endpoint, life, at)
 	left := q.unsaid[:0]
 	for i := range q.unsaid {
 		r := q.unsaid[i]
 		switch {
-		case q.book.Proven(&r):
+		case q.book.Confirmed(&r):
 			q.passOn(r, "", now)
-		case now.Sub(r.At()) <= quarantine.UnprovenKept:
+		case now.Sub(r.At()) <= quarantine.UnconfirmedRetention:
 			left = append(left, r)
 		}
 	}
@@ -84,7 +84,7 @@
 func (q *Quarantine) Doubt(endpoint string, life protocol.Incarnation, now time.Time) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.book.Doubt(endpoint, life, now)
+	q.book.RecordUnresolved(endpoint, life, now)
 }
 
 // Lives notes that an endpoint answered a question that was asked at a time, in the same
@@ -92,7 +92,7 @@
 func (q *Quarantine) Lives(endpoint string, life protocol.Incarnation, same bool, asked time.Time) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.book.Lives(endpoint, life, same, asked)
+	q.book.RecordAnswer(endpoint, life, same, asked)
 }
 
 // Unclear tells the others what broke here at a life of an endpoint of which it is not clear
@@ -104,7 +104,7 @@
 	left := q.unsaid[:0]
 	for i := range q.unsaid {
 		r := q.unsaid[i]
-		if r.Endpoint() != endpoint || r.Lifetime() != life {
+		if r.Endpoint() != endpoint || r.Incarnation() != life {
 			left = append(left, r)
 			continue
 		}
@@ -120,38 +120,38 @@
 func (q *Quarantine) Empty() bool { return !q.known.Load() }
 
 // Standing returns what some work may do now.
-func (q *Quarantine) Standing(work protocol.Fingerprint, now time.Time) quarantine.Standing {
+func (q *Quarantine) Standing(work protocol.Fingerprint, now time.Time) quarantine.Status {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.book.Standing(work, now)
+	return q.book.Status(work, now)
 }
 
 // Knows reports whether anything was met of some work that running well would clear.
 func (q *Quarantine) Knows(work protocol.Fingerprint) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.book.Knows(work)
+	return q.book.IsSuspected(work)
 }
 
 // Taken returns the endpoints at which other work is on trial.
 func (q *Quarantine) Taken(work protocol.Fingerprint, now time.Time) []string {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.book.Taken(work, now)
+	return q.book.ReservedEndpoints(work, now)
 }
 
 // MayTry reports whether a trial begins that may begin at this look.
 func (q *Quarantine) MayTry(now time.Time) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.book.MayTry(now, rand.Float64())
+	return q.book.MayStartIsolatedRun(now, rand.Float64())
 }
 
 // Newly returns the work that is refused since the last call. Day is the time of day.
 func (q *Quarantine) Newly(now, day time.Time) []quarantine.Refusal {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	all := q.book.Newly(now, day)
+	all := q.book.NewRefusals(now, day)
 	q.known.Store(!q.book.Empty())
 	return all
 }
@@ -160,7 +160,7 @@
 func (q *Quarantine) Hold(work protocol.Fingerprint, r *protocol.RefusedWork, now, day time.Time) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	held := q.book.Hold(work, r, now, day)
+	held := q.book.RestoreRefusal(work, r, now, day)
 	q.known.Store(!q.book.Empty())
 	return held
 }
@@ -180,7 +180,7 @@
 func (q *Quarantine) Kept() []protocol.Fingerprint {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	return q.book.Kept()
+	return q.book.StoredRefusals()
 }
 
 // hearWork takes the reports of work that a peer tells.
@@ -191,7 +191,7 @@
 		if n.Observation.Broke() && s.isOver(n.Endpoint, n.Incarnation) {
 			s.quarantine.Ended(n.Endpoint, n.Incarnation, at)
 		}
-		s.quarantine.hear(quarantine.NewReport(n, at).InDoubt(), via)
+		s.quarantine.hear(quarantine.NewReport(n, at).AsUnresolved(), via)
 	}
 }
 
@@ -206,7 +206,7 @@
 func (q *Quarantine) Hear(all []protocol.RelayWork, via string) {
 	now := clock.Now()
 	for _, n := range all {
-		q.hear(quarantine.NewReport(n, n.At(now)).InDoubt(), via)
+		q.hear(quarantine.NewReport(n, n.At(now)).AsUnresolved(), via)
 	}
 }
 
@@ -221,7 +221,7 @@
 	now := clock.Now()
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	if !q.book.Take(r, now) {
+	if !q.book.Apply(r, now) {
 		return
 	}
 	q.known.Store(true)
@@ -231,7 +231,7 @@
 
 // passOn keeps a report to be told. The mutex is held.
 func (q *Quarantine) passOn(r quarantine.Report, via string, now time.Time) {
-	q.queue.add(&r, via, now.Add(-quarantine.KeptFor), workNewsMost)
+	q.queue.add(&r, via, now.Add(-quarantine.Retention), workNewsMost)
 }
 
 // since returns the reports after an item's number that a peer must be told, and the number
@@ -239,10 +239,10 @@
 func (q *Quarantine) since(number uint64, peer string, now time.Time) ([]protocol.RelayWork, uint64) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	queued, last := q.queue.since(number, peer, now.Add(-quarantine.KeptFor))
+	queued, last := q.queue.since(number, peer, now.Add(-quarantine.Retention))
 	var all []protocol.RelayWork
 	for _, d := range queued {
-		all = append(all, d.(*quarantine.Report).News(now))
+		all = append(all, d.(*quarantine.Report).Message(now))
 	}
 	return all, last
 }
