--- a/coordination/pressure/decision.go
+++ b/coordination/pressure/decision.go
@@ -7,31 +7,31 @@
 // Decision is what a stream does next: GoOn, Stop, Drop or End.
 type Decision interface{ decision() }
 
-// GoOn reads on from the engine.
-type GoOn struct{}
+// Continue reads on from the engine.
+type Continue struct{}
 
-// Stop leaves what the engine sends unread for the time being.
-type Stop struct{ till time.Time }
+// Pause leaves what the engine sends unread for the time being.
+type Pause struct{ till time.Time }
 
-// Drop ends the send. The stream goes on elsewhere after its last whole event, once its
+// DropAttempt ends the send. The stream goes on elsewhere after its last whole event, once its
 // caller has read what is held.
-type Drop struct{}
+type DropAttempt struct{}
 
-// End breaks the answer off: what it held is given to others.
-type End struct{}
+// Abort breaks the answer off: what it held is given to others.
+type Abort struct{}
 
-func (GoOn) decision() {}
-func (Stop) decision() {}
-func (Drop) decision() {}
-func (End) decision()  {}
+func (Continue) decision()    {}
+func (Pause) decision()       {}
+func (DropAttempt) decision() {}
+func (Abort) decision()       {}
 
-// Till returns when to look again if the caller has read nothing by then.
-func (s Stop) Till() time.Time { return s.till }
+// Until returns when to look again if the caller has read nothing by then.
+func (s Pause) Until() time.Time { return s.till }
 
-// Look decides how a stream goes on with what its connection holds. One that has stopped goes
+// Decide decides how a stream goes on with what its connection holds. One that has stopped goes
 // on at half of its allowance, so not for each event. Once its engine may cut it off it goes
 // on at the whole: a caller who reads steadily keeps its send.
-func (b *Budget) Look(a *Account, now time.Time) Decision {
+func (b *Budget) Decide(a *Account, now time.Time) Decision {
 	most := b.allowance(a)
 	till := a.stopped.Add(engineBears)
 	if !a.stopped.IsZero() && now.Before(till) {
@@ -39,16 +39,16 @@
 	}
 	switch {
 	case a.ended:
-		return End{}
+		return Abort{}
 	case a.held <= most:
 		a.stopped = time.Time{}
-		return GoOn{}
+		return Continue{}
 	case a.stopped.IsZero():
 		a.stopped = now
 	case a.resumable && !now.Before(till):
-		return Drop{}
+		return DropAttempt{}
 	}
-	return Stop{till: a.stopped.Add(engineBears)}
+	return Pause{till: a.stopped.Add(engineBears)}
 }
 
 // allowance returns how much an account may hold before its engine is left unread.
--- a/coordination/pressure/inflight.go
+++ b/coordination/pressure/inflight.go
@@ -35,15 +35,15 @@
 // Bytes returns how many bytes are in flight.
 func (f *Inflight) Bytes() int64 { return f.bytes }
 
-// Room reports whether a request of n bytes may be sent. One alone always may.
-func (f *Inflight) Room(n int64) bool { return f.bytes == 0 || f.bytes+n <= f.Limit() }
+// Admits reports whether a request of n bytes may be sent. One alone always may.
+func (f *Inflight) Admits(n int64) bool { return f.bytes == 0 || f.bytes+n <= f.Limit() }
 
 // Sent notes a request of n bytes.
 func (f *Inflight) Sent(n int64) { f.bytes += n }
 
-// Ended notes that the endpoint does not hold a request of n bytes any more. Fell says that
+// Finished notes that the endpoint does not hold a request of n bytes any more. Fell says that
 // it broke the connection off.
-func (f *Inflight) Ended(n int64, fell bool) {
+func (f *Inflight) Finished(n int64, fell bool) {
 	held := f.bytes
 	f.bytes -= n
 	switch {
--- a/coordination/pressure/inflight_test.go
+++ b/coordination/pressure/inflight_test.go
@@ -16,20 +16,20 @@
 func TestAnEndpointThatFellOverIsGivenLess(t *testing.T) {
 	var f pressure.Inflight
 	for range 10 {
-		require.True(t, f.Room(mb))
+		require.True(t, f.Admits(mb))
 		f.Sent(mb)
 	}
-	f.Ended(mb, true)
+	f.Finished(mb, true)
 	require.EqualValues(t, 5*mb, f.Limit())
-	require.False(t, f.Room(mb), "it still holds nine")
+	require.False(t, f.Admits(mb), "it still holds nine")
 	for range 9 {
-		f.Ended(mb, true)
+		f.Finished(mb, true)
 	}
 	require.Zero(t, f.Bytes())
-	require.True(t, f.Room(100*mb), "one alone always may")
+	require.True(t, f.Admits(100*mb), "one alone always may")
 	low := f.Limit()
 	f.Sent(mb)
-	f.Ended(mb, false)
+	f.Finished(mb, false)
 	require.Greater(t, f.Limit(), low)
 }
 
@@ -39,7 +39,7 @@
 	var f pressure.Inflight
 	before := f.Limit()
 	f.Sent(1000)
-	f.Ended(1000, true)
+	f.Finished(1000, true)
 	require.Equal(t, before, f.Limit())
 }
 
@@ -49,13 +49,13 @@
 		var sent []int64
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			n := rapid.Int64Range(1, 8*mb).Draw(t, "bytes")
-			if f.Room(n) {
+			if f.Admits(n) {
 				f.Sent(n)
 				sent = append(sent, n)
 				require.True(t, len(sent) == 1 || f.Bytes() <= f.Limit())
 			}
 			if len(sent) > 0 && rapid.Bool().Draw(t, "ends") {
-				f.Ended(sent[0], rapid.Bool().Draw(t, "fell"))
+				f.Finished(sent[0], rapid.Bool().Draw(t, "fell"))
 				sent = sent[1:]
 			}
 			sum := int64(0)
--- a/coordination/pressure/pressure.go
+++ b/coordination/pressure/pressure.go
@@ -75,8 +75,8 @@
 // Held returns the bytes that the account holds.
 func (a *Account) Held() int64 { return a.held }
 
-// Ended reports whether the account was ended to make room.
-func (a *Account) Ended() bool { return a.ended }
+// Evicted reports whether the account was ended to make room.
+func (a *Account) Evicted() bool { return a.ended }
 
 // Budget is what all accounts may hold together. The zero value has DefaultLimit.
 type Budget struct {
@@ -89,8 +89,8 @@
 	search time.Time // from when to look again who gives way
 }
 
-// Limit sets the budget in bytes, DefaultLimit if it is not positive.
-func (b *Budget) Limit(bytes int64) { b.limit = bytes }
+// SetLimit sets the budget in bytes, DefaultLimit if it is not positive.
+func (b *Budget) SetLimit(bytes int64) { b.limit = bytes }
 
 // most returns the budget in bytes.
 func (b *Budget) most() int64 {
@@ -103,12 +103,12 @@
 // Held returns the bytes held for callers.
 func (b *Budget) Held() int64 { return b.held }
 
-// Bodies returns the bytes of requests that are held.
-func (b *Budget) Bodies() int64 { return b.bodies }
+// BodyBytes returns the bytes of requests that are held.
+func (b *Budget) BodyBytes() int64 { return b.bodies }
 
-// Serve tells whose answer an account's connection carries from now on: the team, the rank
+// Assign tells whose answer an account's connection carries from now on: the team, the rank
 // (0 is the most urgent), and whether a broken stream may go on elsewhere.
-func (b *Budget) Serve(a *Account, team string, rank int, resumable bool) {
+func (b *Budget) Assign(a *Account, team string, rank int, resumable bool) {
 	held := a.held
 	b.add(a, -held)
 	a.team, a.rank, a.resumable = team, rank, resumable
@@ -118,10 +118,10 @@
 // free returns the bytes that nobody holds, negative once a lower limit is set.
 func (b *Budget) free() int64 { return b.most() - b.held - b.bodies }
 
-// Hold takes room for n bytes more, where needed by ending accounts whose callers have read
+// Reserve takes room for n bytes more, where needed by ending accounts whose callers have read
 // nothing for a while, none more urgent than a; the ended hold nothing from now on. Without
 // room it changes nothing but those, and reports false.
-func (b *Budget) Hold(a *Account, n int64, now time.Time) (ended []*Account, ok bool) {
+func (b *Budget) Reserve(a *Account, n int64, now time.Time) (ended []*Account, ok bool) {
 	for !a.ended && n <= b.most() && b.free() < n {
 		v := b.slowest(a, now)
 		if v == nil {
@@ -225,9 +225,9 @@
 	}
 }
 
-// Body takes room for n bytes of a request, and reports whether there is any. A negative n
+// ReserveBody takes room for n bytes of a request, and reports whether there is any. A negative n
 // gives room back, which always works.
-func (b *Budget) Body(n int64) bool {
+func (b *Budget) ReserveBody(n int64) bool {
 	if n > 0 && (b.free() < n || float64(b.bodies+n) > bodyShare*float64(b.most())) {
 		return false
 	}
@@ -235,9 +235,9 @@
 	return true
 }
 
-// Near reports whether the entry is near the end of its budget, and stays so until clearly
+// NearLimit reports whether the entry is near the end of its budget, and stays so until clearly
 // less is held.
-func (b *Budget) Near() bool {
+func (b *Budget) NearLimit() bool {
 	used := float64(b.held+b.bodies) / float64(b.most())
 	b.near = used >= nearShare || b.near && used > clearShare
 	return b.near
--- a/coordination/pressure/pressure_test.go
+++ b/coordination/pressure/pressure_test.go
@@ -23,43 +23,43 @@
 // holding returns an account that holds bytes since the start.
 func holding(t *testing.T, b *pressure.Budget, team string, rank int, resumable bool, n int64) *pressure.Account {
 	a := &pressure.Account{}
-	b.Serve(a, team, rank, resumable)
-	_, ok := b.Hold(a, n, start)
+	b.Assign(a, team, rank, resumable)
+	_, ok := b.Reserve(a, n, start)
 	require.True(t, ok)
 	return a
 }
 
 func TestAStreamIsLeftUnreadBeyondItsShareAndDroppedBeforeItsEngineCuts(t *testing.T) {
 	var b pressure.Budget
-	b.Limit(limit)
+	b.SetLimit(limit)
 	a := holding(t, &b, "team", 0, true, limit/16)
-	require.IsType(t, pressure.GoOn{}, b.Look(a, start))
+	require.IsType(t, pressure.Continue{}, b.Decide(a, start))
 
-	_, ok := b.Hold(a, limit/8, start)
+	_, ok := b.Reserve(a, limit/8, start)
 	require.True(t, ok)
-	d := b.Look(a, start)
-	require.IsType(t, pressure.Stop{}, d)
-	till := d.(pressure.Stop).Till()
-	require.Equal(t, d, b.Look(a, till.Add(-time.Millisecond)))
-	require.IsType(t, pressure.Drop{}, b.Look(a, till))
+	d := b.Decide(a, start)
+	require.IsType(t, pressure.Pause{}, d)
+	till := d.(pressure.Pause).Until()
+	require.Equal(t, d, b.Decide(a, till.Add(-time.Millisecond)))
+	require.IsType(t, pressure.DropAttempt{}, b.Decide(a, till))
 
 	b.Release(a, limit/32, till)
-	require.IsType(t, pressure.Drop{}, b.Look(a, till), "a little room is no reason to go on")
+	require.IsType(t, pressure.DropAttempt{}, b.Decide(a, till), "a little room is no reason to go on")
 	b.Release(a, limit/8, till)
-	require.IsType(t, pressure.GoOn{}, b.Look(a, till))
+	require.IsType(t, pressure.Continue{}, b.Decide(a, till))
 }
 
 // TestAnAnswerThatCantGoOnElsewhereMayHoldMore, and its engine is never left: the answer
 // would be lost.
 func TestAnAnswerThatCantGoOnElsewhereMayHoldMore(t *testing.T) {
 	var b pressure.Budget
-	b.Limit(limit)
+	b.SetLimit(limit)
 	a := holding(t, &b, "team", 0, false, limit/4)
-	require.IsType(t, pressure.GoOn{}, b.Look(a, start))
-	_, ok := b.Hold(a, limit/4, start)
+	require.IsType(t, pressure.Continue{}, b.Decide(a, start))
+	_, ok := b.Reserve(a, limit/4, start)
 	require.True(t, ok)
-	require.IsType(t, pressure.Stop{}, b.Look(a, start))
-	require.IsType(t, pressure.Stop{}, b.Look(a, late))
+	require.IsType(t, pressure.Pause{}, b.Decide(a, start))
+	require.IsType(t, pressure.Pause{}, b.Decide(a, late))
 }
 
 func TestWhoGivesWay(t *testing.T) {
@@ -92,13 +92,13 @@
 	for name, fill := range tests {
 		t.Run(name, func(t *testing.T) {
 			var b pressure.Budget
-			b.Limit(limit)
+			b.SetLimit(limit)
 			first := fill(&b)
-			ended, ok := b.Hold(&pressure.Account{}, limit-b.Held()+1, late)
+			ended, ok := b.Reserve(&pressure.Account{}, limit-b.Held()+1, late)
 			require.True(t, ok)
 			require.Equal(t, []*pressure.Account{first}, ended)
-			require.True(t, first.Ended())
-			require.IsType(t, pressure.End{}, b.Look(first, late))
+			require.True(t, first.Evicted())
+			require.IsType(t, pressure.Abort{}, b.Decide(first, late))
 		})
 	}
 }
@@ -106,10 +106,10 @@
 // TestWhoReadsWellIsNeverEnded: what finds no room waits instead.
 func TestWhoReadsWellIsNeverEnded(t *testing.T) {
 	var b pressure.Budget
-	b.Limit(limit)
+	b.SetLimit(limit)
 	a := holding(t, &b, "a", 9, true, limit)
 	b.Release(a, 1, late)
-	ended, ok := b.Hold(&pressure.Account{}, limit/2, late.Add(time.Millisecond))
+	ended, ok := b.Reserve(&pressure.Account{}, limit/2, late.Add(time.Millisecond))
 	require.False(t, ok)
 	require.Empty(t, ended)
 	require.EqualValues(t, limit-1, b.Held())
@@ -119,19 +119,19 @@
 // the budget, and a stream of another team may hold as if they were a handful.
 func TestOneTeamLeavesTheOthersTheirs(t *testing.T) {
 	var b pressure.Budget
-	b.Limit(64 << 20)
+	b.SetLimit(64 << 20)
 	const event = 1 << 10
 	var crowd []*pressure.Account
 	for range 300 {
 		a := &pressure.Account{}
-		b.Serve(a, "crowd", 0, true)
+		b.Assign(a, "crowd", 0, true)
 		crowd = append(crowd, a)
 	}
 	for going := true; going; {
 		going = false
 		for _, a := range crowd {
-			if _, goOn := b.Look(a, start).(pressure.GoOn); goOn {
-				_, ok := b.Hold(a, event, start)
+			if _, goOn := b.Decide(a, start).(pressure.Continue); goOn {
+				_, ok := b.Reserve(a, event, start)
 				require.True(t, ok)
 				going = true
 			}
@@ -139,37 +139,37 @@
 	}
 	require.LessOrEqual(t, b.Held(), int64(33<<20))
 	other := &pressure.Account{}
-	b.Serve(other, "other", 0, true)
+	b.Assign(other, "other", 0, true)
 	for range 64 {
-		require.IsType(t, pressure.GoOn{}, b.Look(other, start))
-		ended, ok := b.Hold(other, event, start)
+		require.IsType(t, pressure.Continue{}, b.Decide(other, start))
+		ended, ok := b.Reserve(other, event, start)
 		require.True(t, ok)
 		require.Empty(t, ended)
 	}
-	require.False(t, b.Near())
+	require.False(t, b.NearLimit())
 }
 
 func TestBodiesLeaveRoomForAnswers(t *testing.T) {
 	var b pressure.Budget
-	b.Limit(limit)
-	require.True(t, b.Body(limit/2))
-	require.False(t, b.Body(1))
-	require.True(t, b.Body(-limit/4))
-	require.True(t, b.Body(1))
+	b.SetLimit(limit)
+	require.True(t, b.ReserveBody(limit/2))
+	require.False(t, b.ReserveBody(1))
+	require.True(t, b.ReserveBody(-limit/4))
+	require.True(t, b.ReserveBody(1))
 }
 
 func TestNearTheEndUntilClearlyLessIsHeld(t *testing.T) {
 	var b pressure.Budget
-	b.Limit(limit)
+	b.SetLimit(limit)
 	a := holding(t, &b, "a", 0, true, limit*9/10)
-	require.True(t, b.Near())
+	require.True(t, b.NearLimit())
 	b.Release(a, limit/5, start)
-	require.True(t, b.Near())
+	require.True(t, b.NearLimit())
 	b.Release(a, limit/5, start)
-	require.False(t, b.Near())
-	_, ok := b.Hold(a, limit/5, start)
+	require.False(t, b.NearLimit())
+	_, ok := b.Reserve(a, limit/5, start)
 	require.True(t, ok)
-	require.False(t, b.Near())
+	require.False(t, b.NearLimit())
 }
 
 // TestHeldBytesStayWithinTheBudget draws callers of several teams that read well, slowly or
@@ -179,14 +179,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var b pressure.Budget
 		most := rapid.Int64Range(8<<10, 1<<20).Draw(t, "limit")
-		b.Limit(most)
+		b.SetLimit(most)
 		now := start
 		accounts := make([]*pressure.Account, rapid.IntRange(1, 20).Draw(t, "callers"))
 		read := make(map[*pressure.Account]time.Time)
 		held := make(map[*pressure.Account]int64)
 		for i := range accounts {
 			accounts[i] = &pressure.Account{}
-			b.Serve(accounts[i], fmt.Sprint("team-", i%3), i%4, i%2 == 0)
+			b.Assign(accounts[i], fmt.Sprint("team-", i%3), i%4, i%2 == 0)
 		}
 		bodies := int64(0)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
@@ -196,10 +196,10 @@
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
 				before := held[a]
-				ended, ok := b.Hold(a, n, now)
+				ended, ok := b.Reserve(a, n, now)
 				for _, e := range ended {
 					require.GreaterOrEqual(t, now.Sub(read[e]), time.Second, "who reads is not ended")
-					require.True(t, e.Ended())
+					require.True(t, e.Evicted())
 					held[e] = 0
 				}
 				if ok {
@@ -216,13 +216,13 @@
 					read[a] = now
 				}
 			case 3:
-				if b.Body(n) {
+				if b.ReserveBody(n) {
 					bodies += n
 				}
 			default:
-				b.Body(-bodies)
+				b.ReserveBody(-bodies)
 				bodies = 0
-				b.Look(a, now)
+				b.Decide(a, now)
 			}
 			sum := int64(0)
 			for _, c := range accounts {
@@ -230,8 +230,8 @@
 				sum += held[c]
 			}
 			require.Equal(t, sum, b.Held())
-			require.Equal(t, bodies, b.Bodies())
-			require.LessOrEqual(t, b.Held()+b.Bodies(), most)
+			require.Equal(t, bodies, b.BodyBytes())
+			require.LessOrEqual(t, b.Held()+b.BodyBytes(), most)
 		}
 	})
 }
@@ -239,16 +239,16 @@
 // BenchmarkHold ends the worst of 2,000 slow callers to make room, which is the dearest case.
 func BenchmarkHold(b *testing.B) {
 	var p pressure.Budget
-	p.Limit(2000 * 4096)
+	p.SetLimit(2000 * 4096)
 	for i := range 2000 {
 		a := &pressure.Account{}
-		p.Serve(a, fmt.Sprint("team-", i%24), i%10, true)
-		p.Hold(a, 4096, start)
+		p.Assign(a, fmt.Sprint("team-", i%24), i%10, true)
+		p.Reserve(a, 4096, start)
 	}
 	for b.Loop() {
 		a := &pressure.Account{}
-		p.Serve(a, "team", 0, true)
-		p.Hold(a, 4096, late)
+		p.Assign(a, "team", 0, true)
+		p.Reserve(a, 4096, late)
 	}
 }
 
@@ -256,18 +256,18 @@
 // quiet for long.
 func TestWhoIsMoreUrgentDoesNotGiveWay(t *testing.T) {
 	var b pressure.Budget
-	b.Limit(limit)
+	b.SetLimit(limit)
 	urgent := holding(t, &b, "a", 1, true, limit/2)
 	var crowd, equal pressure.Account
-	b.Serve(&crowd, "b", 2, true)
-	ended, ok := b.Hold(&crowd, limit/2, late)
+	b.Assign(&crowd, "b", 2, true)
+	ended, ok := b.Reserve(&crowd, limit/2, late)
 	require.True(t, ok)
 	require.Empty(t, ended)
-	ended, ok = b.Hold(&crowd, 1, late)
+	ended, ok = b.Reserve(&crowd, 1, late)
 	require.False(t, ok)
 	require.Empty(t, ended)
-	b.Serve(&equal, "c", 1, true)
-	ended, ok = b.Hold(&equal, 1, late)
+	b.Assign(&equal, "c", 1, true)
+	ended, ok = b.Reserve(&equal, 1, late)
 	require.True(t, ok)
 	require.Equal(t, []*pressure.Account{urgent}, ended)
 }
@@ -277,15 +277,15 @@
 func TestWhoReadsSteadilyKeepsItsSend(t *testing.T) {
 	const share = 80 << 10
 	var b pressure.Budget
-	b.Limit(limit)
+	b.SetLimit(limit)
 	a := holding(t, &b, "team", 0, true, share+1)
-	d := b.Look(a, start)
-	require.IsType(t, pressure.Stop{}, d)
-	till := d.(pressure.Stop).Till()
+	d := b.Decide(a, start)
+	require.IsType(t, pressure.Pause{}, d)
+	till := d.(pressure.Pause).Until()
 	b.Release(a, 1, till)
-	require.Equal(t, d, b.Look(a, till.Add(-time.Millisecond)), "not for one event, as long as the engine bears it")
-	require.IsType(t, pressure.GoOn{}, b.Look(a, till))
-	_, ok := b.Hold(a, 1, till)
+	require.Equal(t, d, b.Decide(a, till.Add(-time.Millisecond)), "not for one event, as long as the engine bears it")
+	require.IsType(t, pressure.Continue{}, b.Decide(a, till))
+	_, ok := b.Reserve(a, 1, till)
 	require.True(t, ok)
-	require.Equal(t, till.Add(till.Sub(start)), b.Look(a, till).(pressure.Stop).Till(), "it bears as long again")
+	require.Equal(t, till.Add(till.Sub(start)), b.Decide(a, till).(pressure.Pause).Until(), "it bears as long again")
 }
--- a/transport/backlog/budget.go
+++ b/transport/backlog/budget.go
@@ -35,14 +35,14 @@
 func (b *Budget) Limit(bytes int64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.ledger.Limit(bytes)
+	b.ledger.SetLimit(bytes)
 }
 
 // Near reports whether the entry is near the end of its budget.
 func (b *Budget) Near() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.ledger.Near()
+	return b.ledger.NearLimit()
 }
 
 // Body takes room for n bytes of a request, or gives back -n, and reports whether there is
@@ -50,7 +50,7 @@
 func (b *Budget) Body(n int64) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	ok := b.ledger.Body(n)
+	ok := b.ledger.ReserveBody(n)
 	if ok {
 		b.count(metric.HeldBodyBytes, n)
 	}
@@ -78,8 +78,8 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	before := b.ledger.Held()
-	b.ledger.Serve(&c.account, c.team, c.rank, c.resumable)
-	ended, ok := b.ledger.Hold(&c.account, n, now)
+	b.ledger.Assign(&c.account, c.team, c.rank, c.resumable)
+	ended, ok := b.ledger.Reserve(&c.account, n, now)
 	for _, a := range ended {
 		if v := b.conns[a]; v != nil {
 			b.count(metric.PressureEnded, 1)
@@ -128,5 +128,5 @@
 func (b *Budget) look(c *Conn, now time.Time) pressure.Decision {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.ledger.Look(&c.account, now)
+	return b.ledger.Decide(&c.account, now)
 }
--- a/transport/backlog/conn.go
+++ b/transport/backlog/conn.go
@@ -123,10 +123,10 @@
 // of the connection changes.
 func (c *Conn) Look(now time.Time) pressure.Decision {
 	if !c.moved.Swap(false) {
-		return pressure.GoOn{}
+		return pressure.Continue{}
 	}
 	d := c.budget.look(c, now)
-	if _, goOn := d.(pressure.GoOn); !goOn {
+	if _, goOn := d.(pressure.Continue); !goOn {
 		c.moved.Store(true)
 	}
 	return d
--- a/transport/backlog/conn_test.go
+++ b/transport/backlog/conn_test.go
@@ -155,7 +155,7 @@
 		require.NoError(t, err)
 		synctest.Wait()
 		require.ErrorIs(t, stuck.Err(), ErrEnded)
-		require.IsType(t, pressure.End{}, stuck.Look(time.Now()))
+		require.IsType(t, pressure.Abort{}, stuck.Look(time.Now()))
 		require.NoError(t, lively.Err())
 		require.EqualValues(t, 1, b.Counters.Value("pressure_ended"))
 	})
@@ -212,14 +212,14 @@
 func (s *stream) run() {
 	for i := 0; i < s.events; {
 		switch s.conn.Look(time.Now()).(type) {
-		case pressure.GoOn:
+		case pressure.Continue:
 			e := fmt.Appendf(nil, "id: %d\ndata: %0*d\n\n", i, 10+i%7*30, i)
 			if _, err := s.conn.Write(e); err != nil {
 				return
 			}
 			s.sent.Write(e)
 			i++
-		case pressure.End:
+		case pressure.Abort:
 			return
 		default:
 			time.Sleep(50 * time.Millisecond)
--- a/transport/forward/inflight.go
+++ b/transport/forward/inflight.go
@@ -25,7 +25,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	at := f.at[endpoint]
-	return at == nil || at.Room(int64(n))
+	return at == nil || at.Admits(int64(n))
 }
 
 // sent notes a request of n bytes.
@@ -52,7 +52,7 @@
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if at := f.at[endpoint]; at != nil {
-		at.Ended(int64(n), fell)
+		at.Finished(int64(n), fell)
 	}
 }
 
--- a/transport/forward/slow_caller.go
+++ b/transport/forward/slow_caller.go
@@ -57,13 +57,13 @@
 		return
 	}
 	switch d := d.(type) {
-	case pressure.GoOn:
+	case pressure.Continue:
 		x.readOn(now)
-	case pressure.Stop:
+	case pressure.Pause:
 		x.stopReading(d, now)
-	case pressure.Drop:
+	case pressure.DropAttempt:
 		x.park(now)
-	case pressure.End:
+	case pressure.Abort:
 		x.endForRoom()
 	}
 }
@@ -80,7 +80,7 @@
 
 // stopReading pauses the exchange. Attempts that can't tell it anything stop reading their
 // engines.
-func (x *exchange) stopReading(d pressure.Stop, now time.Time) {
+func (x *exchange) stopReading(d pressure.Pause, now time.Time) {
 	if !x.paused {
 		x.paused = true
 		x.flush()
@@ -88,8 +88,8 @@
 		x.forwarder.log(event.AnswerStopped, x.id(), slog.Int64("waiting_bytes", x.caller.Held()), slog.Int("events", x.events))
 	}
 	x.lookAt = x.deadline
-	if d.Till().After(now) && d.Till().Before(x.deadline) {
-		x.lookAt = d.Till()
+	if d.Until().After(now) && d.Until().Before(x.deadline) {
+		x.lookAt = d.Until()
 	}
 }
 
@@ -110,11 +110,11 @@
 // heedParked sends the request elsewhere once the caller has read everything. Sooner would
 // waste the reading of the prompt on a caller that takes an event now and then.
 func (x *exchange) heedParked(d pressure.Decision, now time.Time) {
-	if _, ended := d.(pressure.End); ended {
+	if _, ended := d.(pressure.Abort); ended {
 		x.endForRoom()
 		return
 	}
-	if _, free := d.(pressure.GoOn); !free || x.caller.Held() > 0 {
+	if _, free := d.(pressure.Continue); !free || x.caller.Held() > 0 {
 		return
 	}
 	a := x.parked
