--- a/coordination/loss/located.go
+++ b/coordination/loss/located.go
@@ -12,13 +12,13 @@
 // that was under way there meets the same sign.
 const locatedAgain = time.Second
 
-// Located says who answers at an endpoint's address: itself, another process, or a process
+// OccupantObserved says who answers at an endpoint's address: itself, another process, or a process
 // without the layers of the endpoint's record. The sign is an answer, so one witness suffices,
 // and the number of such endpoints is not bounded as that of losses is: an entry that is cut
 // off gets no answers, so it tells no such news.
-type Located struct{}
+type OccupantObserved struct{}
 
-func (Located) verdict() {}
+func (OccupantObserved) verdict() {}
 
 // located is the latest news of who answers at an endpoint's address.
 type located struct {
@@ -33,19 +33,19 @@
 }
 
 // locate takes a report of who answers at an endpoint's address.
-func (b *Book) locate(r Report, p *page, now time.Time) Verdict {
+func (b *Tracker) locate(r Report, p *page, now time.Time) Change {
 	if p == nil {
 		p = b.open(&r)
 	}
 	news := located{sign: r.sign, occupant: r.occupant, at: r.at}
 	if !p.located.newer(&news) {
-		return Nothing{}
+		return NoChange{}
 	}
 	p.located = news
-	if till := now.Add(KeptFor); till.After(p.expires) {
+	if till := now.Add(ReportTTL); till.After(p.expires) {
 		p.expires = till
 	}
-	return Located{}
+	return OccupantObserved{}
 }
 
 // newer reports whether later news says something that is not known yet.
--- a/coordination/loss/loss.go
+++ b/coordination/loss/loss.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	// KeptFor is how long a report counts: a dead endpoint leaves the platform's list
+	// ReportTTL is how long a report counts: a dead endpoint leaves the platform's list
 	// after three heartbeats of 1.2 s, and the news of that takes a moment.
-	KeptFor = 4 * time.Second
+	ReportTTL = 4 * time.Second
 	// witnesses is how many entries must have found an endpoint silent for it to be
 	// lost. One alone may be cut off from it.
 	witnesses = 2
@@ -54,35 +54,35 @@
 // Endpoint returns the ID of the endpoint.
 func (r Report) Endpoint() string { return r.endpoint }
 
-// Witness returns the name of the entry that met the sign.
-func (r Report) Witness() string { return r.witness }
+// Observer returns the name of the entry that met the sign.
+func (r Report) Observer() string { return r.witness }
 
-// Sign returns what it met.
-func (r Report) Sign() protocol.LossObservation { return r.sign }
+// Observation returns what it met.
+func (r Report) Observation() protocol.LossObservation { return r.sign }
 
 // At returns when, by the clock of the entry that holds the report.
 func (r Report) At() time.Time { return r.at }
 
-// In returns the report with the life of the endpoint in which the sign was met.
-func (r Report) In(life protocol.Incarnation) Report {
+// WithIncarnation returns the report with the life of the endpoint in which the sign was met.
+func (r Report) WithIncarnation(life protocol.Incarnation) Report {
 	r.life = life
 	return r
 }
 
-// Naming returns the report with the ID of what answers at the endpoint's address.
-func (r Report) Naming(occupant string) Report {
+// WithOccupant returns the report with the ID of what answers at the endpoint's address.
+func (r Report) WithOccupant(occupant string) Report {
 	r.occupant = occupant
 	return r
 }
 
-// Lifetime returns the life of the endpoint that the sign belongs to, if it is known.
-func (r Report) Lifetime() protocol.Incarnation { return r.life }
+// Incarnation returns the life of the endpoint that the sign belongs to, if it is known.
+func (r Report) Incarnation() protocol.Incarnation { return r.life }
 
 // Occupant returns the ID of what answers at the endpoint's address, "" if it is not known.
 func (r Report) Occupant() string { return r.occupant }
 
-// Verdict is what a report changes: Lost, Doubted, Back, Located or Nothing.
-type Verdict interface{ verdict() }
+// Change is what a report changes: Lost, Doubted, Back, Located or Nothing.
+type Change interface{ verdict() }
 
 // Lost says that the endpoint is lost.
 type Lost struct {
@@ -92,25 +92,25 @@
 // At returns when the sign was met: what comes from the endpoint later disproves it.
 func (l Lost) At() time.Time { return l.at }
 
-// Till returns until when the reports count.
-func (l Lost) Till() time.Time { return l.till }
+// Until returns until when the reports count.
+func (l Lost) Until() time.Time { return l.till }
 
-// Doubted says that one entry found the endpoint silent.
-type Doubted struct{}
+// Suspected says that one entry found the endpoint silent.
+type Suspected struct{}
 
-// Back says that an endpoint that was doubted or lost works.
-type Back struct{}
+// Recovered says that an endpoint that was doubted or lost works.
+type Recovered struct{}
 
-// Nothing says that the report changes nothing.
-type Nothing struct{}
+// NoChange says that the report changes nothing.
+type NoChange struct{}
 
-func (Lost) verdict()    {}
-func (Doubted) verdict() {}
-func (Back) verdict()    {}
-func (Nothing) verdict() {}
+func (Lost) verdict()      {}
+func (Suspected) verdict() {}
+func (Recovered) verdict() {}
+func (NoChange) verdict()  {}
 
-// Book keeps the reports that count. The zero value is empty.
-type Book struct {
+// Tracker keeps the reports that count. The zero value is empty.
+type Tracker struct {
 	pages map[string]*page // by endpoint ID
 }
 
@@ -128,15 +128,15 @@
 // believed reports whether the endpoint is doubted or lost.
 func (p *page) believed() bool { return p.lost || len(p.silent) > 0 }
 
-// Take takes a report while so many endpoints are known, and returns what it changes.
-func (b *Book) Take(r Report, known int, now time.Time) Verdict {
+// Apply takes a report while so many endpoints are known, and returns what it changes.
+func (b *Tracker) Apply(r Report, known int, now time.Time) Change {
 	b.expire(now)
-	if now.Sub(r.at) > KeptFor || r.at.After(now) {
-		return Nothing{}
+	if now.Sub(r.at) > ReportTTL || r.at.After(now) {
+		return NoChange{}
 	}
 	p := b.pageOf(&r)
 	if p != nil && r.life.Before(p.life) {
-		return Nothing{} // of an earlier life
+		return NoChange{} // of an earlier life
 	}
 	if r.locates() {
 		return b.locate(r, p, now)
@@ -145,7 +145,7 @@
 		return p.back(r, now)
 	}
 	if (p == nil || !p.believed()) && b.full(known) {
-		return Nothing{}
+		return NoChange{}
 	}
 	if p == nil {
 		p = b.open(&r)
@@ -155,7 +155,7 @@
 
 // pageOf returns what is reported of the life that a report is of, or nil: what was reported
 // of an earlier one is forgotten.
-func (b *Book) pageOf(r *Report) *page {
+func (b *Tracker) pageOf(r *Report) *page {
 	p := b.pages[r.endpoint]
 	if p != nil && p.life.Before(r.life) {
 		delete(b.pages, r.endpoint)
@@ -165,7 +165,7 @@
 }
 
 // full reports whether as many of so many endpoints are believed lost as may be.
-func (b *Book) full(known int) bool {
+func (b *Tracker) full(known int) bool {
 	n := 0
 	for _, p := range b.pages {
 		if p.believed() {
@@ -176,18 +176,18 @@
 }
 
 // back takes it that an endpoint answered. Nothing is known of most.
-func (p *page) back(r Report, now time.Time) Verdict {
+func (p *page) back(r Report, now time.Time) Change {
 	if p == nil || !p.believed() || !r.at.After(p.latest) {
-		return Nothing{}
+		return NoChange{}
 	}
 	p.lost = false
 	clear(p.silent)
 	p.answered = r.at
-	p.expires = now.Add(KeptFor)
-	return Back{}
+	p.expires = now.Add(ReportTTL)
+	return Recovered{}
 }
 
-func (b *Book) open(r *Report) *page {
+func (b *Tracker) open(r *Report) *page {
 	if b.pages == nil {
 		b.pages = make(map[string]*page)
 	}
@@ -196,7 +196,7 @@
 	return p
 }
 
-func (b *Book) expire(now time.Time) {
+func (b *Tracker) expire(now time.Time) {
 	for id, p := range b.pages {
 		if now.After(p.expires) {
 			delete(b.pages, id)
@@ -204,14 +204,14 @@
 	}
 }
 
-func (p *page) take(r Report, now time.Time) Verdict {
+func (p *page) take(r Report, now time.Time) Change {
 	if p.lost || r.sign == protocol.LossSilent && p.silent[r.witness] || !r.at.After(p.answered) {
-		return Nothing{}
+		return NoChange{}
 	}
 	if r.at.After(p.latest) {
 		p.latest = r.at
 	}
-	p.expires = now.Add(KeptFor)
+	p.expires = now.Add(ReportTTL)
 	if r.sign == protocol.LossSilent {
 		p.silent[r.witness] = true
 	}
@@ -219,5 +219,5 @@
 		p.lost = true
 		return Lost{at: p.latest, till: p.expires}
 	}
-	return Doubted{}
+	return Suspected{}
 }
--- a/transport/forward/misplaced.go
+++ b/transport/forward/misplaced.go
@@ -51,16 +51,16 @@
 	var news bool
 	switch occupant {
 	case "":
-		news = f.Roster.Denied(id, report.Lifetime(), report.At())
+		news = f.Roster.Denied(id, report.Incarnation(), report.At())
 	case id:
-		moved := f.Roster.Located(id, occupant, report.Lifetime(), report.At())
+		moved := f.Roster.Located(id, occupant, report.Incarnation(), report.At())
 		news = f.Roster.Holds(id, report.At()) || moved
 	default:
-		news = f.Roster.Located(id, occupant, report.Lifetime(), report.At())
+		news = f.Roster.Located(id, occupant, report.Incarnation(), report.At())
 	}
 	if news {
 		f.log(event.RecordDisproved, slog.String("endpoint", id), slog.String("occupant", occupant),
-			slog.String("sign", report.Sign().String()), slog.String("witness", report.Witness()),
+			slog.String("sign", report.Observation().String()), slog.String("witness", report.Observer()),
 			slog.Int64("age_ms", clock.Since(report.At()).Milliseconds()))
 	}
 	return news
--- a/transport/forward/news.go
+++ b/transport/forward/news.go
@@ -70,8 +70,8 @@
 
 // Judged takes what a report of an endpoint changes, and reports whether it may matter to
 // who gives orders.
-func (f *Forwarder) Judged(report loss.Report, v loss.Verdict) bool {
-	if _, ok := v.(loss.Located); ok {
+func (f *Forwarder) Judged(report loss.Report, v loss.Change) bool {
+	if _, ok := v.(loss.OccupantObserved); ok {
 		return f.located(&report)
 	}
 	r := f.Roster.View().Runner(report.Endpoint())
@@ -81,18 +81,18 @@
 	now := clock.Now()
 	switch v := v.(type) {
 	case loss.Lost:
-		r.Lose(v.At(), v.Till())
+		r.Lose(v.At(), v.Until())
 		f.Counters.Ejected(metric.EjectedLost)
 		f.losses.Tell()
-	case loss.Doubted:
+	case loss.Suspected:
 		r.Suspect(now.Add(suspectFor))
-	case loss.Back:
+	case loss.Recovered:
 		r.Return()
 	default:
 		return false
 	}
-	f.log(event.LossTold, slog.String("runner", r.Name()), slog.String("witness", report.Witness()),
-		slog.String("sign", report.Sign().String()), slog.Int64("age_ms", now.Sub(report.At()).Milliseconds()),
+	f.log(event.LossTold, slog.String("runner", r.Name()), slog.String("witness", report.Observer()),
+		slog.String("sign", report.Observation().String()), slog.Int64("age_ms", now.Sub(report.At()).Milliseconds()),
 		slog.Bool("lost", r.Lost(now)))
 	return true
 }
--- a/transport/forward/news_test.go
+++ b/transport/forward/news_test.go
@@ -80,10 +80,10 @@
 
 // lose has everybody take a runner as lost.
 func lose(f *Forwarder, r *fleet.Runner) {
-	var b loss.Book
+	var b loss.Tracker
 	now := time.Now()
 	report := loss.NewReport(r.Name(), "another", protocol.LossRefused, now)
-	f.Judged(report, b.Take(report, 10, now))
+	f.Judged(report, b.Apply(report, 10, now))
 }
 
 // TestAStreamGoesOnAtOnceWhenItsEngineIsToldLost: it need not fall silent first.
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -126,7 +126,7 @@
 }
 
 // judged takes what a report of an endpoint changes.
-func (f *Front) judged(r loss.Report, v loss.Verdict) {
+func (f *Front) judged(r loss.Report, v loss.Change) {
 	if f.forwarder.Judged(r, v) {
 		f.director.Wake()
 	}
--- a/transport/relay/news.go
+++ b/transport/relay/news.go
@@ -20,13 +20,13 @@
 // report that changes something is passed on once. The zero value is empty.
 type news struct {
 	mutex sync.Mutex
-	book  loss.Book
+	book  loss.Tracker
 	queue queue
 }
 
 // Tell passes on that this entry met a sign of an endpoint.
 func (s *Source) Tell(endpoint string, sign protocol.LossObservation, at time.Time) {
-	s.hear(loss.NewReport(endpoint, s.Self.Name, sign, at).In(s.lifetimeOf(endpoint)), "")
+	s.hear(loss.NewReport(endpoint, s.Self.Name, sign, at).WithIncarnation(s.lifetimeOf(endpoint)), "")
 }
 
 // Locate passes on which process answers at an endpoint's address: occupant is "" for one
@@ -36,7 +36,7 @@
 	if occupant == endpoint {
 		sign = protocol.LossAnswered
 	}
-	s.hear(loss.NewReport(endpoint, s.Self.Name, sign, at).In(s.lifetimeOf(endpoint)).Naming(occupant), "")
+	s.hear(loss.NewReport(endpoint, s.Self.Name, sign, at).WithIncarnation(s.lifetimeOf(endpoint)).WithOccupant(occupant), "")
 }
 
 // lifetimeOf returns the lifetime of an endpoint as this entry knows it, 0 if it does not.
@@ -54,11 +54,11 @@
 		known = s.Endpoints()
 	}
 	now := clock.Now()
-	if r.Sign() == protocol.LossRefused {
-		s.quarantine.Ended(r.Endpoint(), r.Lifetime(), r.At())
+	if r.Observation() == protocol.LossRefused {
+		s.quarantine.Ended(r.Endpoint(), r.Incarnation(), r.At())
 	}
 	v := s.news.take(r, via, known, now)
-	if _, nothing := v.(loss.Nothing); nothing || s.Judged == nil {
+	if _, nothing := v.(loss.NoChange); nothing || s.Judged == nil {
 		return
 	}
 	s.Judged(r, v)
@@ -69,19 +69,19 @@
 	now := clock.Now()
 	for _, l := range all {
 		at := now.Add(-time.Duration(l.AgoMS * float64(time.Millisecond)))
-		s.hear(loss.NewReport(l.Endpoint, l.Observer, l.Observation, at).In(l.Incarnation).Naming(l.Occupant), via)
+		s.hear(loss.NewReport(l.Endpoint, l.Observer, l.Observation, at).WithIncarnation(l.Incarnation).WithOccupant(l.Occupant), via)
 	}
 }
 
 // take notes a report that changes something, to be passed on.
-func (n *news) take(r loss.Report, via string, known int, now time.Time) loss.Verdict {
+func (n *news) take(r loss.Report, via string, known int, now time.Time) loss.Change {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	v := n.book.Take(r, known, now)
-	if _, nothing := v.(loss.Nothing); nothing {
+	v := n.book.Apply(r, known, now)
+	if _, nothing := v.(loss.NoChange); nothing {
 		return v
 	}
-	n.queue.add(r, via, now.Add(-loss.KeptFor), 0)
+	n.queue.add(r, via, now.Add(-loss.ReportTTL), 0)
 	return v
 }
 
@@ -89,12 +89,12 @@
 func (n *news) since(number uint64, peer string, now time.Time) ([]protocol.RelayLoss, uint64) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	queued, last := n.queue.since(number, peer, now.Add(-loss.KeptFor))
+	queued, last := n.queue.since(number, peer, now.Add(-loss.ReportTTL))
 	var all []protocol.RelayLoss
 	for _, d := range queued {
 		r := d.(loss.Report)
 		all = append(all, protocol.RelayLoss{
-			Endpoint: r.Endpoint(), Incarnation: r.Lifetime(), Observer: r.Witness(), Observation: r.Sign(),
+			Endpoint: r.Endpoint(), Incarnation: r.Incarnation(), Observer: r.Observer(), Observation: r.Observation(),
 			AgoMS: max(0, milliseconds(now.Sub(r.At()))), Occupant: r.Occupant(),
 		})
 	}
--- a/transport/relay/news_test.go
+++ b/transport/relay/news_test.go
@@ -26,14 +26,14 @@
 	t.lost = map[string]time.Time{}
 	for _, e := range all {
 		e.source.Endpoints = func() int { return 80 }
-		e.source.Judged = func(_ loss.Report, v loss.Verdict) {
+		e.source.Judged = func(_ loss.Report, v loss.Change) {
 			t.mutex.Lock()
 			defer t.mutex.Unlock()
 			t.times++
 			switch v.(type) {
 			case loss.Lost:
 				t.lost[e.outside.name] = time.Now()
-			case loss.Back:
+			case loss.Recovered:
 				delete(t.lost, e.outside.name)
 			}
 		}
@@ -102,7 +102,7 @@
 		heard.listen([]*entry{late})
 		late.start(t, []protocol.EntryRecord{all[0].source.Self})
 		eventually(t, "it is told", func() bool { return heard.count() == 1 })
-		time.Sleep(loss.KeptFor)
+		time.Sleep(loss.ReportTTL)
 		var nothing told
 		last := newEntry(t, s, fmt.Sprint(rankedAfter(all[0].source.Self), "-last"), "fourth")
 		nothing.listen([]*entry{last})
@@ -123,7 +123,7 @@
 		heard := make(map[string][]loss.Report)
 		for _, e := range all {
 			e.source.Lifetime = func(string) protocol.Incarnation { return 7 }
-			e.source.Judged = func(r loss.Report, _ loss.Verdict) {
+			e.source.Judged = func(r loss.Report, _ loss.Change) {
 				mutex.Lock()
 				defer mutex.Unlock()
 				heard[e.outside.name] = append(heard[e.outside.name], r)
@@ -142,8 +142,8 @@
 		for name, reports := range heard {
 			require.Len(t, reports, 1, name)
 			require.Equal(t, "other", reports[0].Occupant())
-			require.Equal(t, protocol.LossMisplaced, reports[0].Sign())
-			require.Equal(t, protocol.Incarnation(7), reports[0].Lifetime())
+			require.Equal(t, protocol.LossMisplaced, reports[0].Observation())
+			require.Equal(t, protocol.Incarnation(7), reports[0].Incarnation())
 		}
 	})
 }
--- a/transport/relay/source.go
+++ b/transport/relay/source.go
@@ -60,7 +60,7 @@
 	// Endpoints returns how many endpoints are known, nil for none, and Judged is told what
 	// a report of a lost endpoint changes.
 	Endpoints func() int
-	Judged    func(r loss.Report, v loss.Verdict)
+	Judged    func(r loss.Report, v loss.Change)
 	// Lifetime returns the life of an endpoint that is known, nil for none ever.
 	Lifetime func(endpoint string) protocol.Incarnation
 	// Paced is told what a report of an endpoint's pace changes, nil for nobody.
