--- a/coordination/slow/play_test.go
+++ b/coordination/slow/play_test.go
@@ -31,7 +31,7 @@
 	slow    map[string]bool
 	from    time.Time // when those turn slow
 	till    time.Time
-	book    slow.Book
+	book    slow.Tracker
 	number  uint64
 	asked   int
 	decides bool
@@ -94,10 +94,10 @@
 	told := slow.NewReport(protocol.RelaySlow{
 		Endpoint: r.Name(), Observer: "one", Number: p.number, Observation: protocol.SlowTold, Pace: p.pace(r.Name(), now.Add(-reportAge)),
 	}, now.Add(-reportAge))
-	switch v := p.book.Take(told, now).(type) {
+	switch v := p.book.Apply(told, now).(type) {
 	case slow.Slow:
-		r.Slow(v.Pace(), v.Since(), v.Till())
-	case slow.Fast:
+		r.Slow(v.Slowdown(), v.Since(), v.Until())
+	case slow.Recovered:
 		r.Fast()
 	}
 }
--- a/coordination/slow/slow.go
+++ b/coordination/slow/slow.go
@@ -23,9 +23,9 @@
 )
 
 const (
-	// KeptFor is how long a sign counts. Who told it asks again several times within that;
+	// ReportTTL is how long a sign counts. Who told it asks again several times within that;
 	// when it can't any more, the endpoint gets work again, which shows how it is.
-	KeptFor = 3 * time.Second
+	ReportTTL = 3 * time.Second
 	// renewAfter is how old what is known must be for a sign that only confirms it to be
 	// passed on: two such signs may be lost before it counts no longer.
 	renewAfter = time.Second
@@ -70,8 +70,8 @@
 	}
 }
 
-// News returns the report as it is told to others at a time.
-func (r Report) News(now time.Time) protocol.RelaySlow {
+// Message returns the report as it is told to others at a time.
+func (r Report) Message(now time.Time) protocol.RelaySlow {
 	return protocol.RelaySlow{
 		Endpoint: r.endpoint, Incarnation: r.lifetime, Observer: r.witness, Number: r.number, Observation: r.sign, Pace: r.pace,
 		AgoMS: max(0, float64(now.Sub(r.at))/float64(time.Millisecond)),
@@ -81,11 +81,11 @@
 // Endpoint returns the ID of the endpoint.
 func (r Report) Endpoint() string { return r.endpoint }
 
-// Witness returns the name of the entry that met the sign.
-func (r Report) Witness() string { return r.witness }
+// Observer returns the name of the entry that met the sign.
+func (r Report) Observer() string { return r.witness }
 
-// Sign returns what it met.
-func (r Report) Sign() protocol.SlownessObservation { return r.sign }
+// Observation returns what it met.
+func (r Report) Observation() protocol.SlownessObservation { return r.sign }
 
 // At returns when, by the clock of the entry that holds the report.
 func (r Report) At() time.Time { return r.at }
@@ -106,8 +106,8 @@
 	return r.pace < fastBelow
 }
 
-// Verdict is what a report changes: Slow, Doubted, Fast or Nothing.
-type Verdict interface{ verdict() }
+// Change is what a report changes: Slow, Doubted, Fast or Nothing.
+type Change interface{ verdict() }
 
 // Slow says that the endpoint is slow.
 type Slow struct {
@@ -115,31 +115,31 @@
 	since, till time.Time
 }
 
-// Pace returns how many times longer than usual its work takes.
-func (s Slow) Pace() float64 { return s.pace }
+// Slowdown returns how many times longer than usual its work takes.
+func (s Slow) Slowdown() float64 { return s.pace }
 
 // Since returns when it became slow.
 func (s Slow) Since() time.Time { return s.since }
 
-// Till returns until when that counts.
-func (s Slow) Till() time.Time { return s.till }
+// Until returns until when that counts.
+func (s Slow) Until() time.Time { return s.till }
 
-// Doubted says that one answer of the endpoint took long.
-type Doubted struct{}
+// Suspected says that one answer of the endpoint took long.
+type Suspected struct{}
 
-// Fast says that an endpoint that was slow, or doubted, works as usual.
-type Fast struct{}
+// Recovered says that an endpoint that was slow, or doubted, works as usual.
+type Recovered struct{}
 
-// Nothing says that the report changes nothing.
-type Nothing struct{}
+// NoChange says that the report changes nothing.
+type NoChange struct{}
 
-func (Slow) verdict()    {}
-func (Doubted) verdict() {}
-func (Fast) verdict()    {}
-func (Nothing) verdict() {}
+func (Slow) verdict()      {}
+func (Suspected) verdict() {}
+func (Recovered) verdict() {}
+func (NoChange) verdict()  {}
 
-// Book keeps the signs that count. The zero value is empty.
-type Book struct {
+// Tracker keeps the signs that count. The zero value is empty.
+type Tracker struct {
 	pages map[string]*page // by endpoint ID
 }
 
@@ -154,16 +154,16 @@
 	heard    map[string]uint64 // number of the last report of each witness
 }
 
-// Take takes a report and returns what it changes.
-func (b *Book) Take(r Report, now time.Time) Verdict {
+// Apply takes a report and returns what it changes.
+func (b *Tracker) Apply(r Report, now time.Time) Change {
 	b.expire(now)
-	if now.Sub(r.at) >= KeptFor || r.at.After(now) || math.IsNaN(r.pace) || r.pace <= 0 {
-		return Nothing{}
+	if now.Sub(r.at) >= ReportTTL || r.at.After(now) || math.IsNaN(r.pace) || r.pace <= 0 {
+		return NoChange{}
 	}
 	p := b.pages[r.endpoint]
 	if p == nil {
 		if !r.slow() || len(b.pages) >= pagesMost {
-			return Nothing{}
+			return NoChange{}
 		}
 		p = b.open(r.endpoint)
 	}
@@ -171,7 +171,7 @@
 }
 
 // expire forgets the endpoints whose signs count no longer.
-func (b *Book) expire(now time.Time) {
+func (b *Tracker) expire(now time.Time) {
 	for id, p := range b.pages {
 		if !now.Before(p.expires) {
 			delete(b.pages, id)
@@ -180,7 +180,7 @@
 }
 
 // open begins the page of an endpoint.
-func (b *Book) open(endpoint string) *page {
+func (b *Tracker) open(endpoint string) *page {
 	if b.pages == nil {
 		b.pages = make(map[string]*page)
 	}
@@ -190,16 +190,16 @@
 }
 
 // take takes a report, unless it is of an earlier life or older than what is known.
-func (p *page) take(r *Report, now time.Time) Verdict {
+func (p *page) take(r *Report, now time.Time) Change {
 	if r.lifetime.Before(p.lifetime) || r.number <= p.heard[r.witness] {
-		return Nothing{}
+		return NoChange{}
 	}
 	p.heard[r.witness] = r.number
 	if p.lifetime.Before(r.lifetime) && p.pace > 0 {
 		return p.anew(r, now)
 	}
 	if r.at.Before(p.latest) {
-		return Nothing{}
+		return NoChange{}
 	}
 	p.lifetime = max(p.lifetime, r.lifetime)
 	switch {
@@ -215,7 +215,7 @@
 }
 
 // anew takes a sign of a later life than the one that was slow.
-func (p *page) anew(r *Report, now time.Time) Verdict {
+func (p *page) anew(r *Report, now time.Time) Change {
 	p.lifetime = r.lifetime
 	if r.slow() {
 		return p.begin(r)
@@ -224,29 +224,29 @@
 }
 
 // takeSeen counts answers that took long.
-func (p *page) takeSeen(r *Report) Verdict {
+func (p *page) takeSeen(r *Report) Change {
 	p.seen++
 	if p.seen >= seenLeast {
 		return p.begin(r)
 	}
 	p.latest = r.at
-	p.expires = r.at.Add(KeptFor)
-	return Doubted{}
+	p.expires = r.at.Add(ReportTTL)
+	return Suspected{}
 }
 
 // clear takes a sign that isn't slow while the endpoint isn't either. An answer in time ends
 // the doubt at all entries: an endpoint that loses some answers gives others in between.
-func (p *page) clear(r *Report) Verdict {
+func (p *page) clear(r *Report) Change {
 	if p.seen == 0 || !r.fast() {
-		return Nothing{}
+		return NoChange{}
 	}
 	p.seen = 0
 	p.latest = r.at
-	return Fast{}
+	return Recovered{}
 }
 
 // begin notes that the endpoint is slow from the sign on.
-func (p *page) begin(r *Report) Verdict {
+func (p *page) begin(r *Report) Change {
 	p.since = r.at
 	p.pace, p.seen = 0, 0
 	return p.keep(r)
@@ -254,37 +254,37 @@
 
 // keep notes that the endpoint is as slow as the sign says. An answer that is awaited
 // shows only how slow it is at least.
-func (p *page) keep(r *Report) Verdict {
+func (p *page) keep(r *Report) Change {
 	if r.sign == protocol.SlowTold || r.pace > p.pace {
 		p.pace = max(r.pace, slowFrom)
 	}
 	p.latest = r.at
-	p.expires = r.at.Add(KeptFor)
+	p.expires = r.at.Add(ReportTTL)
 	return Slow{pace: p.pace, since: p.since, till: p.expires}
 }
 
 // takeSlow takes a sign of an endpoint that is slow.
-func (p *page) takeSlow(r *Report, now time.Time) Verdict {
+func (p *page) takeSlow(r *Report, now time.Time) Change {
 	switch {
 	case r.fast():
 		if now.Sub(p.since) < steadyFor {
-			return Nothing{}
+			return NoChange{}
 		}
 		return p.end(r, now)
 	case r.sign == protocol.SlowSeen && !r.slow():
-		return Nothing{}
+		return NoChange{}
 	case r.at.Sub(p.latest) >= renewAfter, r.pace > p.pace*paceStep, r.sign == protocol.SlowTold && r.pace < p.pace/paceStep:
 		return p.keep(r)
 	default:
-		return Nothing{}
+		return NoChange{}
 	}
 }
 
 // end notes that the endpoint works as usual. The page stays for a while, so that older
 // signs that come late change nothing.
-func (p *page) end(r *Report, now time.Time) Verdict {
+func (p *page) end(r *Report, now time.Time) Change {
 	p.pace, p.seen = 0, 0
 	p.latest = r.at
-	p.expires = now.Add(KeptFor)
-	return Fast{}
+	p.expires = now.Add(ReportTTL)
+	return Recovered{}
 }
--- a/transport/forward/pace.go
+++ b/transport/forward/pace.go
@@ -138,7 +138,7 @@
 
 // Paced takes what a report of an endpoint's pace changes, and reports whether it may
 // matter to who gives orders.
-func (f *Forwarder) Paced(report slow.Report, v slow.Verdict) bool {
+func (f *Forwarder) Paced(report slow.Report, v slow.Change) bool {
 	r := f.Roster.View().Runner(report.Endpoint())
 	if r == nil {
 		return false
@@ -148,22 +148,22 @@
 	switch v := v.(type) {
 	case slow.Slow:
 		before := r.IsSlow(now)
-		r.Slow(v.Pace(), v.Since(), v.Till())
-		f.paces.keep(r.Name(), report, v.Till(), now)
+		r.Slow(v.Slowdown(), v.Since(), v.Until())
+		f.paces.keep(r.Name(), report, v.Until(), now)
 		if !before {
-			f.log(event.EndpointSlow, slog.String("runner", r.Name()), slog.String("witness", report.Witness()),
-				slog.String("sign", report.Sign().String()), slog.Float64("pace", v.Pace()),
+			f.log(event.EndpointSlow, slog.String("runner", r.Name()), slog.String("witness", report.Observer()),
+				slog.String("sign", report.Observation().String()), slog.Float64("pace", v.Slowdown()),
 				slog.Int64("age_ms", now.Sub(report.At()).Milliseconds()))
 		}
 		return !before
-	case slow.Fast:
+	case slow.Recovered:
 		since := r.SlowSince(now)
 		if since.IsZero() {
 			return false // it was only doubted
 		}
 		r.Fast()
 		f.paces.drop(r.Name())
-		f.log(event.EndpointFast, slog.String("runner", r.Name()), slog.String("witness", report.Witness()),
+		f.log(event.EndpointFast, slog.String("runner", r.Name()), slog.String("witness", report.Observer()),
 			slog.Int64("slow_ms", now.Sub(since).Milliseconds()))
 		return true
 	default:
@@ -184,7 +184,7 @@
 		p.forwarder.Counters.Add(metric.EndpointsSlow, 1)
 	}
 	p.slowTill[endpoint] = till
-	if report.Witness() != p.forwarder.Home.Name || report.Sign() != protocol.SlowTold {
+	if report.Observer() != p.forwarder.Home.Name || report.Observation() != protocol.SlowTold {
 		delete(p.askAt, endpoint)
 		return
 	}
--- a/transport/forward/pace_test.go
+++ b/transport/forward/pace_test.go
@@ -111,7 +111,7 @@
 		f.paces.look(time.Now())
 		synctest.Wait()
 		require.Zero(t, asks.total())
-		time.Sleep(slow.KeptFor)
+		time.Sleep(slow.ReportTTL)
 		f.paces.look(time.Now())
 		require.Zero(t, f.Counters.Value(string(metric.EndpointsSlow)), "the news lapsed")
 	})
--- a/transport/forward/pace_world_test.go
+++ b/transport/forward/pace_world_test.go
@@ -56,7 +56,7 @@
 // among entries.
 type judge struct {
 	mutex  sync.Mutex
-	book   slow.Book
+	book   slow.Tracker
 	number uint64
 }
 
@@ -67,9 +67,9 @@
 		news.Observer, news.Number = f.Home.Name, j.number
 	}
 	r := slow.NewReport(news, at)
-	v := j.book.Take(r, time.Now())
+	v := j.book.Apply(r, time.Now())
 	j.mutex.Unlock()
-	if _, nothing := v.(slow.Nothing); !nothing {
+	if _, nothing := v.(slow.NoChange); !nothing {
 		f.Paced(r, v)
 	}
 }
@@ -85,9 +85,9 @@
 func slowed(f *Forwarder, r *fleet.Runner) {
 	now := time.Now()
 	f.paces.forwarder = f
-	var b slow.Book
+	var b slow.Tracker
 	report := slow.NewReport(protocol.RelaySlow{Endpoint: r.Name(), Observer: "another", Number: 1, Observation: protocol.SlowTold, Pace: 12}, now)
-	f.Paced(report, b.Take(report, now))
+	f.Paced(report, b.Apply(report, now))
 }
 
 // staged returns a forwarder before three stages of an engine service, each held by that
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -133,7 +133,7 @@
 }
 
 // paced takes what a report of an endpoint's pace changes.
-func (f *Front) paced(r slow.Report, v slow.Verdict) {
+func (f *Front) paced(r slow.Report, v slow.Change) {
 	if f.forwarder.Paced(r, v) {
 		f.director.Wake()
 	}
--- a/transport/relay/pace.go
+++ b/transport/relay/pace.go
@@ -21,7 +21,7 @@
 // The zero value is empty.
 type paces struct {
 	mutex sync.Mutex
-	book  slow.Book
+	book  slow.Tracker
 	queue queue
 	told  uint64 // number of the last report of this entry
 }
@@ -37,7 +37,7 @@
 // hearPace judges a report and passes it on if it changes anything.
 func (s *Source) hearPace(r slow.Report, via string) {
 	v := s.paces.take(r, via, clock.Now())
-	if _, nothing := v.(slow.Nothing); nothing || s.Paced == nil {
+	if _, nothing := v.(slow.NoChange); nothing || s.Paced == nil {
 		return
 	}
 	s.Paced(r, v)
@@ -62,14 +62,14 @@
 }
 
 // take notes a report that changes something, to be passed on.
-func (p *paces) take(r slow.Report, via string, now time.Time) slow.Verdict {
+func (p *paces) take(r slow.Report, via string, now time.Time) slow.Change {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	v := p.book.Take(r, now)
-	if _, nothing := v.(slow.Nothing); nothing {
+	v := p.book.Apply(r, now)
+	if _, nothing := v.(slow.NoChange); nothing {
 		return v
 	}
-	p.queue.add(r, via, now.Add(-slow.KeptFor), paceNewsMost)
+	p.queue.add(r, via, now.Add(-slow.ReportTTL), paceNewsMost)
 	return v
 }
 
@@ -78,10 +78,10 @@
 func (p *paces) since(number uint64, peer string, now time.Time) ([]protocol.RelaySlow, uint64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	queued, last := p.queue.since(number, peer, now.Add(-slow.KeptFor))
+	queued, last := p.queue.since(number, peer, now.Add(-slow.ReportTTL))
 	var all []protocol.RelaySlow
 	for _, d := range queued {
-		all = append(all, d.(slow.Report).News(now))
+		all = append(all, d.(slow.Report).Message(now))
 	}
 	return all, last
 }
--- a/transport/relay/pace_test.go
+++ b/transport/relay/pace_test.go
@@ -24,14 +24,14 @@
 func (n *slowNews) listen(all []*entry) {
 	n.at = map[string]time.Time{}
 	for _, e := range all {
-		e.source.Paced = func(_ slow.Report, v slow.Verdict) {
+		e.source.Paced = func(_ slow.Report, v slow.Change) {
 			n.mutex.Lock()
 			defer n.mutex.Unlock()
 			n.times++
 			switch v.(type) {
 			case slow.Slow:
 				n.at[e.outside.name] = time.Now()
-			case slow.Fast:
+			case slow.Recovered:
 				delete(n.at, e.outside.name)
 			}
 		}
@@ -106,7 +106,7 @@
 		heard.listen([]*entry{late})
 		late.start(t, []protocol.EntryRecord{all[0].source.Self})
 		eventually(t, "it is told", func() bool { return heard.count() == 1 })
-		time.Sleep(slow.KeptFor)
+		time.Sleep(slow.ReportTTL)
 		var nothing slowNews
 		last := newEntry(t, s, rankedAfter(all[0].source.Self)+"-last", "fourth")
 		nothing.listen([]*entry{last})
--- a/transport/relay/source.go
+++ b/transport/relay/source.go
@@ -64,7 +64,7 @@
 	// Lifetime returns the life of an endpoint that is known, nil for none ever.
 	Lifetime func(endpoint string) protocol.Incarnation
 	// Paced is told what a report of an endpoint's pace changes, nil for nobody.
-	Paced func(r slow.Report, v slow.Verdict)
+	Paced func(r slow.Report, v slow.Change)
 	// Dial connects to a peer's address, nil for TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
