--- a/coordination/stream/decision.go
+++ b/coordination/stream/decision.go
@@ -11,32 +11,32 @@
 // Decision is what to do after a reply.
 type Decision interface{ decision() }
 
-// Send is a step for a runner.
-type Send struct {
+// Dispatch is a step for a runner.
+type Dispatch struct {
 	runner *fleet.Runner
 	step   protocol.Step
 }
 
 // Runner returns the runner that gets the step.
-func (s *Send) Runner() *fleet.Runner { return s.runner }
+func (s *Dispatch) Runner() *fleet.Runner { return s.runner }
 
 // Step returns the step.
-func (s *Send) Step() *protocol.Step { return &s.step }
+func (s *Dispatch) Step() *protocol.Step { return &s.step }
 
-// Passes returns the layer passes that the step asks for.
-func (s *Send) Passes() int64 { return int64(s.step.Count * s.step.Span.Layers()) }
+// LayerPasses returns the layer passes that the step asks for.
+func (s *Dispatch) LayerPasses() int64 { return int64(s.step.Count * s.step.Span.Layers()) }
 
-// Sends is up to two steps: the stage that replied takes its next chunk, and
+// Dispatches is up to two steps: the stage that replied takes its next chunk, and
 // the stage after it takes the one that was passed on.
-type Sends struct {
+type Dispatches struct {
 	count int
-	sends [2]Send
+	sends [2]Dispatch
 }
 
 // All returns the steps to send, possibly none.
-func (s *Sends) All() []Send { return s.sends[:s.count] }
+func (s *Dispatches) All() []Dispatch { return s.sends[:s.count] }
 
-func (s *Sends) add(x Send) {
+func (s *Dispatches) add(x Dispatch) {
 	s.sends[s.count] = x
 	s.count++
 }
@@ -44,14 +44,14 @@
 // Emit is a token for the caller and the step that follows it.
 type Emit struct {
 	token int32
-	next  Send
+	next  Dispatch
 }
 
 // Token returns the new token.
 func (e Emit) Token() int32 { return e.token }
 
 // Next returns the step to send after the token.
-func (e Emit) Next() Send { return e.next }
+func (e Emit) Next() Dispatch { return e.next }
 
 // Finish ends the answer. It holds the last token unless the model ended it.
 type Finish struct {
@@ -65,20 +65,20 @@
 // Ignore is a reply that counts for nothing.
 type Ignore struct{}
 
-// Break says that the path can't go on and why.
-type Break struct {
+// Restart says that the path can't go on and why.
+type Restart struct {
 	reason metric.Reason
 	runner *fleet.Runner
 }
 
 // Reason returns why the path broke.
-func (b Break) Reason() metric.Reason { return b.reason }
+func (b Restart) Reason() metric.Reason { return b.reason }
 
 // Runner returns the runner to leave out of the next path, or nil.
-func (b Break) Runner() *fleet.Runner { return b.runner }
+func (b Restart) Runner() *fleet.Runner { return b.runner }
 
-func (Sends) decision()  {}
-func (Emit) decision()   {}
-func (Finish) decision() {}
-func (Ignore) decision() {}
-func (Break) decision()  {}
+func (Dispatches) decision() {}
+func (Emit) decision()       {}
+func (Finish) decision()     {}
+func (Ignore) decision()     {}
+func (Restart) decision()    {}
--- a/coordination/stream/stream.go
+++ b/coordination/stream/stream.go
@@ -82,7 +82,7 @@
 
 // Begin starts a new attempt on a path and returns its first step. Replies to
 // older attempts count for nothing from here on.
-func (m *Machine) Begin(p *path.Path) Send {
+func (m *Machine) Begin(p *path.Path) Dispatch {
 	m.attempt++
 	m.path = *p
 	m.stages = make([]stage, p.Len())
@@ -111,17 +111,17 @@
 // change the slice.
 func (m *Machine) Emitted() []int32 { return m.tokens[m.prompt:] }
 
-// Known returns how many tokens a new attempt has to run before the next one.
-func (m *Machine) Known() int { return len(m.tokens) }
+// TokenCount returns how many tokens a new attempt has to run before the next one.
+func (m *Machine) TokenCount() int { return len(m.tokens) }
 
-// Left returns how many tokens the answer may still get.
-func (m *Machine) Left() int { return m.limit - len(m.Emitted()) }
+// Remaining returns how many tokens the answer may still get.
+func (m *Machine) Remaining() int { return m.limit - len(m.Emitted()) }
 
 // Finished reports whether the answer is whole.
 func (m *Machine) Finished() bool { return m.finished }
 
 // feed returns the first stage's step over the next positions.
-func (m *Machine) feed() Send {
+func (m *Machine) feed() Dispatch {
 	count := min(m.chunk, len(m.tokens)-m.fed)
 	p := piece{position: m.fed, count: count}
 	tokens := m.tokens[m.fed : m.fed+count]
@@ -129,14 +129,14 @@
 	return m.start(0, p, tokens)
 }
 
-func (m *Machine) start(at int, p piece, tokens []int32) Send {
+func (m *Machine) start(at int, p piece, tokens []int32) Dispatch {
 	s := &m.stages[at]
 	m.number++
 	p.number = m.number
 	s.busy = true
 	s.flight = p
 	r := m.path.Runner(at)
-	return Send{runner: r, step: protocol.Step{
+	return Dispatch{runner: r, step: protocol.Step{
 		Request:  m.request,
 		Attempt:  m.attempt,
 		Number:   p.number,
@@ -150,8 +150,8 @@
 	}}
 }
 
-// Take decides on a reply that came from a runner.
-func (m *Machine) Take(from *fleet.Runner, r protocol.Reply) Decision {
+// HandleReply decides on a reply that came from a runner.
+func (m *Machine) HandleReply(from *fleet.Runner, r protocol.Reply) Decision {
 	at := m.stageOf(from, &r)
 	if at < 0 {
 		return Ignore{}
@@ -160,17 +160,17 @@
 		return m.faulted(from, r.Fault)
 	}
 	if r.Span != from.Span() || r.Epoch != from.Spec().Epoch {
-		return Break{reason: metric.SpanMoved, runner: from}
+		return Restart{reason: metric.SpanMoved, runner: from}
 	}
 	if f := &m.stages[at].flight; r.Position != f.position || r.Count != f.count {
-		return Break{reason: metric.BadReply, runner: from}
+		return Restart{reason: metric.BadReply, runner: from}
 	}
 	m.stages[at].busy = false
 	if at+1 < len(m.stages) {
 		return m.pass(at, &r)
 	}
 	if r.Position+r.Count < len(m.tokens) {
-		return m.refill(at, Sends{})
+		return m.refill(at, Dispatches{})
 	}
 	return m.emit(r.Token)
 }
@@ -192,24 +192,24 @@
 func (m *Machine) faulted(from *fleet.Runner, f protocol.Fault) Decision {
 	switch f {
 	case protocol.FaultSpan:
-		return Break{reason: metric.SpanMoved, runner: from}
+		return Restart{reason: metric.SpanMoved, runner: from}
 	case protocol.FaultCache:
-		return Break{reason: metric.CacheLost}
+		return Restart{reason: metric.CacheLost}
 	case protocol.FaultLeaving:
-		return Break{reason: metric.RunnerLeaving, runner: from}
+		return Restart{reason: metric.RunnerLeaving, runner: from}
 	case protocol.FaultOverload:
-		return Break{reason: metric.Overloaded, runner: from}
+		return Restart{reason: metric.Overloaded, runner: from}
 	default:
-		return Break{reason: metric.BadReply, runner: from}
+		return Restart{reason: metric.BadReply, runner: from}
 	}
 }
 
 // pass hands a piece on to the next stage.
 func (m *Machine) pass(at int, r *protocol.Reply) Decision {
 	if len(r.Hidden) != r.Count*protocol.HiddenBytes {
-		return Break{reason: metric.BadReply, runner: m.path.Runner(at)}
+		return Restart{reason: metric.BadReply, runner: m.path.Runner(at)}
 	}
-	var out Sends
+	var out Dispatches
 	p := piece{position: r.Position, count: r.Count, hidden: r.Hidden}
 	next := &m.stages[at+1]
 	if next.busy || len(next.waiting) > 0 {
@@ -221,7 +221,7 @@
 }
 
 // refill gives an idle stage its next piece, if there is one.
-func (m *Machine) refill(at int, out Sends) Decision {
+func (m *Machine) refill(at int, out Dispatches) Decision {
 	s := &m.stages[at]
 	switch {
 	case len(s.waiting) > 0:
--- a/coordination/stream/stream_test.go
+++ b/coordination/stream/stream_test.go
@@ -108,7 +108,7 @@
 	d.send(d.machine.Begin(found.Path()))
 }
 
-func (d *delivery) send(s stream.Send) {
+func (d *delivery) send(s stream.Dispatch) {
 	d.flying = append(d.flying, flying{from: s.Runner(), reply: engine(s.Step(), d.ran)})
 }
 
@@ -145,8 +145,8 @@
 func (d *delivery) deliver(at int) {
 	f := d.flying[at]
 	d.flying = append(d.flying[:at:at], d.flying[at+1:]...)
-	switch x := d.machine.Take(f.from, f.reply).(type) {
-	case stream.Sends:
+	switch x := d.machine.HandleReply(f.from, f.reply).(type) {
+	case stream.Dispatches:
 		for _, s := range x.All() {
 			d.send(s)
 		}
@@ -159,7 +159,7 @@
 		if token, ok := x.Token(); ok {
 			d.answer = append(d.answer, token)
 		}
-	case stream.Break:
+	case stream.Restart:
 		d.begin()
 	case stream.Ignore:
 	}
@@ -184,7 +184,7 @@
 		m.Open(7, layers, []int32{1}, 4, 0)
 		found := path.Choose(view.Model("m"), path.Query{Now: time.Unix(1, 0), Draw: rand.New(rand.NewPCG(1, 1))}).(*path.Found)
 		s := m.Begin(found.Path())
-		d := m.Take(s.Runner(), protocol.Reply{Request: 7, Attempt: 1, Number: 1, Fault: fault})
-		require.IsType(t, stream.Break{}, d, fault.String())
+		d := m.HandleReply(s.Runner(), protocol.Reply{Request: 7, Attempt: 1, Number: 1, Fault: fault})
+		require.IsType(t, stream.Restart{}, d, fault.String())
 	}
 }
--- a/transport/engine/client.go
+++ b/transport/engine/client.go
@@ -78,9 +78,9 @@
 
 // Send queues a step that is expected to take that many seconds. Its reply, or
 // Lost, arrives in the mailbox.
-func (c *Client) Send(s *stream.Send, expected float64, m *Mailbox) {
+func (c *Client) Send(s *stream.Dispatch, expected float64, m *Mailbox) {
 	step := s.Step()
-	passes := s.Passes()
+	passes := s.LayerPasses()
 	c.mutex.Lock()
 	if c.done.Closed() {
 		c.mutex.Unlock()
--- a/transport/entry/entry_test.go
+++ b/transport/entry/entry_test.go
@@ -351,8 +351,8 @@
 		if !ok {
 			return fmt.Errorf("a stage was lost")
 		}
-		switch d := m.Take(a.From(), a.Reply()).(type) {
-		case stream.Sends:
+		switch d := m.HandleReply(a.From(), a.Reply()).(type) {
+		case stream.Dispatches:
 			for _, s := range d.All() {
 				x.send(s, box)
 			}
@@ -367,6 +367,6 @@
 	}
 }
 
-func (x *direct) send(s stream.Send, box *engine.Mailbox) {
+func (x *direct) send(s stream.Dispatch, box *engine.Mailbox) {
 	x.pool.Client(s.Runner()).Send(&s, 1, box)
 }
--- a/transport/entry/flight.go
+++ b/transport/entry/flight.go
@@ -19,7 +19,7 @@
 	look   time.Time // when to judge it next
 }
 
-func (m *modelRun) send(s stream.Send) {
+func (m *modelRun) send(s stream.Dispatch) {
 	now := time.Now()
 	r := s.Runner()
 	f := flight{runner: r, step: detect.Step{SentAt: now, ExpectedSeconds: r.Expected(now, s.Step().Count)}}
@@ -59,7 +59,7 @@
 // pledge notes at each runner what the rest of the request will need there.
 func (m *modelRun) pledge(p *path.Path) {
 	m.pledges = make([]int64, p.Len())
-	positions := m.machine.Known() + m.machine.Left()
+	positions := m.machine.TokenCount() + m.machine.Remaining()
 	for i := range m.pledges {
 		m.pledges[i] = int64(positions * p.Runner(i).Span().Layers())
 		p.Runner(i).Pledge(m.pledges[i])
--- a/transport/entry/model_run.go
+++ b/transport/entry/model_run.go
@@ -159,7 +159,7 @@
 }
 
 func (m *modelRun) replied(ctx context.Context, a engine.Replied) (finished bool, err error) {
-	d := m.machine.Take(a.From(), a.Reply())
+	d := m.machine.HandleReply(a.From(), a.Reply())
 	if _, ignored := d.(stream.Ignore); !ignored {
 		m.landed(a.From())
 		m.redeem(a.From(), a.Reply().Count)
@@ -169,7 +169,7 @@
 
 func (m *modelRun) decide(ctx context.Context, d stream.Decision) (finished bool, err error) {
 	switch d := d.(type) {
-	case stream.Sends:
+	case stream.Dispatches:
 		m.ran = true
 		for _, s := range d.All() {
 			m.send(s)
@@ -187,7 +187,7 @@
 			return true, m.emit(t)
 		}
 		return true, nil
-	case stream.Break:
+	case stream.Restart:
 		return false, m.broken(ctx, d)
 	case stream.Ignore:
 		m.entry.counters.Add(metric.RepliesDropped, 1)
@@ -215,7 +215,7 @@
 	return nil
 }
 
-func (m *modelRun) broken(ctx context.Context, b stream.Break) error {
+func (m *modelRun) broken(ctx context.Context, b stream.Restart) error {
 	if b.Reason() == metric.RunnerLeaving && b.Runner().MarkLeaving() {
 		event.RunnerEjected.Log(m.entry.Logger, slog.String("runner", b.Runner().Name()), slog.String("cause", "it is leaving"))
 	}
