--- a/coordination/place/improve.go
+++ b/coordination/place/improve.go
@@ -21,7 +21,7 @@
 // hold nothing, or the one move that is worth most once no order is under way. Going all
 // the way to the best layout, engine by engine, was measured to cost more than it gains:
 // each engine on its way serves nothing for a second or two.
-func (p *pool) improve(urgent bool) []Move {
+func (p *pool) improve(urgent bool) []Reassignment {
 	moves := p.useEmpty(urgent)
 	if len(moves) > 0 || urgent || p.underWay() {
 		return moves
@@ -43,8 +43,8 @@
 }
 
 // useEmpty gives each engine that holds nothing the layers that are worth most.
-func (p *pool) useEmpty(urgent bool) []Move {
-	var moves []Move
+func (p *pool) useEmpty(urgent bool) []Reassignment {
+	var moves []Reassignment
 	left := weighingsMost
 	if urgent {
 		left = weighingsUrgent
@@ -59,7 +59,7 @@
 		}
 		if s, _ := p.bestSpan(m, &left); s.Layers() > 0 {
 			p.set(m, s)
-			moves = append(moves, Move{engine: m.id, span: s, reason: Copy})
+			moves = append(moves, Reassignment{engine: m.id, span: s, reason: ReasonReplica})
 		}
 	}
 	return moves
@@ -77,7 +77,7 @@
 
 // improveOne returns the one move that makes the layout worth most, if any is worth its
 // price.
-func (p *pool) improveOne() []Move {
+func (p *pool) improveOne() []Reassignment {
 	left := weighingsMost
 	var chosen *member
 	var span protocol.Span
@@ -91,7 +91,7 @@
 		return nil
 	}
 	p.set(chosen, span)
-	return []Move{{engine: chosen.id, span: span, reason: Better}}
+	return []Reassignment{{engine: chosen.id, span: span, reason: ReasonImprove}}
 }
 
 // bestSpan returns the span that makes the layout worth most if an engine holds it, and
--- a/coordination/place/layout.go
+++ b/coordination/place/layout.go
@@ -15,7 +15,7 @@
 var roomSteps = [...]int{4, 8, 12, 16, 20, 24, 29, 35, 42, 50, 60, 72, 86, 103, 124, 149, 179}
 
 // layOut lays a pool that holds nothing out in the way that is worth most.
-func (p *pool) layOut() []Move {
+func (p *pool) layOut() []Reassignment {
 	target, _ := p.target()
 	return p.movesTo(target)
 }
@@ -103,15 +103,15 @@
 }
 
 // movesTo returns the moves that bring the pool to a layout, and notes them.
-func (p *pool) movesTo(target *pool) []Move {
-	var moves []Move
+func (p *pool) movesTo(target *pool) []Reassignment {
+	var moves []Reassignment
 	for i := range p.engines {
 		m := &p.engines[i]
 		span := target.member(m.id).span
 		if span == m.span || span.Layers() == 0 {
 			continue
 		}
-		moves = append(moves, Move{engine: m.id, span: span, reason: reasonOf(m.span, span)})
+		moves = append(moves, Reassignment{engine: m.id, span: span, reason: reasonOf(m.span, span)})
 		p.set(m, span)
 	}
 	return moves
--- a/coordination/place/mend.go
+++ b/coordination/place/mend.go
@@ -21,8 +21,8 @@
 // mend fills every hole that can be filled, each in the way that is worth most: whole or
 // in parts, by empty engines, by ones whose layers others hold too, and by those beside
 // the hole at the cost of their room.
-func (p *pool) mend() []Move {
-	var moves []Move
+func (p *pool) mend() []Reassignment {
+	var moves []Reassignment
 	for {
 		hole := p.hole()
 		if hole.Layers() == 0 {
@@ -42,7 +42,7 @@
 // fill returns the moves that fill a hole best, or as much of it as can be filled. A data
 // center with a hole serves nothing, so all of it may also be laid out anew, where even the
 // last holder of a layer gives it up: what binds then is only the time to load.
-func (p *pool) fill(hole protocol.Span) []Move {
+func (p *pool) fill(hole protocol.Span) []Reassignment {
 	best, most := p.anewMoves()
 	for parts := 1; parts <= min(partsMost, hole.Layers()); parts++ {
 		t := p.copy()
@@ -56,7 +56,7 @@
 
 // anewMoves returns the moves to a new layout and what it is worth, less its price. An
 // engine that carries out an order takes no other, so there are none while one does.
-func (p *pool) anewMoves() ([]Move, float64) {
+func (p *pool) anewMoves() ([]Reassignment, float64) {
 	if p.touched() || p.underWay() {
 		return nil, math.Inf(-1)
 	}
@@ -78,8 +78,8 @@
 }
 
 // fillParts fills a hole in so many parts of about the same size.
-func (p *pool) fillParts(hole protocol.Span, parts int) []Move {
-	var moves []Move
+func (p *pool) fillParts(hole protocol.Span, parts int) []Reassignment {
+	var moves []Reassignment
 	for i := range parts {
 		part := protocol.Span{
 			From: hole.From + hole.Layers()*i/parts,
@@ -94,8 +94,8 @@
 }
 
 // fillPart returns the move that fills a part of a hole best.
-func (p *pool) fillPart(part protocol.Span) (Move, bool) {
-	var best Move
+func (p *pool) fillPart(part protocol.Span) (Reassignment, bool) {
+	var best Reassignment
 	most := math.Inf(-1)
 	for _, m := range p.representatives() {
 		if m.moved {
@@ -109,7 +109,7 @@
 			p.hold(m, s)
 			if w := p.worthMending(); w > most {
 				most = w
-				best = Move{engine: m.id, span: s, reason: reasonOf(before, s)}
+				best = Reassignment{engine: m.id, span: s, reason: reasonOf(before, s)}
 			}
 			p.hold(m, before)
 		}
@@ -190,10 +190,10 @@
 func reasonOf(before, after protocol.Span) Reason {
 	switch {
 	case before.Layers() == 0:
-		return Hole
+		return ReasonGap
 	case after.From <= before.From && after.To >= before.To:
-		return Grow
+		return ReasonExtend
 	default:
-		return Shift
+		return ReasonShift
 	}
 }
--- a/coordination/place/place.go
+++ b/coordination/place/place.go
@@ -47,33 +47,33 @@
 	Urgent  bool
 }
 
-// Same reports whether two queries have the same answer, since nothing differs that it
+// Equal reports whether two queries have the same answer, since nothing differs that it
 // depends on. The facts are the same only if they stand at the same place.
-func (q *Query) Same(other *Query) bool {
+func (q *Query) Equal(other *Query) bool {
 	return q.Facts == other.Facts && q.Urgent == other.Urgent && slices.Equal(q.Engines, other.Engines)
 }
 
-// Move is the decision that an engine shall hold a span.
-type Move struct {
+// Reassignment is the decision that an engine shall hold a span.
+type Reassignment struct {
 	engine string
 	span   protocol.Span
 	reason Reason
 }
 
 // Engine returns the engine's ID.
-func (m Move) Engine() string { return m.engine }
+func (m Reassignment) Engine() string { return m.engine }
 
 // Span returns the layers that the engine shall hold.
-func (m Move) Span() protocol.Span { return m.span }
+func (m Reassignment) Span() protocol.Span { return m.span }
 
 // Reason returns why.
-func (m Move) Reason() Reason { return m.reason }
+func (m Reassignment) Reason() Reason { return m.reason }
 
-// Cut reports whether the engine shall break off what passes through the layers that
+// Interrupts reports whether the engine shall break off what passes through the layers that
 // it gives up, instead of waiting for it. What passed through one that fills a hole goes
 // on elsewhere after a short pause, while waiting for the longest stream takes ten
 // seconds, in which the data center serves nothing.
-func (m Move) Cut() bool { return m.reason == Shift }
+func (m Reassignment) Interrupts() bool { return m.reason == ReasonShift }
 
 // Reason says why a move is wanted.
 type Reason string
@@ -83,29 +83,31 @@
 // holds the layers beside it and keeps them, one that makes a layout without holes worth
 // more, and a further holder of layers that only slow engines hold.
 const (
-	Hole   Reason = "hole"
-	Copy   Reason = "copy"
-	Shift  Reason = "shift"
-	Grow   Reason = "grow"
-	Better Reason = "better"
-	Relief Reason = "relief"
+	ReasonGap          Reason = "hole"
+	ReasonReplica      Reason = "copy"
+	ReasonShift        Reason = "shift"
+	ReasonExtend       Reason = "grow"
+	ReasonImprove      Reason = "better"
+	ReasonSpareReplica Reason = "relief"
 )
 
 // Reasons returns every reason.
-func Reasons() []Reason { return []Reason{Hole, Copy, Shift, Grow, Better, Relief} }
+func Reasons() []Reason {
+	return []Reason{ReasonGap, ReasonReplica, ReasonShift, ReasonExtend, ReasonImprove, ReasonSpareReplica}
+}
 
 // Plan returns the moves that are wanted now, holes first.
-func Plan(q Query) []Move {
-	var moves []Move
+func Plan(q Query) []Reassignment {
+	var moves []Reassignment
 	for _, p := range pools(q) {
 		moves = append(moves, p.plan(q.Urgent)...)
 	}
-	slices.SortStableFunc(moves, func(a, b Move) int { return cmp.Compare(rank(a.reason), rank(b.reason)) })
+	slices.SortStableFunc(moves, func(a, b Reassignment) int { return cmp.Compare(rank(a.reason), rank(b.reason)) })
 	return moves
 }
 
 // plan returns the moves of one pool. Improvements wait until nothing else is to do.
-func (p *pool) plan(urgent bool) []Move {
+func (p *pool) plan(urgent bool) []Reassignment {
 	if p.bare() {
 		return p.layOut()
 	}
@@ -116,14 +118,14 @@
 }
 
 func rank(r Reason) int {
-	if r == Copy || r == Better || r == Relief {
+	if r == ReasonReplica || r == ReasonImprove || r == ReasonSpareReplica {
 		return 1
 	}
 	return 0
 }
 
-// Capacity returns how many layers an engine holds with room for so many tokens.
-func Capacity(f *protocol.EngineFacts, memoryMB float64, tokens float64) int {
+// LayerCapacity returns how many layers an engine holds with room for so many tokens.
+func LayerCapacity(f *protocol.EngineFacts, memoryMB float64, tokens float64) int {
 	each := f.LayerMB + tokens*f.TokenLayerMB
 	if each <= 0 {
 		return 0
--- a/coordination/place/place_test.go
+++ b/coordination/place/place_test.go
@@ -51,7 +51,7 @@
 	sum := 0
 	for _, e := range engines {
 		if a, ok := f.Accelerator(e.Accelerator); ok && e.DataCenter == center && !e.Leaving {
-			sum += place.Capacity(f, a.MemoryMB, float64((f.UsualPrompt+f.UsualAnswer)*leastRequests))
+			sum += place.LayerCapacity(f, a.MemoryMB, float64((f.UsualPrompt+f.UsualAnswer)*leastRequests))
 		}
 	}
 	return sum >= f.Layers
@@ -92,7 +92,7 @@
 }
 
 // apply carries the moves out.
-func apply(engines []place.Engine, moves []place.Move) {
+func apply(engines []place.Engine, moves []place.Reassignment) {
 	for _, m := range moves {
 		for i := range engines {
 			if engines[i].ID == m.Engine() {
@@ -138,8 +138,8 @@
 	// Layouts of 1.3 copies with the largest engines first, weighed alike: 34.5, 58.3 and
 	// 28.7 requests a second.
 	for c, least := range map[string]float64{"a": 34.5, "b": 58.3, "c": 28.7} {
-		w := place.Weigh(f, in(engines, c))
-		require.Greater(t, w.PerSecond(), least, "%s: room for %.0f requests of %.1f s", c, w.Room(), w.Seconds())
+		w := place.Evaluate(f, in(engines, c))
+		require.Greater(t, w.RequestsPerSecond(), least, "%s: room for %.0f requests of %.1f s", c, w.Capacity(), w.RequestSeconds())
 	}
 	require.Empty(t, place.Plan(place.Query{Facts: f, Engines: engines}), "nothing is left to do")
 }
@@ -158,7 +158,7 @@
 			require.LessOrEqual(t, len(moves), 1, "without a hole only what makes the layout better")
 		}
 		for _, m := range moves {
-			if hole && m.Cut() {
+			if hole && m.Interrupts() {
 				continue // the data center serves nothing until the hole is filled
 			}
 			for _, e := range engines {
@@ -208,7 +208,7 @@
 		require.Positive(t, n, "layer %d", l)
 	}
 	for _, m := range moves {
-		require.Equal(t, place.Shift, m.Reason())
+		require.Equal(t, place.ReasonShift, m.Reason())
 	}
 }
 
@@ -230,8 +230,8 @@
 	filled := 0
 	for _, m := range moves {
 		require.Contains(t, []string{"b", "c", "d", "e"}, m.Engine(), "only engines whose layers others hold too")
-		require.Equal(t, place.Shift, m.Reason())
-		require.True(t, m.Cut(), "waiting for what passes takes as long as the longest stream")
+		require.Equal(t, place.ReasonShift, m.Reason())
+		require.True(t, m.Interrupts(), "waiting for what passes takes as long as the longest stream")
 		require.True(t, m.Span().From >= 24 && m.Span().To <= 33)
 		filled += m.Span().Layers()
 	}
@@ -301,20 +301,20 @@
 		answer := place.Plan(one)
 		require.Equal(t, kept, one.Engines, "a plan changes nothing of its query")
 		require.Equal(t, answer, place.Plan(one))
-		if one.Same(&two) {
+		if one.Equal(&two) {
 			require.Equal(t, answer, place.Plan(two))
 		}
 		other := one
 		other.Facts = facts()
-		require.False(t, one.Same(&other))
+		require.False(t, one.Equal(&other))
 		other = one
 		other.Urgent = !one.Urgent
-		require.False(t, one.Same(&other))
+		require.False(t, one.Equal(&other))
 		other = one
 		other.Engines = slices.Clone(one.Engines)
-		require.True(t, one.Same(&other))
+		require.True(t, one.Equal(&other))
 		other.Engines[0].Leaving = !other.Engines[0].Leaving
-		require.False(t, one.Same(&other))
+		require.False(t, one.Equal(&other))
 	})
 }
 
@@ -329,7 +329,7 @@
 		two.Engines = slices.Clone(engines)
 		b.Run(fmt.Sprintf("engines=%d", len(engines)), func(b *testing.B) {
 			for b.Loop() {
-				if !one.Same(&two) {
+				if !one.Equal(&two) {
 					b.Fatal("the same")
 				}
 			}
--- a/coordination/place/pool.go
+++ b/coordination/place/pool.go
@@ -110,7 +110,7 @@
 // fitting returns how many layers an engine of so much memory holds beside room for so
 // many requests.
 func (p *pool) fitting(memoryMB float64, requests int) int {
-	return Capacity(p.facts, memoryMB, float64((p.facts.UsualPrompt+p.facts.UsualAnswer)*requests))
+	return LayerCapacity(p.facts, memoryMB, float64((p.facts.UsualPrompt+p.facts.UsualAnswer)*requests))
 }
 
 // bare reports whether no engine holds or loads anything.
--- a/coordination/place/relieve.go
+++ b/coordination/place/relieve.go
@@ -12,7 +12,7 @@
 // if some engine can take them without giving up layers that nobody else holds. The slow
 // engine serves meanwhile, so no request is cut for it. Once it is fast again nothing is moved
 // back, unless that makes the layout worth more, as any other move must.
-func (p *pool) relieve() []Move {
+func (p *pool) relieve() []Reassignment {
 	t := p.copy()
 	t.served = slices.Clone(p.served)
 	slow := false // the copy is the pool without what slow engines hold
@@ -32,7 +32,7 @@
 	if !ok {
 		return nil
 	}
-	move.reason = Relief
+	move.reason = ReasonSpareReplica
 	p.set(p.member(move.engine), move.span)
-	return []Move{move}
+	return []Reassignment{move}
 }
--- a/coordination/place/relieve_test.go
+++ b/coordination/place/relieve_test.go
@@ -30,7 +30,7 @@
 	return q
 }
 
-func heldBy(q place.Query, moves []place.Move) []place.Engine {
+func heldBy(q place.Query, moves []place.Reassignment) []place.Engine {
 	after := append([]place.Engine(nil), q.Engines...)
 	for _, m := range moves {
 		for i := range after {
@@ -51,8 +51,8 @@
 	q.Engines[0].Slow = true
 	moves := place.Plan(q)
 	require.Len(t, moves, 1)
-	require.Equal(t, place.Relief, moves[0].Reason())
-	require.False(t, moves[0].Cut())
+	require.Equal(t, place.ReasonSpareReplica, moves[0].Reason())
+	require.False(t, moves[0].Interrupts())
 	require.NotEqual(t, "alone", moves[0].Engine())
 	require.Equal(t, protocol.Span{From: 0, To: 4}, moves[0].Span())
 	q.Engines = heldBy(q, moves)
--- a/coordination/place/weighing.go
+++ b/coordination/place/weighing.go
@@ -68,7 +68,7 @@
 		w.kinds[k] = make([]byLayer, f.Layers)
 		w.order[k] = k
 		for r, room := range roomSteps {
-			w.fits[k][r] = Capacity(f, f.Accelerators[k].MemoryMB, float64((f.UsualPrompt+f.UsualAnswer)*room))
+			w.fits[k][r] = LayerCapacity(f, f.Accelerators[k].MemoryMB, float64((f.UsualPrompt+f.UsualAnswer)*room))
 		}
 	}
 	slices.SortFunc(w.order, func(a, b int) int {
--- a/coordination/place/worth.go
+++ b/coordination/place/worth.go
@@ -62,39 +62,39 @@
 	return (1-lossWeight)*whole + lossWeight*lost/float64(len(p.engines)) - soleWeight*float64(sole)
 }
 
-// Weighed is what a layout is worth, and the terms that it follows from.
-type Weighed struct {
+// Evaluation is what a layout is worth, and the terms that it follows from.
+type Evaluation struct {
 	worth   float64
 	room    float64
 	seconds float64
 }
 
-// Worth returns the logarithm of the requests a second, whole and after losses.
-func (w Weighed) Worth() float64 { return w.worth }
+// Score returns the logarithm of the requests a second, whole and after losses.
+func (w Evaluation) Score() float64 { return w.worth }
 
-// Room returns how many requests of usual size can be open, by the layer with the least.
-func (w Weighed) Room() float64 { return w.room }
+// Capacity returns how many requests of usual size can be open, by the layer with the least.
+func (w Evaluation) Capacity() float64 { return w.room }
 
-// Seconds returns how long each takes while that many are open.
-func (w Weighed) Seconds() float64 { return w.seconds }
+// RequestSeconds returns how long each takes while that many are open.
+func (w Evaluation) RequestSeconds() float64 { return w.seconds }
 
-// PerSecond returns the requests a second that follow.
-func (w Weighed) PerSecond() float64 {
+// RequestsPerSecond returns the requests a second that follow.
+func (w Evaluation) RequestsPerSecond() float64 {
 	if w.seconds <= 0 {
 		return 0
 	}
 	return w.room / w.seconds
 }
 
-// Weigh weighs the engines of a pool as they are laid out.
-func Weigh(f *protocol.EngineFacts, engines []Engine) Weighed {
+// Evaluate weighs the engines of a pool as they are laid out.
+func Evaluate(f *protocol.EngineFacts, engines []Engine) Evaluation {
 	p := newPool(f, engines)
 	w := p.weigh()
 	room := w.least()
 	if room <= 0 {
-		return Weighed{worth: math.Inf(-1)}
+		return Evaluation{worth: math.Inf(-1)}
 	}
-	return Weighed{worth: p.worth(), room: room, seconds: w.seconds(room)}
+	return Evaluation{worth: p.worth(), room: room, seconds: w.seconds(room)}
 }
 
 // worthMending returns what a layout with holes is worth, as if a hole's layers had
--- a/coordination/place/worth_test.go
+++ b/coordination/place/worth_test.go
@@ -50,7 +50,7 @@
 		engines := fleet(map[string][4]int{"a": c.counts})
 		settle(t, f, engines)
 		requireFits(t, f, engines)
-		require.Greater(t, place.Weigh(f, engines).PerSecond(), c.perSecond, "%v", c.counts)
+		require.Greater(t, place.Evaluate(f, engines).RequestsPerSecond(), c.perSecond, "%v", c.counts)
 	}
 }
 
@@ -60,18 +60,18 @@
 	f := slowLarge()
 	engines := fleet(map[string][4]int{"a": {2, 4, 4}})
 	settle(t, f, engines)
-	whole := place.Weigh(f, engines).PerSecond()
+	whole := place.Evaluate(f, engines).RequestsPerSecond()
 	lost := slices.IndexFunc(engines, func(e place.Engine) bool { return e.Accelerator == "h100" })
 	back := engines[lost]
 	rest := slices.Delete(slices.Clone(engines), lost, lost+1)
 	settle(t, f, rest)
-	require.Greater(t, place.Weigh(f, rest).PerSecond(), whole/4, "the others take its layers over")
+	require.Greater(t, place.Evaluate(f, rest).RequestsPerSecond(), whole/4, "the others take its layers over")
 	back.Held, back.Serving = protocol.Span{}, protocol.Span{}
 	rest = append(rest, back)
 	settle(t, f, rest)
 	requireFits(t, f, rest)
 	require.Greater(t, rest[len(rest)-1].Held.Layers(), 15, "it holds a good part of the model")
-	require.Greater(t, place.Weigh(f, rest).PerSecond(), whole/2)
+	require.Greater(t, place.Evaluate(f, rest).RequestsPerSecond(), whole/2)
 }
 
 // TestALayoutIsWorthMoreWithAFurtherHolder and nothing with a hole.
@@ -84,10 +84,10 @@
 	}
 	single := []place.Engine{holds("a", 0, 4), holds("b", 4, 8)}
 	double := append(slices.Clone(single), holds("c", 0, 4))
-	require.Greater(t, place.Weigh(f, double).Worth(), place.Weigh(f, single).Worth())
-	hole := place.Weigh(f, single[:1])
-	require.True(t, math.IsInf(hole.Worth(), -1))
-	require.Zero(t, hole.PerSecond())
+	require.Greater(t, place.Evaluate(f, double).Score(), place.Evaluate(f, single).Score())
+	hole := place.Evaluate(f, single[:1])
+	require.True(t, math.IsInf(hole.Score(), -1))
+	require.Zero(t, hole.RequestsPerSecond())
 }
 
 // TestImprovementsRaiseTheWorth draws layouts: each move that is only to improve one makes
@@ -107,14 +107,14 @@
 			if len(moves) == 0 {
 				return
 			}
-			before := place.Weigh(f, engines).Worth()
-			improves := moves[0].Reason() == place.Better
+			before := place.Evaluate(f, engines).Score()
+			improves := moves[0].Reason() == place.ReasonImprove
 			if improves {
 				require.Empty(t, place.Plan(place.Query{Facts: f, Engines: engines, Urgent: true}))
 			}
 			apply(engines, moves)
 			if improves {
-				require.Greater(t, place.Weigh(f, engines).Worth(), before)
+				require.Greater(t, place.Evaluate(f, engines).Score(), before)
 			}
 		}
 		t.Fatalf("plans never end")
--- a/transport/director/moves.go
+++ b/transport/director/moves.go
@@ -28,7 +28,7 @@
 
 // move is a wanted move with the engine's address.
 type move struct {
-	place.Move
+	place.Reassignment
 
 	address    string
 	unrecorded bool   // the engine has no record yet
@@ -111,7 +111,7 @@
 			continue
 		}
 		kind, unrecorded := kinds[m.Engine()]
-		moves = append(moves, move{Move: m, address: addresses[m.Engine()], unrecorded: unrecorded, kind: kind})
+		moves = append(moves, move{Reassignment: m, address: addresses[m.Engine()], unrecorded: unrecorded, kind: kind})
 	}
 	return moves
 }
@@ -183,15 +183,15 @@
 // planned is what was asked of placement last for a service, and its answer.
 type planned struct {
 	query place.Query
-	moves []place.Move
+	moves []place.Reassignment
 }
 
 // plan returns the moves that are wanted, without working them out again where nothing has
 // changed: the answer depends on the query alone. Each entry asks twice a second, since an
 // engine may have been found lost, and with 195 engines of a data center, some of them
 // empty, an answer takes 2.3 ms; comparing the queries takes 1.2 us.
-func (d *Director) plan(service string, q place.Query) []place.Move {
-	if last, ok := d.plans[service]; ok && last.query.Same(&q) {
+func (d *Director) plan(service string, q place.Query) []place.Reassignment {
+	if last, ok := d.plans[service]; ok && last.query.Equal(&q) {
 		return last.moves
 	}
 	moves := place.Plan(q)
--- a/transport/director/order.go
+++ b/transport/director/order.go
@@ -112,7 +112,7 @@
 	d.Counters.Ordered(string(g.move.Reason()))
 	answer, err := d.Engines.Place(ctx, protocol.PlaceOrder{
 		EndpointID: g.move.Engine(), Address: g.move.address, Layers: g.move.Span(), Epoch: g.epoch, Orders: report.Orders,
-		Cut: g.move.Cut(),
+		Cut: g.move.Interrupts(),
 	})
 	if err != nil {
 		g.misdirected(err)
@@ -122,7 +122,7 @@
 		g.doubt()
 	}
 	event.OrderGiven.Log(d.Logger, slog.String("runner", g.move.Engine()), slog.String("layers", g.move.Span().String()),
-		slog.String("reason", string(g.move.Reason())), slog.Bool("cut", g.move.Cut()), slog.Uint64("epoch", g.epoch), slog.Int("answer", int(answer)))
+		slog.String("reason", string(g.move.Reason())), slog.Bool("cut", g.move.Interrupts()), slog.Uint64("epoch", g.epoch), slog.Int("answer", int(answer)))
 }
 
 // doubt notes that the order may take effect.
