--- a/coordination/path/center.go
+++ b/coordination/path/center.go
@@ -4,7 +4,7 @@
 
 import "math/rand/v2"
 
-// FirstCenter returns the data center whose engines come first for a send: the entry's own,
+// FirstDataCenter returns the data center whose engines come first for a send: the entry's own,
 // and any of those that hold the model for a stream that has to go on elsewhere.
 //
 // When an engine is lost, all streams that passed it have their prompts read again at the
@@ -13,7 +13,7 @@
 // (means of two plays each, 86 engines in three data centers, three lost at once, three
 // times a day). Bytes between data centers have a price, but a stream's own are few; its
 // activations stay where it runs.
-func FirstCenter(home string, centers []string, goesOn bool, draw *rand.Rand) string {
+func FirstDataCenter(home string, centers []string, goesOn bool, draw *rand.Rand) string {
 	if !goesOn || len(centers) == 0 {
 		return home
 	}
--- a/coordination/path/center_test.go
+++ b/coordination/path/center_test.go
@@ -43,7 +43,7 @@
 	inTime := func(goesOn bool) int {
 		var firsts []string
 		for range brokenStreams {
-			firsts = append(firsts, path.FirstCenter("a", centers, goesOn, draw))
+			firsts = append(firsts, path.FirstDataCenter("a", centers, goesOn, draw))
 		}
 		n := 0
 		for _, p := range pauses(firsts) {
@@ -61,9 +61,9 @@
 // data centers that hold the model.
 func TestNewRequestsStayAtHome(t *testing.T) {
 	draw := rand.New(rand.NewPCG(1, 2))
-	require.Equal(t, "a", path.FirstCenter("a", []string{"a", "b"}, false, draw))
-	require.Equal(t, "a", path.FirstCenter("a", nil, true, draw))
+	require.Equal(t, "a", path.FirstDataCenter("a", []string{"a", "b"}, false, draw))
+	require.Equal(t, "a", path.FirstDataCenter("a", nil, true, draw))
 	for range 20 {
-		require.True(t, slices.Contains([]string{"b", "c"}, path.FirstCenter("a", []string{"b", "c"}, true, draw)))
+		require.True(t, slices.Contains([]string{"b", "c"}, path.FirstDataCenter("a", []string{"b", "c"}, true, draw)))
 	}
 }
--- a/coordination/path/parts.go
+++ b/coordination/path/parts.go
@@ -17,7 +17,7 @@
 	desperateSeconds = 10
 )
 
-// Parts fills p with the cheapest path on which a runner may run a part of the
+// ChooseSubspans fills p with the cheapest path on which a runner may run a part of the
 // layers that it holds, and returns -1, or the first layer that can't be reached.
 // It is for engines that take the layers of each stage with the request. A stage
 // begins and ends only where some runner's span does, so that the work is bounded
@@ -25,7 +25,7 @@
 //
 // Runners that are left out or to be avoided are taken only when no path does
 // without them, those that are leaving never.
-func Parts(m *fleet.Model, q *Query, p *Path) int {
+func ChooseSubspans(m *fleet.Model, q *Query, p *Path) int {
 	if m == nil || m.Layers() <= 0 || m.Layers() > MaxLayers {
 		return 0
 	}
@@ -100,11 +100,11 @@
 	at := s.bounds[begin]
 	for _, r := range g.Runners() {
 		penalty, ok := penaltyOf(r, q, desperate)
-		if !ok || s.kept != nil && s.kept.Holds(r) {
+		if !ok || s.kept != nil && s.kept.Contains(r) {
 			continue
 		}
-		fixed, layer := r.Parts(q.Now, q.Positions, q.Write, q.Sharers)
-		fixed += penalty + q.Draw.Float64()*tieSeconds
+		fixed, layer := r.Parts(q.Now, q.Positions, q.OutputTokens, q.Entries)
+		fixed += penalty + q.Rand.Float64()*tieSeconds
 		for i := begin + 1; i < s.count && s.bounds[i] <= g.Span().To; i++ {
 			to := s.bounds[i]
 			if cost := s.best[at] + fixed + layer*float64(to-at); cost < s.best[to] {
--- a/coordination/path/parts_test.go
+++ b/coordination/path/parts_test.go
@@ -58,8 +58,8 @@
 			whole = whole && c
 		}
 		var p path.Path
-		q := path.Query{Now: now, Positions: 10, Draw: rand.New(rand.NewPCG(1, 2))}
-		missing := path.Parts(view.Model(partsModel), &q, &p)
+		q := path.Query{Now: now, Positions: 10, Rand: rand.New(rand.NewPCG(1, 2))}
+		missing := path.ChooseSubspans(view.Model(partsModel), &q, &p)
 		require.Equal(t, whole, missing < 0)
 		if !whole {
 			require.False(t, covered[missing], "layer %d is said to be missing", missing)
@@ -80,24 +80,24 @@
 func TestPartsGoAroundARunnerThatIsLeftOut(t *testing.T) {
 	view := gather(10, []protocol.Span{{From: 0, To: 10}, {From: 0, To: 6}, {From: 4, To: 10}})
 	now := time.Unix(100, 0)
-	q := path.Query{Now: now, Positions: 1000, Draw: rand.New(rand.NewPCG(1, 2))}
+	q := path.Query{Now: now, Positions: 1000, Rand: rand.New(rand.NewPCG(1, 2))}
 	var p path.Path
-	require.Negative(t, path.Parts(view.Model(partsModel), &q, &p))
+	require.Negative(t, path.ChooseSubspans(view.Model(partsModel), &q, &p))
 	require.Equal(t, 1, p.Len(), "one runner that holds all is cheapest")
 	view.Runner("r0").Suspect(now.Add(time.Second))
-	require.Negative(t, path.Parts(view.Model(partsModel), &q, &p))
+	require.Negative(t, path.ChooseSubspans(view.Model(partsModel), &q, &p))
 	require.Equal(t, 2, p.Len())
 	view.Runner("r1").LeaveOut(now.Add(time.Second))
-	require.Negative(t, path.Parts(view.Model(partsModel), &q, &p), "the last resort is taken rather than none")
+	require.Negative(t, path.ChooseSubspans(view.Model(partsModel), &q, &p), "the last resort is taken rather than none")
 	view.Runner("r0").Works()
-	require.Negative(t, path.Parts(view.Model(partsModel), &q, &p))
+	require.Negative(t, path.ChooseSubspans(view.Model(partsModel), &q, &p))
 	require.Equal(t, "r0", p.Runner(0).Name())
 }
 
 func TestPartsDontAllocate(t *testing.T) {
 	view, q := partsFleet(14)
 	var p path.Path
-	require.Zero(t, testing.AllocsPerRun(100, func() { path.Parts(view.Model(partsModel), &q, &p) }))
+	require.Zero(t, testing.AllocsPerRun(100, func() { path.ChooseSubspans(view.Model(partsModel), &q, &p) }))
 }
 
 // partsFleet is a data center with that many runners for 80 layers.
@@ -108,7 +108,7 @@
 		spans[i] = protocol.Span{From: from, To: min(80, from+10)}
 	}
 	spans[0] = protocol.Span{From: 0, To: 10}
-	return gather(80, spans), path.Query{Now: time.Unix(100, 0), Positions: 800, Draw: rand.New(rand.NewPCG(1, 2))}
+	return gather(80, spans), path.Query{Now: time.Unix(100, 0), Positions: 800, Rand: rand.New(rand.NewPCG(1, 2))}
 }
 
 func BenchmarkParts(b *testing.B) {
@@ -118,7 +118,7 @@
 			b.ReportAllocs()
 			var p path.Path
 			for b.Loop() {
-				path.Parts(view.Model(partsModel), &q, &p)
+				path.ChooseSubspans(view.Model(partsModel), &q, &p)
 			}
 		})
 	}
@@ -137,15 +137,15 @@
 		}
 		view := gather(layers, spans)
 		now := time.Unix(100, 0)
-		q := path.Query{Now: now, Positions: 100, Write: 100, Draw: rand.New(rand.NewPCG(1, 2))}
+		q := path.Query{Now: now, Positions: 100, OutputTokens: 100, Rand: rand.New(rand.NewPCG(1, 2))}
 		var before, after path.Path
-		reached := path.Parts(view.Model(partsModel), &q, &before)
+		reached := path.ChooseSubspans(view.Model(partsModel), &q, &before)
 		for i := range spans {
 			if pace := rapid.SampledFrom([]float64{1, 1, 1.5, 12, 1000}).Draw(t, "pace"); pace > 1 {
 				view.Runner(fmt.Sprint("r", i)).Slow(pace, now, now.Add(time.Second))
 			}
 		}
-		require.Equal(t, reached, path.Parts(view.Model(partsModel), &q, &after))
+		require.Equal(t, reached, path.ChooseSubspans(view.Model(partsModel), &q, &after))
 	})
 }
 
@@ -156,9 +156,9 @@
 	view.Runner("r0").Slow(12, now, now.Add(time.Second))
 	view.Runner("r2").Slow(12, now, now.Add(time.Second))
 	for seed := range uint64(20) {
-		q := path.Query{Now: now, Positions: 1000, Write: 100, Draw: rand.New(rand.NewPCG(seed, 2))}
+		q := path.Query{Now: now, Positions: 1000, OutputTokens: 100, Rand: rand.New(rand.NewPCG(seed, 2))}
 		var p path.Path
-		require.Equal(t, -1, path.Parts(view.Model(partsModel), &q, &p))
+		require.Equal(t, -1, path.ChooseSubspans(view.Model(partsModel), &q, &p))
 		require.Equal(t, "r1", p.Runner(0).Name())
 		require.Equal(t, "r2", p.Runner(1).Name())
 	}
--- a/coordination/path/path.go
+++ b/coordination/path/path.go
@@ -57,41 +57,41 @@
 // Policy is a way to choose among the runners of a group.
 type Policy interface{ policy() }
 
-// ByCost compares the runners of the entry's subset by their expected time. It is
+// LowestCost compares the runners of the entry's subset by their expected time. It is
 // the policy in use; the others are baselines.
-type ByCost struct{}
+type LowestCost struct{}
 
-// ByReport takes the runner with the least load as last reported.
-type ByReport struct{}
+// LowestReportedLoad takes the runner with the least load as last reported.
+type LowestReportedLoad struct{}
 
-// ByTurn takes the runners in turn.
-type ByTurn struct{ Turn *uint64 }
+// RoundRobin takes the runners in turn.
+type RoundRobin struct{ Counter *uint64 }
 
-// ByChance takes any runner.
-type ByChance struct{}
+// Random takes any runner.
+type Random struct{}
 
-// ByChain always takes the same runner of a group for the same chain number,
+// FixedPipeline always takes the same runner of a group for the same chain number,
 // as a fixed pipeline does.
-type ByChain struct{ Turn *uint64 }
+type FixedPipeline struct{ Index *uint64 }
 
-func (ByCost) policy()   {}
-func (ByReport) policy() {}
-func (ByTurn) policy()   {}
-func (ByChance) policy() {}
-func (ByChain) policy()  {}
+func (LowestCost) policy()         {}
+func (LowestReportedLoad) policy() {}
+func (RoundRobin) policy()         {}
+func (Random) policy()             {}
+func (FixedPipeline) policy()      {}
 
 // Query is what a choice depends on besides the fleet. Avoid lists runners that
 // have failed this request; they are taken only when nothing else holds a layer.
 type Query struct {
 	Now       time.Time
 	Positions int
-	// Write is how many tokens the request will write, and Sharers how many entries
+	// OutputTokens is how many tokens the request will write, and Sharers how many entries
 	// send to the same runners; Parts alone uses them.
-	Write   int
-	Sharers float64
-	Draw    *rand.Rand
-	Avoid   []*fleet.Runner
-	Policy  Policy
+	OutputTokens int
+	Entries      float64
+	Rand         *rand.Rand
+	Avoid        []*fleet.Runner
+	Policy       Policy
 }
 
 // Decision is either Found or Missing.
@@ -122,9 +122,9 @@
 	return found
 }
 
-// Into is Choose for hot paths: it fills p and returns -1, or returns the first
+// ChooseInto is Choose for hot paths: it fills p and returns -1, or returns the first
 // layer that can't be reached. It does not allocate.
-func Into(m *fleet.Model, q *Query, p *Path) int { return choose(m, q, p) }
+func ChooseInto(m *fleet.Model, q *Query, p *Path) int { return choose(m, q, p) }
 
 func choose(m *fleet.Model, q *Query, p *Path) int {
 	if m == nil || m.Layers() <= 0 || m.Layers() > MaxLayers {
@@ -187,7 +187,7 @@
 func pick(g *fleet.Group, q *Query) (*fleet.Runner, float64) {
 	r, cost := pickWithin(g.Runners(), q)
 	if (r == nil || !r.Usable(q.Now)) && len(g.All()) > len(g.Runners()) {
-		if other, otherCost := pickFrom(g.All(), q, q.Draw.IntN(len(g.All()))); other != nil {
+		if other, otherCost := pickFrom(g.All(), q, q.Rand.IntN(len(g.All()))); other != nil {
 			return other, otherCost
 		}
 	}
@@ -196,15 +196,15 @@
 
 func pickWithin(runners []*fleet.Runner, q *Query) (*fleet.Runner, float64) {
 	switch policy := q.Policy.(type) {
-	case ByReport:
+	case LowestReportedLoad:
 		return pickLeastReported(runners, q)
-	case ByTurn:
-		*policy.Turn++
-		return pickFrom(runners, q, int(*policy.Turn%uint64(max(1, len(runners)))))
-	case ByChain:
-		return pickFrom(runners, q, int(*policy.Turn%uint64(max(1, len(runners)))))
-	case ByChance:
-		return pickFrom(runners, q, q.Draw.IntN(max(1, len(runners))))
+	case RoundRobin:
+		*policy.Counter++
+		return pickFrom(runners, q, int(*policy.Counter%uint64(max(1, len(runners)))))
+	case FixedPipeline:
+		return pickFrom(runners, q, int(*policy.Index%uint64(max(1, len(runners)))))
+	case Random:
+		return pickFrom(runners, q, q.Rand.IntN(max(1, len(runners))))
 	default:
 		return pickByCost(runners, q)
 	}
@@ -218,7 +218,7 @@
 	}
 	var chosen *fleet.Runner
 	least := math.Inf(1)
-	start := q.Draw.IntN(len(runners))
+	start := q.Rand.IntN(len(runners))
 	for i := range runners {
 		r := runners[(start+i)%len(runners)]
 		if !r.Usable(q.Now) || avoided(q.Avoid, r) {
--- a/coordination/path/path_test.go
+++ b/coordination/path/path_test.go
@@ -37,7 +37,7 @@
 // some layer can't be reached.
 func TestAPathCoversEveryLayerOnce(t *testing.T) {
 	var turn uint64
-	policies := []path.Policy{nil, path.ByCost{}, path.ByReport{}, path.ByChance{}, path.ByTurn{Turn: &turn}, path.ByChain{Turn: &turn}}
+	policies := []path.Policy{nil, path.LowestCost{}, path.LowestReportedLoad{}, path.Random{}, path.RoundRobin{Counter: &turn}, path.FixedPipeline{Index: &turn}}
 	rapid.Check(t, func(t *rapid.T) {
 		layers := rapid.IntRange(1, 24).Draw(t, "layers")
 		var runners []protocol.Runner
@@ -58,7 +58,7 @@
 			}
 		}
 		d := path.Choose(v.Model("m"), path.Query{
-			Now: now, Positions: 3, Draw: draw(), Policy: rapid.SampledFrom(policies).Draw(t, "policy"),
+			Now: now, Positions: 3, Rand: draw(), Policy: rapid.SampledFrom(policies).Draw(t, "policy"),
 		})
 		switch d := d.(type) {
 		case *path.Found:
@@ -77,9 +77,9 @@
 }
 
 func TestNothingToChooseFrom(t *testing.T) {
-	require.IsType(t, path.Missing{}, path.Choose(nil, path.Query{Now: now, Draw: draw()}))
+	require.IsType(t, path.Missing{}, path.Choose(nil, path.Query{Now: now, Rand: draw()}))
 	v := view(t, 4, []protocol.Runner{{From: 0, To: 2, Speed: 1}})
-	missing, ok := path.Choose(v.Model("m"), path.Query{Now: now, Draw: draw()}).(path.Missing)
+	missing, ok := path.Choose(v.Model("m"), path.Query{Now: now, Rand: draw()}).(path.Missing)
 	require.True(t, ok)
 	require.Equal(t, 2, missing.Layer())
 }
@@ -87,7 +87,7 @@
 func TestChoiceAvoidsWhatFailedUnlessItIsAlone(t *testing.T) {
 	v := view(t, 4, []protocol.Runner{{From: 0, To: 4, Speed: 9}, {From: 0, To: 4, Speed: 1}})
 	bad := v.Runner("r0")
-	q := path.Query{Now: now, Positions: 1, Draw: draw(), Avoid: []*fleet.Runner{bad}}
+	q := path.Query{Now: now, Positions: 1, Rand: draw(), Avoid: []*fleet.Runner{bad}}
 	require.Equal(t, "r1", path.Choose(v.Model("m"), q).(*path.Found).Path().Runner(0).Name())
 	v.Runner("r1").MarkLeaving()
 	require.Equal(t, "r0", path.Choose(v.Model("m"), q).(*path.Found).Path().Runner(0).Name())
@@ -98,7 +98,7 @@
 	v.Runner("r0").Failed(now)
 	v.Runner("r0").Failed(now)
 	v.Runner("r1").Failed(now)
-	found := path.Choose(v.Model("m"), path.Query{Now: now, Positions: 1, Draw: draw()}).(*path.Found)
+	found := path.Choose(v.Model("m"), path.Query{Now: now, Positions: 1, Rand: draw()}).(*path.Found)
 	require.Equal(t, "r1", found.Path().Runner(0).Name(), "the ejection that ends first")
 }
 
@@ -113,7 +113,7 @@
 	v := view(t, 4, runners)
 	own := v.Model("m").Groups()[0].Runners()
 	require.Len(t, own, fleet.Subset)
-	q := path.Query{Now: now, Positions: 1, Draw: draw()}
+	q := path.Query{Now: now, Positions: 1, Rand: draw()}
 	used := map[*fleet.Runner]bool{}
 	for range 200 {
 		used[path.Choose(v.Model("m"), q).(*path.Found).Path().Runner(0)] = true
@@ -142,11 +142,11 @@
 	for _, n := range []int{40, 160, 640, 1600, 4900} {
 		b.Run(fmt.Sprint("runners=", n), func(b *testing.B) {
 			v := bench(b, n)
-			q := path.Query{Now: now, Positions: 64, Draw: draw()}
+			q := path.Query{Now: now, Positions: 64, Rand: draw()}
 			var p path.Path
 			b.ReportAllocs()
 			for b.Loop() {
-				if path.Into(v.Model("m"), &q, &p) >= 0 {
+				if path.ChooseInto(v.Model("m"), &q, &p) >= 0 {
 					b.Fatal("no path")
 				}
 			}
--- a/coordination/path/replace.go
+++ b/coordination/path/replace.go
@@ -9,12 +9,12 @@
 	"pinerun.example/pinerun/state/fleet"
 )
 
-// Replace fills p with a path in which runners of a model run the layers of the stages
+// ReplaceStages fills p with a path in which runners of a model run the layers of the stages
 // that are lost, each hole on its cheapest way, while the other stages stay as they are.
 // It reports whether there is one. Runners that are left out, to be avoided or leaving are
 // never taken, nor one that the path keeps: engines refuse a path that names one twice.
 // Its cost is that of the new stages. It does not allocate.
-func Replace(m *fleet.Model, q *Query, old *Path, lost []*fleet.Runner, p *Path) bool {
+func ReplaceStages(m *fleet.Model, q *Query, old *Path, lost []*fleet.Runner, p *Path) bool {
 	if m == nil || m.Layers() <= 0 || m.Layers() > MaxLayers {
 		return false
 	}
@@ -63,8 +63,8 @@
 	return true
 }
 
-// Has reports whether a runner runs just that span in the path.
-func (p *Path) Has(r *fleet.Runner, span protocol.Span) bool {
+// HasStage reports whether a runner runs just that span in the path.
+func (p *Path) HasStage(r *fleet.Runner, span protocol.Span) bool {
 	for i := range p.length {
 		if p.runners[i] == r && p.spans[i] == span {
 			return true
@@ -73,8 +73,8 @@
 	return false
 }
 
-// Holds reports whether a runner stands in the path.
-func (p *Path) Holds(r *fleet.Runner) bool { return slices.Contains(p.runners[:p.length], r) }
+// Contains reports whether a runner stands in the path.
+func (p *Path) Contains(r *fleet.Runner) bool { return slices.Contains(p.runners[:p.length], r) }
 
 // without returns the stages of the path whose runners are not lost.
 func (p *Path) without(lost []*fleet.Runner) Path {
--- a/coordination/repath/course.go
+++ b/coordination/repath/course.go
@@ -89,7 +89,7 @@
 // Uses reports whether a stage of the path so far is surely still in use. It is not if an
 // order that replaces it may have been taken.
 func (c *Course) Uses(r *fleet.Runner, span protocol.Span) bool {
-	return c.progress == resting && !c.doubted || c.next.Has(r, span)
+	return c.progress == resting && !c.doubted || c.next.HasStage(r, span)
 }
 
 // Answered takes what became of the order. After an outcome other than InDoubt it is no
--- a/coordination/repath/repath.go
+++ b/coordination/repath/repath.go
@@ -112,7 +112,7 @@
 	}
 	for _, lost := range [][]*fleet.Runner{q.Lost, rest} {
 		for _, m := range models {
-			if path.Replace(m, &search, &q.Path, lost, p) && roomy(p, q) {
+			if path.ReplaceStages(m, &search, &q.Path, lost, p) && roomy(p, q) {
 				return true
 			}
 		}
@@ -124,7 +124,7 @@
 func roomy(p *path.Path, q *Query) bool {
 	for i := range p.Len() {
 		r, span := p.Runner(i), p.Span(i)
-		if q.Path.Has(r, span) {
+		if q.Path.HasStage(r, span) {
 			continue
 		}
 		if r.Fill(q.Search.Now, float64((q.Tokens+q.Left)*span.Layers())) > roomMost {
@@ -140,10 +140,10 @@
 	seconds := 0.0
 	for i := range p.Len() {
 		r, span := p.Runner(i), p.Span(i)
-		if has != nil && has.Has(r, span) {
+		if has != nil && has.HasStage(r, span) {
 			continue
 		}
-		fixed, layer := r.Parts(q.Search.Now, q.Tokens, 0, q.Search.Sharers)
+		fixed, layer := r.Parts(q.Search.Now, q.Tokens, 0, q.Search.Entries)
 		seconds += fixed + layer*float64(span.Layers())
 	}
 	return seconds
@@ -153,7 +153,7 @@
 func total(p *path.Path, q *Query, has *path.Path) float64 {
 	seconds := reading(p, q, has)
 	for i := range p.Len() {
-		_, layer := p.Runner(i).Parts(q.Search.Now, 0, q.Left, q.Search.Sharers)
+		_, layer := p.Runner(i).Parts(q.Search.Now, 0, q.Left, q.Search.Entries)
 		seconds += layer * float64(p.Span(i).Layers())
 	}
 	return seconds
--- a/coordination/repath/repath_test.go
+++ b/coordination/repath/repath_test.go
@@ -35,7 +35,7 @@
 func name(i int) string { return fmt.Sprint("r", i) }
 
 func search() path.Query {
-	return path.Query{Now: now, Positions: 800, Write: 200, Sharers: 1, Draw: rand.New(rand.NewPCG(1, 2))}
+	return path.Query{Now: now, Positions: 800, OutputTokens: 200, Entries: 1, Rand: rand.New(rand.NewPCG(1, 2))}
 }
 
 // whole returns the cheapest path through the view.
@@ -43,7 +43,7 @@
 	var p path.Path
 	q := search()
 	q.Avoid = avoid
-	require.Negative(t, path.Parts(v.Model(model), &q, &p))
+	require.Negative(t, path.ChooseSubspans(v.Model(model), &q, &p))
 	return p
 }
 
@@ -62,9 +62,9 @@
 	d, ok := choose(v, &repath.Query{Path: p, Lost: []*fleet.Runner{v.Runner("r1")}, Tokens: 900, Left: 100}).(*repath.Change)
 	require.True(t, ok)
 	require.Equal(t, 3, d.Path().Len())
-	require.True(t, d.Path().Has(v.Runner("r0"), protocol.Span{From: 0, To: 3}))
-	require.True(t, d.Path().Has(v.Runner("r3"), protocol.Span{From: 3, To: 6}))
-	require.True(t, d.Path().Has(v.Runner("r2"), protocol.Span{From: 6, To: 9}))
+	require.True(t, d.Path().HasStage(v.Runner("r0"), protocol.Span{From: 0, To: 3}))
+	require.True(t, d.Path().HasStage(v.Runner("r3"), protocol.Span{From: 3, To: 6}))
+	require.True(t, d.Path().HasStage(v.Runner("r2"), protocol.Span{From: 6, To: 9}))
 }
 
 func TestALostFirstStageCantBeReplaced(t *testing.T) {
@@ -84,13 +84,13 @@
 	var p path.Path
 	q := search()
 	q.Avoid = []*fleet.Runner{v.Runner("r3")}
-	require.True(t, path.Replace(v.Model(model), &q, &three, q.Avoid, &p))
-	require.True(t, p.Has(v.Runner("r2"), protocol.Span{From: 4, To: 6}))
+	require.True(t, path.ReplaceStages(v.Model(model), &q, &three, q.Avoid, &p))
+	require.True(t, p.HasStage(v.Runner("r2"), protocol.Span{From: 4, To: 6}))
 	v.Runner("r3").MarkLeaving()
 	d, ok := choose(v, &repath.Query{Path: p, Lost: []*fleet.Runner{v.Runner("r1")}}).(*repath.Change)
 	require.True(t, ok)
 	require.Equal(t, 2, d.Path().Len())
-	require.True(t, d.Path().Has(v.Runner("r2"), protocol.Span{From: 2, To: 6}))
+	require.True(t, d.Path().HasStage(v.Runner("r2"), protocol.Span{From: 2, To: 6}))
 }
 
 // TestASlowReplacementIsNotTaken where the whole request is done sooner elsewhere.
@@ -157,7 +157,7 @@
 			require.True(t, r.Span().From <= span.From && span.To <= r.Span().To && span.Layers() > 0)
 			require.False(t, seen[r], "named twice")
 			require.NotContains(t, q.Lost, r)
-			require.True(t, p.Has(r, span) || r.Usable(now), "new work for a runner that takes none")
+			require.True(t, p.HasStage(r, span) || r.Usable(now), "new work for a runner that takes none")
 			seen[r], at = true, span.To
 		}
 		require.Equal(t, layers, at)
--- a/coordination/slow/play_test.go
+++ b/coordination/slow/play_test.go
@@ -60,9 +60,9 @@
 
 // serve runs a request over the path that is chosen, and returns how long it took.
 func (p *played) serve(now time.Time, draw *rand.Rand) time.Duration {
-	q := path.Query{Now: now, Positions: 1, Write: 100, Sharers: 1, Draw: draw}
+	q := path.Query{Now: now, Positions: 1, OutputTokens: 100, Entries: 1, Rand: draw}
 	var way path.Path
-	if path.Parts(p.view.Model("m"), &q, &way) >= 0 {
+	if path.ChooseSubspans(p.view.Model("m"), &q, &way) >= 0 {
 		panic("every layer has holders")
 	}
 	done := now
--- a/coordination/stream/stream_test.go
+++ b/coordination/stream/stream_test.go
@@ -102,7 +102,7 @@
 func (d *delivery) begin() {
 	d.ran = map[int][]protocol.Span{}
 	found, ok := path.Choose(d.view.Model("m"), path.Query{
-		Now: time.Unix(1, 0), Positions: 1, Draw: rand.New(rand.NewPCG(uint64(d.machine.Attempt()), 1)),
+		Now: time.Unix(1, 0), Positions: 1, Rand: rand.New(rand.NewPCG(uint64(d.machine.Attempt()), 1)),
 	}).(*path.Found)
 	require.True(d.t, ok)
 	d.send(d.machine.Begin(found.Path()))
@@ -182,7 +182,7 @@
 		view := fleetOf(t, [][2]int{{0, 12}})
 		var m stream.Machine
 		m.Open(7, layers, []int32{1}, 4, 0)
-		found := path.Choose(view.Model("m"), path.Query{Now: time.Unix(1, 0), Draw: rand.New(rand.NewPCG(1, 1))}).(*path.Found)
+		found := path.Choose(view.Model("m"), path.Query{Now: time.Unix(1, 0), Rand: rand.New(rand.NewPCG(1, 1))}).(*path.Found)
 		s := m.Begin(found.Path())
 		d := m.HandleReply(s.Runner(), protocol.Reply{Request: 7, Attempt: 1, Number: 1, Fault: fault})
 		require.IsType(t, stream.Restart{}, d, fault.String())
--- a/transport/entry/entry_test.go
+++ b/transport/entry/entry_test.go
@@ -337,8 +337,8 @@
 
 func (x *direct) tokens(n int) error {
 	var p path.Path
-	q := path.Query{Now: time.Now(), Positions: 1, Draw: mathrand.New(mathrand.NewPCG(mathrand.Uint64(), 1)), Policy: path.ByChance{}}
-	if path.Into(x.view.Model("fares"), &q, &p) >= 0 {
+	q := path.Query{Now: time.Now(), Positions: 1, Rand: mathrand.New(mathrand.NewPCG(mathrand.Uint64(), 1)), Policy: path.Random{}}
+	if path.ChooseInto(x.view.Model("fares"), &q, &p) >= 0 {
 		return fmt.Errorf("no path")
 	}
 	var m stream.Machine
--- a/transport/entry/model_run.go
+++ b/transport/entry/model_run.go
@@ -94,15 +94,15 @@
 func (m *modelRun) policy() path.Policy {
 	switch m.entry.Settings.PathPolicy {
 	case "report":
-		return path.ByReport{}
+		return path.LowestReportedLoad{}
 	case "turn":
-		return path.ByTurn{Turn: &m.turn}
+		return path.RoundRobin{Counter: &m.turn}
 	case "chance":
-		return path.ByChance{}
+		return path.Random{}
 	case "chain":
-		return path.ByChain{Turn: &m.turn}
+		return path.FixedPipeline{Index: &m.turn}
 	default:
-		return path.ByCost{}
+		return path.LowestCost{}
 	}
 }
 
--- a/transport/entry/restrain.go
+++ b/transport/entry/restrain.go
@@ -89,10 +89,10 @@
 		}
 	}
 	query := path.Query{
-		Now: time.Now(), Positions: m.machine.TokenCount(), Draw: m.draw, Avoid: avoid, Policy: m.policy(),
+		Now: time.Now(), Positions: m.machine.TokenCount(), Rand: m.draw, Avoid: avoid, Policy: m.policy(),
 	}
 	var p path.Path
-	if missing := path.Into(view.Model(m.model.Name), &query, &p); missing >= 0 {
+	if missing := path.ChooseInto(view.Model(m.model.Name), &query, &p); missing >= 0 {
 		return p, m.noPath(missing)
 	}
 	return p, nil
--- a/transport/forward/candidate.go
+++ b/transport/forward/candidate.go
@@ -38,7 +38,7 @@
 func (f *Forwarder) choose(s *protocol.RoutedService, q *path.Query, first string, into *path.Path) bool {
 	view := f.Roster.View()
 	if s.Engine == nil {
-		return path.Into(view.Model(roster.ModelName(s.Name, "")), q, into) < 0
+		return path.ChooseInto(view.Model(roster.ModelName(s.Name, "")), q, into) < 0
 	}
 	best, found := candidateIn(view, s.Name, first, q)
 	if found && best.ready && best.sound && best.fill < homeFull {
@@ -61,7 +61,7 @@
 func candidateIn(view *fleet.View, service, center string, q *path.Query) (candidate, bool) {
 	var c candidate
 	m := view.Model(roster.ModelName(service, center))
-	if path.Parts(m, q, &c.path) >= 0 {
+	if path.ChooseSubspans(m, q, &c.path) >= 0 {
 		return c, false
 	}
 	c.sound = sound(&c.path, q.Now, q.Avoid)
@@ -92,7 +92,7 @@
 func fill(p *path.Path, q *path.Query) float64 {
 	most := 0.0
 	for i := range p.Len() {
-		passes := float64((q.Positions + q.Write) * p.Span(i).Layers())
+		passes := float64((q.Positions + q.OutputTokens) * p.Span(i).Layers())
 		most = max(most, p.Runner(i).Fill(q.Now, passes))
 	}
 	return most
--- a/transport/forward/repath_answer.go
+++ b/transport/forward/repath_answer.go
@@ -58,10 +58,10 @@
 func (x *exchange) move(a *attempt, p *path.Path, now time.Time) {
 	for i := range a.path.Len() {
 		r, span := a.path.Runner(i), a.path.Span(i)
-		if !p.Has(r, span) {
+		if !p.HasStage(r, span) {
 			r.Settled(a.work(span))
 		}
-		if !p.Holds(r) {
+		if !p.Contains(r) {
 			x.avoid = append(x.avoid, r)
 		}
 	}
@@ -86,7 +86,7 @@
 	for i := range p.Len() {
 		r, span := p.Runner(i), p.Span(i)
 		switch {
-		case a.path.Has(r, span):
+		case a.path.HasStage(r, span):
 		case r.Spec().Address == address:
 			r.Refused(now)
 			r.RefusedForRoom(now)
@@ -133,7 +133,7 @@
 	for i := range next.Len() {
 		r, span := next.Runner(i), next.Span(i)
 		switch {
-		case a.path.Has(r, span):
+		case a.path.HasStage(r, span):
 		case sign > 0:
 			r.Sent(a.work(span))
 		default:
--- a/transport/forward/repath_world_test.go
+++ b/transport/forward/repath_world_test.go
@@ -203,7 +203,7 @@
 		}
 		if next, ok := a.course.Next(); ok {
 			for i := range next.Len() {
-				if r, span := next.Runner(i), next.Span(i); !a.path.Has(r, span) {
+				if r, span := next.Runner(i), next.Span(i); !a.path.HasStage(r, span) {
 					work[r] += a.work(span)
 				}
 			}
--- a/transport/forward/send.go
+++ b/transport/forward/send.go
@@ -66,14 +66,14 @@
 // firstCenter returns the data center whose engines come first.
 func (x *exchange) firstCenter() string {
 	f := x.forwarder
-	return path.FirstCenter(f.Home.DataCenter, f.Roster.Centers(x.service.Name), x.headSent, x.draw)
+	return path.FirstDataCenter(f.Home.DataCenter, f.Roster.Centers(x.service.Name), x.headSent, x.draw)
 }
 
 // query is what the choice of a path depends on.
 func (x *exchange) query(now time.Time) path.Query {
 	return path.Query{
-		Now: now, Positions: max(1, x.terms.PromptTokens), Write: x.terms.AnswerTokens, Sharers: x.forwarder.sharers(x.service.Name),
-		Draw: x.draw, Avoid: x.takenBy(x.avoid, now),
+		Now: now, Positions: max(1, x.terms.PromptTokens), OutputTokens: x.terms.AnswerTokens, Entries: x.forwarder.sharers(x.service.Name),
+		Rand: x.draw, Avoid: x.takenBy(x.avoid, now),
 	}
 }
 
