--- a/coordination/repath/course.go
+++ b/coordination/repath/course.go
@@ -42,19 +42,19 @@
 
 // What an answer may mean.
 const (
-	// InDoubt says that nothing is known yet.
-	InDoubt Outcome = iota
-	// Moved says that the request runs over the new path.
-	Moved
-	// Again says that a change with another runner may be tried.
-	Again
-	// GivenUp says that the path of the request can't be changed.
-	GivenUp
+	// Unresolved says that nothing is known yet.
+	Unresolved Outcome = iota
+	// PathChanged says that the request runs over the new path.
+	PathChanged
+	// RetryChange says that a change with another runner may be tried.
+	RetryChange
+	// Abandoned says that the path of the request can't be changed.
+	Abandoned
 )
 
-// Course follows the orders to change the path of one send, one at a time. The zero value
+// Tracker follows the orders to change the path of one send, one at a time. The zero value
 // is one that was never ordered.
-type Course struct {
+type Tracker struct {
 	progress progress
 	next     path.Path // the path of the latest order
 	till     time.Time // when to ask what became of an order in doubt
@@ -63,64 +63,64 @@
 	doubted  bool // an order that was not answered may still be taken
 }
 
-// MayBegin reports whether a change may be ordered.
-func (c *Course) MayBegin() bool { return c.progress == resting && !c.barred && c.orders < ordersMost }
+// CanStart reports whether a change may be ordered.
+func (c *Tracker) CanStart() bool { return c.progress == resting && !c.barred && c.orders < ordersMost }
 
-// Begin notes that the change to a path is ordered.
-func (c *Course) Begin(p *path.Path) {
+// Start notes that the change to a path is ordered.
+func (c *Tracker) Start(p *path.Path) {
 	c.progress, c.next = ordered, *p
 	c.orders++
 }
 
 // Pending reports whether an order is on its way or in doubt: the request must not be sent
 // elsewhere, or two paths would run it.
-func (c *Course) Pending() bool {
+func (c *Tracker) Pending() bool {
 	return c.progress == ordered || c.progress == doubted || c.progress == asked
 }
 
-// LateOrder reports whether an order that was given up may still be taken, as long as the
+// MayApplyLate reports whether an order that was given up may still be taken, as long as the
 // send is open. It must end before the request is sent elsewhere; the engine then finds no
 // such request.
-func (c *Course) LateOrder() bool { return c.doubted }
+func (c *Tracker) MayApplyLate() bool { return c.doubted }
 
-// Next returns the path that was ordered, and whether it may be in use.
-func (c *Course) Next() (*path.Path, bool) { return &c.next, c.progress != resting }
+// OrderedPath returns the path that was ordered, and whether it may be in use.
+func (c *Tracker) OrderedPath() (*path.Path, bool) { return &c.next, c.progress != resting }
 
-// Uses reports whether a stage of the path so far is surely still in use. It is not if an
+// UsesStage reports whether a stage of the path so far is surely still in use. It is not if an
 // order that replaces it may have been taken.
-func (c *Course) Uses(r *fleet.Runner, span protocol.Span) bool {
+func (c *Tracker) UsesStage(r *fleet.Runner, span protocol.Span) bool {
 	return c.progress == resting && !c.doubted || c.next.HasStage(r, span)
 }
 
-// Answered takes what became of the order. After an outcome other than InDoubt it is no
+// HandleAnswer takes what became of the order. After an outcome other than InDoubt it is no
 // longer known under Next.
-func (c *Course) Answered(answer protocol.PathAnswer, now time.Time) Outcome {
+func (c *Tracker) HandleAnswer(answer protocol.PathAnswer, now time.Time) Outcome {
 	if c.progress != ordered {
-		return InDoubt
+		return Unresolved
 	}
 	switch answer.(type) {
 	case protocol.PathTaken:
 		c.progress = resting
-		return Moved
+		return PathChanged
 	case protocol.PathUnfit:
 		c.progress = resting
 		if c.orders < ordersMost {
-			return Again
+			return RetryChange
 		}
-		return GivenUp
+		return Abandoned
 	case protocol.PathUnanswered:
 		c.progress, c.doubted, c.barred = doubted, true, true
 		c.till = now.Add(doubtFor)
-		return InDoubt
+		return Unresolved
 	default:
 		c.progress, c.barred = resting, true
-		return GivenUp
+		return Abandoned
 	}
 }
 
-// Ask reports whether it is time to ask the first engine what became of an order in doubt,
+// StartQuery reports whether it is time to ask the first engine what became of an order in doubt,
 // and notes that it is asked.
-func (c *Course) Ask(now time.Time) bool {
+func (c *Tracker) StartQuery(now time.Time) bool {
 	if c.progress != doubted || now.Before(c.till) {
 		return false
 	}
@@ -128,27 +128,27 @@
 	return true
 }
 
-// Reported takes what the first engine told: whether the request still waits for a runner.
+// HandleReport takes what the first engine told: whether the request still waits for a runner.
 // If it does, the change is given up. If it doesn't, the order may have been taken, and is in
 // doubt for a while longer. An engine that does not report is taken to say that the request
 // waits: the path has lost its first stage too.
-func (c *Course) Reported(waits bool, now time.Time) Outcome {
+func (c *Tracker) HandleReport(waits bool, now time.Time) Outcome {
 	switch {
 	case c.progress != asked:
-		return InDoubt
+		return Unresolved
 	case waits:
 		c.progress = resting
-		return GivenUp
+		return Abandoned
 	default:
 		c.progress = doubted
 		c.till = now.Add(doubtFor)
-		return InDoubt
+		return Unresolved
 	}
 }
 
-// Spoke notes that the request goes on. After an order in doubt either path may run it
+// HandleProgress notes that the request goes on. After an order in doubt either path may run it
 // from then on.
-func (c *Course) Spoke() {
+func (c *Tracker) HandleProgress() {
 	if c.progress == doubted || c.progress == asked {
 		c.progress = mixed
 	}
--- a/coordination/repath/course_test.go
+++ b/coordination/repath/course_test.go
@@ -19,7 +19,7 @@
 
 // life is one request as its first engine and its entry see it.
 type life struct {
-	course   repath.Course
+	course   repath.Tracker
 	now      time.Time
 	path     path.Path
 	waiting  bool // an order whose answer the entry waits for
@@ -33,11 +33,11 @@
 
 // order orders a change as an entry does, whenever it may.
 func (l *life) order(t *rapid.T) {
-	if !l.open || l.left || l.sends > 0 || !l.course.MayBegin() {
+	if !l.open || l.left || l.sends > 0 || !l.course.CanStart() {
 		t.Skip("no change may begin")
 	}
 	require.False(t, l.waiting, "two orders at once")
-	l.course.Begin(&l.path)
+	l.course.Start(&l.path)
 	l.ordered++
 	l.waiting = true
 	l.onTheWay++
@@ -77,7 +77,7 @@
 
 func (l *life) answer(a protocol.PathAnswer) {
 	if l.waiting && l.open {
-		l.course.Answered(a, l.now)
+		l.course.HandleAnswer(a, l.now)
 	}
 	l.waiting = false
 }
@@ -85,14 +85,14 @@
 // pass lets time go by and asks about an order in doubt.
 func (l *life) pass(t *rapid.T) {
 	l.now = l.now.Add(time.Duration(rapid.IntRange(1, 500).Draw(t, "ms")) * time.Millisecond)
-	if l.open && l.course.Ask(l.now) {
-		l.course.Reported(rapid.Bool().Draw(t, "waits"), l.now)
+	if l.open && l.course.StartQuery(l.now) {
+		l.course.HandleReport(rapid.Bool().Draw(t, "waits"), l.now)
 	}
 }
 
 func (l *life) speak(*rapid.T) {
 	if l.open {
-		l.course.Spoke()
+		l.course.HandleProgress()
 	}
 }
 
@@ -110,7 +110,7 @@
 	if l.left || l.open && l.course.Pending() {
 		t.Skip("no send may begin")
 	}
-	if l.open && l.course.LateOrder() {
+	if l.open && l.course.MayApplyLate() {
 		l.open = false
 	}
 	l.sends = 1
@@ -139,45 +139,45 @@
 }
 
 func TestAnOrderThatFindsNoRequestIsTheLast(t *testing.T) {
-	var c repath.Course
-	c.Begin(&path.Path{})
-	require.Equal(t, repath.GivenUp, c.Answered(protocol.PathUnknown{}, now))
-	require.False(t, c.MayBegin())
+	var c repath.Tracker
+	c.Start(&path.Path{})
+	require.Equal(t, repath.Abandoned, c.HandleAnswer(protocol.PathUnknown{}, now))
+	require.False(t, c.CanStart())
 	require.False(t, c.Pending())
-	require.False(t, c.LateOrder())
+	require.False(t, c.MayApplyLate())
 }
 
 func TestAnUnfitStageIsReplacedOnce(t *testing.T) {
-	var c repath.Course
-	c.Begin(&path.Path{})
-	require.Equal(t, repath.Again, c.Answered(protocol.PathUnfit{}, now))
-	require.True(t, c.MayBegin())
-	c.Begin(&path.Path{})
-	require.Equal(t, repath.GivenUp, c.Answered(protocol.PathUnfit{}, now))
-	require.False(t, c.MayBegin())
+	var c repath.Tracker
+	c.Start(&path.Path{})
+	require.Equal(t, repath.RetryChange, c.HandleAnswer(protocol.PathUnfit{}, now))
+	require.True(t, c.CanStart())
+	c.Start(&path.Path{})
+	require.Equal(t, repath.Abandoned, c.HandleAnswer(protocol.PathUnfit{}, now))
+	require.False(t, c.CanStart())
 }
 
 // TestAnOrderInDoubtEndsByTheEnginesWord, or by the next event.
 func TestAnOrderInDoubtEndsByTheEnginesWord(t *testing.T) {
-	var c repath.Course
-	c.Begin(&path.Path{})
-	require.Equal(t, repath.InDoubt, c.Answered(protocol.PathUnanswered{}, now))
-	require.False(t, c.Ask(now), "it is left to show")
+	var c repath.Tracker
+	c.Start(&path.Path{})
+	require.Equal(t, repath.Unresolved, c.HandleAnswer(protocol.PathUnanswered{}, now))
+	require.False(t, c.StartQuery(now), "it is left to show")
 	later := now.Add(time.Second)
-	require.True(t, c.Ask(later))
-	require.False(t, c.Ask(later), "it is asked already")
-	require.Equal(t, repath.InDoubt, c.Reported(false, later), "it does not wait: it may have been moved")
+	require.True(t, c.StartQuery(later))
+	require.False(t, c.StartQuery(later), "it is asked already")
+	require.Equal(t, repath.Unresolved, c.HandleReport(false, later), "it does not wait: it may have been moved")
 	require.True(t, c.Pending())
 	later = later.Add(time.Second)
-	require.True(t, c.Ask(later))
-	require.Equal(t, repath.GivenUp, c.Reported(true, later))
-	require.True(t, c.LateOrder())
-
-	c = repath.Course{}
-	c.Begin(&path.Path{})
-	c.Answered(protocol.PathUnanswered{}, now)
-	c.Spoke()
+	require.True(t, c.StartQuery(later))
+	require.Equal(t, repath.Abandoned, c.HandleReport(true, later))
+	require.True(t, c.MayApplyLate())
+
+	c = repath.Tracker{}
+	c.Start(&path.Path{})
+	c.HandleAnswer(protocol.PathUnanswered{}, now)
+	c.HandleProgress()
 	require.False(t, c.Pending())
-	require.True(t, c.LateOrder())
-	require.False(t, c.MayBegin())
+	require.True(t, c.MayApplyLate())
+	require.False(t, c.CanStart())
 }
--- a/coordination/repath/repath.go
+++ b/coordination/repath/repath.go
@@ -44,10 +44,10 @@
 	Lost []*fleet.Runner // of that path
 	// Tokens is how many were read and written so far, and Left how many are still
 	// expected to be written.
-	Tokens int
-	Left   int
-	// Elsewhere is the path over which the request may be sent again, nil for none.
-	Elsewhere *path.Path
+	Tokens          int
+	RemainingTokens int
+	// Alternative is the path over which the request may be sent again, nil for none.
+	Alternative *path.Path
 	// Search says when and with which draw to look for runners, and which to avoid.
 	Search path.Query
 }
@@ -67,15 +67,15 @@
 // Seconds returns how long the new stages are expected to need until the next token.
 func (c *Change) Seconds() float64 { return c.seconds }
 
-// Elsewhere says that sending the request again costs less.
-type Elsewhere struct{}
+// Resend says that sending the request again costs less.
+type Resend struct{}
 
 // Wait says that nothing can be done about the lost stages now.
 type Wait struct{}
 
-func (*Change) decision()   {}
-func (Elsewhere) decision() {}
-func (Wait) decision()      {}
+func (*Change) decision() {}
+func (Resend) decision()  {}
+func (Wait) decision()    {}
 
 // Choose decides by what is left to do until the answer is whole: reading what was read
 // and written so far again, at the new stages only or at all of another path, and writing
@@ -87,16 +87,16 @@
 		return otherwise(q)
 	}
 	change.seconds = orderSeconds + reading(&change.path, q, &q.Path)
-	if q.Elsewhere != nil && sendSeconds+total(q.Elsewhere, q, nil) < orderSeconds+total(&change.path, q, &q.Path) {
-		return Elsewhere{}
+	if q.Alternative != nil && sendSeconds+total(q.Alternative, q, nil) < orderSeconds+total(&change.path, q, &q.Path) {
+		return Resend{}
 	}
 	return change
 }
 
 // otherwise decides without a change of path.
 func otherwise(q *Query) Decision {
-	if q.Elsewhere != nil {
-		return Elsewhere{}
+	if q.Alternative != nil {
+		return Resend{}
 	}
 	return Wait{}
 }
@@ -127,7 +127,7 @@
 		if q.Path.HasStage(r, span) {
 			continue
 		}
-		if r.Fill(q.Search.Now, float64((q.Tokens+q.Left)*span.Layers())) > roomMost {
+		if r.Fill(q.Search.Now, float64((q.Tokens+q.RemainingTokens)*span.Layers())) > roomMost {
 			return false
 		}
 	}
@@ -153,7 +153,7 @@
 func total(p *path.Path, q *Query, has *path.Path) float64 {
 	seconds := reading(p, q, has)
 	for i := range p.Len() {
-		_, layer := p.Runner(i).Parts(q.Search.Now, 0, q.Left, q.Search.Entries)
+		_, layer := p.Runner(i).Parts(q.Search.Now, 0, q.RemainingTokens, q.Search.Entries)
 		seconds += layer * float64(p.Span(i).Layers())
 	}
 	return seconds
--- a/coordination/repath/repath_test.go
+++ b/coordination/repath/repath_test.go
@@ -59,7 +59,7 @@
 
 	v = gather(9, protocol.Span{From: 0, To: 3}, protocol.Span{From: 3, To: 6}, protocol.Span{From: 6, To: 9}, protocol.Span{From: 2, To: 7})
 	p = whole(t, v, v.Runner("r3"))
-	d, ok := choose(v, &repath.Query{Path: p, Lost: []*fleet.Runner{v.Runner("r1")}, Tokens: 900, Left: 100}).(*repath.Change)
+	d, ok := choose(v, &repath.Query{Path: p, Lost: []*fleet.Runner{v.Runner("r1")}, Tokens: 900, RemainingTokens: 100}).(*repath.Change)
 	require.True(t, ok)
 	require.Equal(t, 3, d.Path().Len())
 	require.True(t, d.Path().HasStage(v.Runner("r0"), protocol.Span{From: 0, To: 3}))
@@ -73,7 +73,7 @@
 	lost := []*fleet.Runner{v.Runner("r0")}
 	require.Equal(t, repath.Wait{}, choose(v, &repath.Query{Path: p, Lost: lost}))
 	other := whole(t, v, lost...)
-	require.Equal(t, repath.Elsewhere{}, choose(v, &repath.Query{Path: p, Lost: lost, Elsewhere: &other}))
+	require.Equal(t, repath.Resend{}, choose(v, &repath.Query{Path: p, Lost: lost, Alternative: &other}))
 }
 
 // TestAllAfterTheFirstStageIsReplacedWhereNoEngineFitsTheHole: the only other holder of the
@@ -100,14 +100,14 @@
 	lost := []*fleet.Runner{v.Runner("r1")}
 	other := whole(t, v, v.Runner("r0"), v.Runner("r1"), v.Runner("r2"))
 	query := func() *repath.Query {
-		return &repath.Query{Path: p, Lost: lost, Tokens: 800, Left: 200, Elsewhere: &other}
+		return &repath.Query{Path: p, Lost: lost, Tokens: 800, RemainingTokens: 200, Alternative: &other}
 	}
 	require.IsType(t, &repath.Change{}, choose(v, query()))
 	for range 40 {
 		v.Runner("r2").Measured(time.Second, 0.01, now)
 	}
 	v.Runner("r3").Suspect(now.Add(time.Second)) // not for the hole either
-	require.Equal(t, repath.Elsewhere{}, choose(v, query()))
+	require.Equal(t, repath.Resend{}, choose(v, query()))
 }
 
 // TestAFullRunnerIsNoReplacement, since an order that finds no room was in vain.
@@ -133,7 +133,7 @@
 		v.Runner("r0").LeaveOut(now.Add(time.Second)) // it would be the whole path
 		p := whole(t, v)
 		v.Runner("r0").Works()
-		q := &repath.Query{Path: p, Tokens: 800, Left: 100}
+		q := &repath.Query{Path: p, Tokens: 800, RemainingTokens: 100}
 		for i := range p.Len() {
 			if rapid.Bool().Draw(t, "lost") {
 				q.Lost = append(q.Lost, p.Runner(i))
@@ -178,7 +178,7 @@
 		v := gather(80, spans...)
 		p := whole(b, v)
 		other := whole(b, v, p.Runner(0))
-		q := &repath.Query{Path: p, Lost: []*fleet.Runner{p.Runner(3)}, Tokens: 900, Left: 100, Elsewhere: &other, Search: search()}
+		q := &repath.Query{Path: p, Lost: []*fleet.Runner{p.Runner(3)}, Tokens: 900, RemainingTokens: 100, Alternative: &other, Search: search()}
 		models := []*fleet.Model{v.Model(model)}
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
--- a/transport/forward/repath.go
+++ b/transport/forward/repath.go
@@ -93,7 +93,7 @@
 	q := x.changeQuery(a, lost, now)
 	var p path.Path
 	if x.route.MayRepeat() && x.forwarder.choose(x.service, &q.Search, x.firstCenter(), &p) && sound(&p, now, q.Search.Avoid) && x.mayReach(&p) {
-		q.Elsewhere = &p
+		q.Alternative = &p
 	}
 	return x.change(a, q, now)
 }
@@ -119,7 +119,7 @@
 // one, whose engine is to be ordered, nor while another attempt may speak first, nor where the
 // work may have ended them.
 func (x *exchange) mayReplace(a *attempt, stages []*fleet.Runner, now time.Time) bool {
-	return x.forwarder.Changer != nil && len(x.live) == 1 && a.course.MayBegin() && len(stages) > 0 &&
+	return x.forwarder.Changer != nil && len(x.live) == 1 && a.course.CanStart() && len(stages) > 0 &&
 		!slices.Contains(stages, a.endpoint) && x.mayMove(now)
 }
 
@@ -138,7 +138,7 @@
 func (x *exchange) changeQuery(a *attempt, lost []*fleet.Runner, now time.Time) *repath.Query {
 	written := x.events * max(1, x.service.Engine.EventTokens)
 	q := &repath.Query{
-		Path: a.path, Lost: lost, Tokens: x.terms.PromptTokens + written, Left: max(0, x.terms.AnswerTokens-written), Search: x.query(now),
+		Path: a.path, Lost: lost, Tokens: x.terms.PromptTokens + written, RemainingTokens: max(0, x.terms.AnswerTokens-written), Search: x.query(now),
 	}
 	q.Search.Avoid = append(slices.Clip(x.avoid), lost...)
 	return q
@@ -161,7 +161,7 @@
 // order sends the order. From now on the work counts at the stages of both paths.
 func (x *exchange) order(a *attempt, c *repath.Change, now time.Time) {
 	f := x.forwarder
-	a.course.Begin(c.Path())
+	a.course.Start(c.Path())
 	a.quietTill = now.Add(max(changeLeast, time.Duration(changeSlack*c.Seconds()*float64(time.Second))))
 	a.loadNext(1)
 	f.Counters.Add(metric.PathOrders, 1)
--- a/transport/forward/repath_answer.go
+++ b/transport/forward/repath_answer.go
@@ -16,7 +16,7 @@
 
 // askInDoubt asks the first engine about an order whose effect has not been seen.
 func (x *exchange) askInDoubt(a *attempt, now time.Time) {
-	if a.course.Ask(now) {
+	if a.course.StartQuery(now) {
 		go (&asking{forwarder: x.forwarder, attempt: a}).run()
 	}
 }
@@ -24,21 +24,21 @@
 // takePathAnswer acts on what became of an order.
 func (x *exchange) takePathAnswer(m pathAnswered, now time.Time) {
 	a := m.attempt
-	next, _ := a.course.Next()
-	outcome := a.course.Answered(m.answer, now)
+	next, _ := a.course.OrderedPath()
+	outcome := a.course.HandleAnswer(m.answer, now)
 	x.forwarder.Counters.PathAnswered(m.answer)
 	x.forwarder.log(event.PathAnswered, x.id(), slog.Int("attempt", a.number), slog.String("answer", metric.AnswerName(m.answer)),
 		slog.String("cause", causeOf(m.answer)))
 	switch outcome {
-	case repath.Moved:
+	case repath.PathChanged:
 		x.move(a, next, now)
-	case repath.Again, repath.GivenUp:
+	case repath.RetryChange, repath.Abandoned:
 		a.loadNextOf(next, -1)
 		if unfit, ok := m.answer.(protocol.PathUnfit); ok {
 			x.avoidUnfit(a, next, unfit.Address, now)
 		}
 		x.actOnLost(a, now)
-	case repath.InDoubt:
+	case repath.Unresolved:
 		x.avoid = append(x.avoid, a.endpoint)
 	}
 }
@@ -47,8 +47,8 @@
 // doubt.
 func (x *exchange) takeWaitReport(m waitReported, now time.Time) {
 	a := m.attempt
-	next, _ := a.course.Next()
-	if a.course.Reported(m.waits, now) == repath.GivenUp {
+	next, _ := a.course.OrderedPath()
+	if a.course.HandleReport(m.waits, now) == repath.Abandoned {
 		a.loadNextOf(next, -1)
 		x.actOnLost(a, now)
 	}
@@ -99,7 +99,7 @@
 
 // endChange notes that an event came on an attempt, which ends the pause of a change of path.
 func (x *exchange) endChange(a *attempt, now time.Time) {
-	a.course.Spoke()
+	a.course.HandleProgress()
 	if a.movedAt.IsZero() {
 		return
 	}
@@ -111,7 +111,7 @@
 // the request is sent elsewhere: two paths must not run it.
 func (x *exchange) endDoubted() {
 	for _, a := range slices.Clone(x.live) {
-		if a.course.LateOrder() {
+		if a.course.MayApplyLate() {
 			x.drop(a)
 		}
 	}
@@ -123,7 +123,7 @@
 // loadNext counts the work of the attempt (sign 1) at the stages that only the ordered path
 // has, or takes it off again (sign -1), if an order is not settled yet.
 func (a *attempt) loadNext(sign int64) {
-	if next, ok := a.course.Next(); ok {
+	if next, ok := a.course.OrderedPath(); ok {
 		a.loadNextOf(next, sign)
 	}
 }
@@ -145,7 +145,7 @@
 // speaks reports whether an event on the attempt proves that a stage works. It does not if
 // the stage may have been replaced.
 func (a *attempt) speaks(stage int) bool {
-	return a.course.Uses(a.path.Runner(stage), a.path.Span(stage))
+	return a.course.UsesStage(a.path.Runner(stage), a.path.Span(stage))
 }
 
 // causeOf returns why an order was not taken, "" if the kind of the answer says all.
--- a/transport/forward/repath_test.go
+++ b/transport/forward/repath_test.go
@@ -89,7 +89,7 @@
 		t.Cleanup(s.end)
 		a := s.exchange.live[0]
 		s.lose(1)
-		next, _ := a.course.Next()
+		next, _ := a.course.OrderedPath()
 		unfit := next.Runner(1)
 		answer := protocol.PathUnfit{}
 		if named {
@@ -97,7 +97,7 @@
 		}
 		s.answer(answer)
 		require.Equal(t, 2, s.changes)
-		next, _ = a.course.Next()
+		next, _ = a.course.OrderedPath()
 		require.NotEqual(t, unfit, next.Runner(1))
 		require.Zero(t, unfit.Outstanding())
 		require.Equal(t, named, !unfit.Usable(time.Now()))
--- a/transport/forward/repath_world_test.go
+++ b/transport/forward/repath_world_test.go
@@ -193,7 +193,7 @@
 	x := s.exchange
 	if len(x.live) > 1 {
 		for _, a := range x.live {
-			require.False(s.t, a.course.Pending() || a.course.LateOrder(), "the path of one may change while another is open")
+			require.False(s.t, a.course.Pending() || a.course.MayApplyLate(), "the path of one may change while another is open")
 		}
 	}
 	work := map[*fleet.Runner]int64{}
@@ -201,7 +201,7 @@
 		for i := range a.path.Len() {
 			work[a.path.Runner(i)] += a.work(a.path.Span(i))
 		}
-		if next, ok := a.course.Next(); ok {
+		if next, ok := a.course.OrderedPath(); ok {
 			for i := range next.Len() {
 				if r, span := next.Runner(i), next.Span(i); !a.path.HasStage(r, span) {
 					work[r] += a.work(span)
