--- a/coordination/relay/firsts_test.go
+++ b/coordination/relay/firsts_test.go
@@ -14,9 +14,9 @@
 // when those fail.
 func TestWhoKnowsTheFirstsFollowsWhomItWouldKnowingAll(t *testing.T) {
 	all := records(300)
-	firsts := relay.Firsts(all)
+	firsts := relay.SeedEntries(all)
 	require.Len(t, firsts, 3*4)
 	for _, m := range all {
-		require.Equal(t, relay.Before(m, all), relay.Before(m, firsts))
+		require.Equal(t, relay.Candidates(m, all), relay.Candidates(m, firsts))
 	}
 }
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -28,25 +28,25 @@
 )
 
 const (
-	// FreshFor is how old a peer's confirmation may be. A new table must be in force
+	// MaxConfirmationAge is how old a peer's confirmation may be. A new table must be in force
 	// two seconds after it was accepted, where every entry reaches the platform: what
 	// a peer that is cut off from it misses has to be found out within half of that.
-	FreshFor = time.Second
-	// PatienceLeast is how much longer at least an entry that nobody follows trusts its
+	MaxConfirmationAge = time.Second
+	// MinTrustExtension is how much longer at least an entry that nobody follows trusts its
 	// peer, drawn for each: the peer itself asks at FreshFor and passes on what it learned,
 	// so that one call serves all who follow it.
-	PatienceLeast = 200 * time.Millisecond
-	// PatienceMost is the most of that.
-	PatienceMost = 500 * time.Millisecond
-	// QuickFor is how long a call to a platform that is well takes at most, many times
+	MinTrustExtension = 200 * time.Millisecond
+	// MaxTrustExtension is the most of that.
+	MaxTrustExtension = 500 * time.Millisecond
+	// MaxHealthyCall is how long a call to a platform that is well takes at most, many times
 	// the 4 ms of the users' deployments. A slower one says nothing about the peer.
-	QuickFor = 250 * time.Millisecond
-	// AskedFirst is the least time between two calls to the platform by an entry whose
+	MaxHealthyCall = 250 * time.Millisecond
+	// AskInterval is the least time between two calls to the platform by an entry whose
 	// peer can't confirm: both may find the platform down, and each call has a price. An
 	// entry that reaches it again counts as such after three seconds.
-	AskedFirst = 1400 * time.Millisecond
-	// AskedMost is that after more than one call without an answer.
-	AskedMost = 2800 * time.Millisecond
+	AskInterval = 1400 * time.Millisecond
+	// AskBackoffInterval is that after more than one call without an answer.
+	AskBackoffInterval = 2800 * time.Millisecond
 	// askersMost is how many entries may call the platform each AskedMost where nobody can
 	// confirm, beside those that others turn to first. More share that: what the platform serves a
 	// second does not grow with entries.
@@ -65,11 +65,11 @@
 	headsOfEach = 2
 )
 
-// Before returns the entries to follow, the first to be tried first: those of the own
+// Candidates returns the entries to follow, the first to be tried first: those of the own
 // data center that rank before this one, and then the first ones of the other data
 // centers that do. So the first entry of all asks the platform, the first of each other
 // data center follows it, and the rest follow the first of theirs.
-func Before(self protocol.EntryRecord, records []protocol.EntryRecord) []protocol.EntryRecord {
+func Candidates(self protocol.EntryRecord, records []protocol.EntryRecord) []protocol.EntryRecord {
 	var before []protocol.EntryRecord
 	for _, r := range records {
 		if precedes(r, self) {
@@ -100,10 +100,10 @@
 	return first
 }
 
-// Alike returns how many entries there are that stand as this one does where nobody can confirm what
+// FallbackCallers returns how many entries there are that stand as this one does where nobody can confirm what
 // the platform holds: 1 for the first ones of a data center, which the others try to follow and which
 // have to find out by themselves, and all that are known for the others.
-func Alike(self protocol.EntryRecord, records []protocol.EntryRecord) int {
+func FallbackCallers(self protocol.EntryRecord, records []protocol.EntryRecord) int {
 	own := 0
 	for _, r := range records {
 		if r.DataCenter == self.DataCenter && precedes(r, self) {
@@ -135,24 +135,24 @@
 // and FollowedAt when it began to follow the peer. Last is the last confirmation that this entry had
 // from anybody, and Alike how many entries stand as it does.
 type Query struct {
-	Now        time.Time
-	Confirmed  time.Time
-	Last       time.Time
-	Alike      int
-	Held       uint64
-	Told       uint64
-	Followed   bool
-	Patience   float64
-	AskedAt    time.Time
-	Unanswered int
-	FollowedAt time.Time
+	Now             time.Time
+	ConfirmedAt     time.Time
+	LastConfirmedAt time.Time
+	FallbackCallers int
+	OwnVersion      uint64
+	PeerVersion     uint64
+	HasFollowers    bool
+	Jitter          float64
+	AskedAt         time.Time
+	Unanswered      int
+	FollowedAt      time.Time
 }
 
-// TrustedTill returns until when what the peer confirmed is trusted.
-func (q *Query) TrustedTill() time.Time {
-	till := q.Confirmed.Add(FreshFor)
-	if !q.Followed {
-		till = till.Add(PatienceLeast + time.Duration(q.Patience*float64(PatienceMost-PatienceLeast)))
+// TrustedUntil returns until when what the peer confirmed is trusted.
+func (q *Query) TrustedUntil() time.Time {
+	till := q.ConfirmedAt.Add(MaxConfirmationAge)
+	if !q.HasFollowers {
+		till = till.Add(MinTrustExtension + time.Duration(q.Jitter*float64(MaxTrustExtension-MinTrustExtension)))
 	}
 	return till
 }
@@ -160,40 +160,40 @@
 // Action is what to do: Trust, Ask, Wait or Seek.
 type Action interface{ action() }
 
-// Trust says that what is held was all there was at the peer's confirmation.
-type Trust struct{}
+// TrustPeer says that what is held was all there was at the peer's confirmation.
+type TrustPeer struct{}
 
-// Ask says to ask the platform.
-type Ask struct{}
+// AskPlatform says to ask the platform.
+type AskPlatform struct{}
 
 // Wait says to ask the peer again soon: the platform was asked a moment ago.
 type Wait struct{}
 
-// Seek says to look for a peer that knows more: other entries ask the platform.
-type Seek struct{}
+// FindPeer says to look for a peer that knows more: other entries ask the platform.
+type FindPeer struct{}
 
-func (Trust) action() {}
-func (Ask) action()   {}
-func (Wait) action()  {}
-func (Seek) action()  {}
+func (TrustPeer) action()   {}
+func (AskPlatform) action() {}
+func (Wait) action()        {}
+func (FindPeer) action()    {}
 
-// Judge decides what a peer's answer is worth.
-func Judge(q Query) Action {
-	fresh := !q.Confirmed.IsZero() && !q.Now.After(q.TrustedTill())
+// Decide decides what a peer's answer is worth.
+func Decide(q Query) Action {
+	fresh := !q.ConfirmedAt.IsZero() && !q.Now.After(q.TrustedUntil())
 	switch {
-	case fresh && q.Held >= q.Told:
-		return Trust{}
+	case fresh && q.OwnVersion >= q.PeerVersion:
+		return TrustPeer{}
 	case !q.Now.Before(q.askFrom()):
-		return Ask{}
+		return AskPlatform{}
 	case q.shares() && !fresh:
-		return Seek{}
+		return FindPeer{}
 	default:
 		return Wait{}
 	}
 }
 
 // shares reports whether so many entries stand alike that they share the calls.
-func (q *Query) shares() bool { return q.Alike > askersMost }
+func (q *Query) shares() bool { return q.FallbackCallers > askersMost }
 
 // askFrom returns from when the platform may be asked again.
 func (q *Query) askFrom() time.Time {
@@ -201,18 +201,18 @@
 	case q.shares():
 		return q.askSharedFrom()
 	case q.Unanswered > 1:
-		return q.AskedAt.Add(AskedMost)
+		return q.AskedAt.Add(AskBackoffInterval)
 	default:
-		return q.AskedAt.Add(AskedFirst)
+		return q.AskedAt.Add(AskInterval)
 	}
 }
 
 // askSharedFrom is askFrom where entries share the calls. The first one of each is spread over a
 // turn from the moment in which it was out of touch.
 func (q *Query) askSharedFrom() time.Time {
-	turn := AskedMost * time.Duration(q.Alike) / askersMost
+	turn := AskBackoffInterval * time.Duration(q.FallbackCallers) / askersMost
 	lost := q.FollowedAt
-	for _, at := range []time.Time{q.Confirmed, q.Last} {
+	for _, at := range []time.Time{q.ConfirmedAt, q.LastConfirmedAt} {
 		if at.After(lost) {
 			lost = at
 		}
@@ -221,13 +221,13 @@
 		return q.AskedAt.Add(turn)
 	}
 	first := min(turn, firstAskMost)
-	return lost.Add(FreshFor + time.Duration(q.Patience*float64(first)))
+	return lost.Add(MaxConfirmationAge + time.Duration(q.Jitter*float64(first)))
 }
 
-// Leave reports whether a peer that could not confirm is to be left, now that the
+// ShouldLeave reports whether a peer that could not confirm is to be left, now that the
 // platform has answered this entry: only if it answered as fast as one that is well
 // does, because then it is the peer that is in trouble; and not in the first moment,
 // in which the peer may still be asking.
-func Leave(q Query, answered time.Time) bool {
-	return answered.Sub(q.Now) <= QuickFor && q.Now.Sub(q.FollowedAt) > FreshFor
+func ShouldLeave(q Query, answered time.Time) bool {
+	return answered.Sub(q.Now) <= MaxHealthyCall && q.Now.Sub(q.FollowedAt) > MaxConfirmationAge
 }
--- a/coordination/relay/relay_test.go
+++ b/coordination/relay/relay_test.go
@@ -37,7 +37,7 @@
 					known = append(known, o)
 				}
 			}
-			before := relay.Before(m, known)
+			before := relay.Candidates(m, known)
 			if len(before) > 0 {
 				follows[m.Name] = rapid.SampledFrom(before).Draw(t, "reached").Name
 			}
@@ -63,7 +63,7 @@
 	first := map[string]protocol.EntryRecord{}
 	alone := 0
 	for _, m := range all {
-		before := relay.Before(m, all)
+		before := relay.Candidates(m, all)
 		if len(before) == 0 {
 			alone++
 			continue
@@ -99,9 +99,9 @@
 		all[i+1].Peers = ""
 	}
 	for _, m := range all[1:] {
-		require.LessOrEqual(t, len(relay.Before(m, all)), 1)
+		require.LessOrEqual(t, len(relay.Candidates(m, all)), 1)
 	}
-	require.Empty(t, relay.Before(all[0], all))
+	require.Empty(t, relay.Candidates(all[0], all))
 }
 
 // TestOldWordsAreNeverTrusted draws every situation.
@@ -112,27 +112,27 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		q := relay.Query{
-			Now: now, Confirmed: ago(t, "confirmed"), AskedAt: ago(t, "asked"),
-			Followed: rapid.Bool().Draw(t, "followed"), Patience: rapid.Float64Range(0, 1).Draw(t, "patience"),
-			Unanswered: rapid.IntRange(0, 3).Draw(t, "unanswered"), Held: uint64(rapid.IntRange(0, 3).Draw(t, "held")), Told: uint64(rapid.IntRange(0, 3).Draw(t, "told")),
+			Now: now, ConfirmedAt: ago(t, "confirmed"), AskedAt: ago(t, "asked"),
+			HasFollowers: rapid.Bool().Draw(t, "followed"), Jitter: rapid.Float64Range(0, 1).Draw(t, "patience"),
+			Unanswered: rapid.IntRange(0, 3).Draw(t, "unanswered"), OwnVersion: uint64(rapid.IntRange(0, 3).Draw(t, "held")), PeerVersion: uint64(rapid.IntRange(0, 3).Draw(t, "told")),
 		}
 		if rapid.Bool().Draw(t, "never") {
-			q.Confirmed = time.Time{}
+			q.ConfirmedAt = time.Time{}
 		}
-		switch relay.Judge(q).(type) {
-		case relay.Trust:
-			require.GreaterOrEqual(t, q.Held, q.Told, "changes are missing")
-			most := relay.FreshFor
-			if !q.Followed {
-				most += relay.PatienceMost
+		switch relay.Decide(q).(type) {
+		case relay.TrustPeer:
+			require.GreaterOrEqual(t, q.OwnVersion, q.PeerVersion, "changes are missing")
+			most := relay.MaxConfirmationAge
+			if !q.HasFollowers {
+				most += relay.MaxTrustExtension
 			}
-			require.LessOrEqual(t, now.Sub(q.Confirmed), most)
+			require.LessOrEqual(t, now.Sub(q.ConfirmedAt), most)
 		case relay.Wait:
-			require.Less(t, now.Sub(q.AskedAt), relay.AskedMost)
-			require.True(t, q.Unanswered > 1 || now.Sub(q.AskedAt) < relay.AskedFirst)
-		case relay.Ask:
-			require.GreaterOrEqual(t, now.Sub(q.AskedAt), relay.AskedFirst)
-			require.True(t, q.Unanswered <= 1 || now.Sub(q.AskedAt) >= relay.AskedMost)
+			require.Less(t, now.Sub(q.AskedAt), relay.AskBackoffInterval)
+			require.True(t, q.Unanswered > 1 || now.Sub(q.AskedAt) < relay.AskInterval)
+		case relay.AskPlatform:
+			require.GreaterOrEqual(t, now.Sub(q.AskedAt), relay.AskInterval)
+			require.True(t, q.Unanswered <= 1 || now.Sub(q.AskedAt) >= relay.AskBackoffInterval)
 		}
 	})
 }
@@ -140,8 +140,8 @@
 func TestAPeerIsLeftOnlyForAPlatformThatIsWell(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := relay.Query{Now: now, FollowedAt: now.Add(-time.Minute)}
-	require.True(t, relay.Leave(q, now.Add(10*time.Millisecond)))
-	require.False(t, relay.Leave(q, now.Add(700*time.Millisecond)), "the platform is slow for both")
+	require.True(t, relay.ShouldLeave(q, now.Add(10*time.Millisecond)))
+	require.False(t, relay.ShouldLeave(q, now.Add(700*time.Millisecond)), "the platform is slow for both")
 	q.FollowedAt = now.Add(-100 * time.Millisecond)
-	require.False(t, relay.Leave(q, now.Add(10*time.Millisecond)), "the peer had no time to ask")
+	require.False(t, relay.ShouldLeave(q, now.Add(10*time.Millisecond)), "the peer had no time to ask")
 }
--- a/coordination/relay/share_test.go
+++ b/coordination/relay/share_test.go
@@ -20,13 +20,13 @@
 		calls := 0
 		for i := range entries {
 			q := relay.Query{
-				Confirmed: begun, Last: begun, FollowedAt: begun.Add(-time.Hour), Held: 1, Told: 1,
-				Alike: entries, Patience: float64(i) / float64(entries),
+				ConfirmedAt: begun, LastConfirmedAt: begun, FollowedAt: begun.Add(-time.Hour), OwnVersion: 1, PeerVersion: 1,
+				FallbackCallers: entries, Jitter: float64(i) / float64(entries),
 			}
 			asked := false
 			for at := begun; at.Before(begun.Add(time.Minute)); at = at.Add(100 * time.Millisecond) {
 				q.Now = at
-				if _, ask := relay.Judge(q).(relay.Ask); !ask {
+				if _, ask := relay.Decide(q).(relay.AskPlatform); !ask {
 					continue
 				}
 				if !asked {
@@ -50,10 +50,10 @@
 	all := records(300)
 	first := 0
 	for _, m := range all {
-		if relay.Alike(m, all) == 1 {
+		if relay.FallbackCallers(m, all) == 1 {
 			first++
 		} else {
-			require.Equal(t, len(all), relay.Alike(m, all))
+			require.Equal(t, len(all), relay.FallbackCallers(m, all))
 		}
 	}
 	require.Equal(t, 3*4, first, "of each of three data centers")
--- a/transport/front/register.go
+++ b/transport/front/register.go
@@ -129,7 +129,7 @@
 	if r.front.source.Following() {
 		return
 	}
-	r.keepFirsts(ctx, relay.Firsts(records))
+	r.keepFirsts(ctx, relay.SeedEntries(records))
 	for _, old := range r.census.Stale(now) {
 		if err := r.front.Outside.Objects.Delete(ctx, entryKind, old.Name(), old.Version()); err != nil {
 			r.front.platformFailed("entries", err)
--- a/transport/front/search.go
+++ b/transport/front/search.go
@@ -79,7 +79,7 @@
 			records = append(records, record)
 		}
 	}
-	return relay.Before(self, records)
+	return relay.Candidates(self, records)
 }
 
 // justBefore returns a string that sorts before a name and after nearly all that do.
--- a/transport/front/search_test.go
+++ b/transport/front/search_test.go
@@ -131,7 +131,7 @@
 	}
 	first := newRegister(&s.lateStore, "first")
 	first.front.Outside.Objects = s
-	first.keepFirsts(t.Context(), relay.Firsts(all))
+	first.keepFirsts(t.Context(), relay.SeedEntries(all))
 
 	r := newRegister(&s.lateStore, "late") // of a smaller VM than all others
 	r.front.Outside.Objects = s
--- a/transport/relay/entry_test.go
+++ b/transport/relay/entry_test.go
@@ -124,7 +124,7 @@
 		records = append(records, e.source.Self)
 	}
 	slices.SortFunc(all, func(a, b *entry) int {
-		return len(relay.Before(a.source.Self, records)) - len(relay.Before(b.source.Self, records))
+		return len(relay.Candidates(a.source.Self, records)) - len(relay.Candidates(b.source.Self, records))
 	})
 	for _, e := range all {
 		e.start(t, records)
@@ -211,7 +211,7 @@
 func rankedAfter(all ...protocol.EntryRecord) string {
 	for i := 0; ; i++ {
 		self := protocol.EntryRecord{Name: fmt.Sprint("third-", i), DataCenter: "a"}
-		if len(relay.Before(self, all)) == len(all) {
+		if len(relay.Candidates(self, all)) == len(all) {
 			return self.Name
 		}
 	}
--- a/transport/relay/followed.go
+++ b/transport/relay/followed.go
@@ -29,7 +29,7 @@
 // the platform for a follower's sake, and one that is starting has it wait a little.
 func (s *Source) beFollowed(ctx context.Context, newsOnly bool) bool {
 	s.seeker.await(ctx)
-	ctx, cancel := context.WithTimeout(ctx, relay.QuickFor)
+	ctx, cancel := context.WithTimeout(ctx, relay.MaxHealthyCall)
 	defer cancel()
 	for {
 		changed, renewed := s.mirror.Changed(), s.confirmedChanges()
@@ -62,13 +62,13 @@
 // fresh reports whether everything is known here as it was a moment ago.
 func (s *Source) fresh() bool {
 	at := s.passedOn().confirmed.at
-	return s.listed() && !at.IsZero() && clock.Since(at) < relay.FreshFor
+	return s.listed() && !at.IsZero() && clock.Since(at) < relay.MaxConfirmationAge
 }
 
 // reaches reports whether the platform answers this entry.
 func (s *Source) reaches(ctx context.Context) bool {
 	p := s.passedOn()
-	if !s.listed() || p.failedAt.After(p.confirmed.at) && clock.Since(p.failedAt) < relay.FreshFor {
+	if !s.listed() || p.failedAt.After(p.confirmed.at) && clock.Since(p.failedAt) < relay.MaxConfirmationAge {
 		return false // the next call of this entry's own will tell
 	}
 	_, err := s.readPlatform(ctx, s.Kind, s.Name)
--- a/transport/relay/link.go
+++ b/transport/relay/link.go
@@ -149,7 +149,7 @@
 func (l *link) broke(err error) {
 	s := l.source
 	l.forget(err)
-	if now := clock.Now(); now.Sub(l.since) < relay.FreshFor {
+	if now := clock.Now(); now.Sub(l.since) < relay.MaxConfirmationAge {
 		s.seeker.avoid(l.peer.Name, true, now)
 	}
 	s.leave(l, err.Error())
--- a/transport/relay/read.go
+++ b/transport/relay/read.go
@@ -40,11 +40,11 @@
 		if peer == nil {
 			return s.readPlatform(ctx, kind, name)
 		}
-		q := relay.Query{FollowedAt: peer.since, Followed: s.Followed(), Patience: peer.patience, Alike: s.seeker.alike()}
+		q := relay.Query{FollowedAt: peer.since, HasFollowers: s.Followed(), Jitter: peer.patience, FallbackCallers: s.seeker.alike()}
 		q.AskedAt, q.Unanswered = s.lastAsked()
-		q.Last = s.passedOn().confirmed.at
-		q.Confirmed = q.Last
-		c := peer.ask(ctx, q.TrustedTill())
+		q.LastConfirmedAt = s.passedOn().confirmed.at
+		q.ConfirmedAt = q.LastConfirmedAt
+		c := peer.ask(ctx, q.TrustedUntil())
 		if c.at.IsZero() && s.replaced(peer) && ctx.Err() == nil {
 			continue // the question was lost with the link
 		}
@@ -60,23 +60,23 @@
 
 // judge takes what a peer that was asked confirmed, or goes on without it.
 func (s *Source) judge(ctx context.Context, peer *link, q relay.Query, c confirmation) (watch.Reading, error) {
-	q.Confirmed, q.Told = c.at, c.object.Version
+	q.ConfirmedAt, q.PeerVersion = c.at, c.object.Version
 	q.Now = clock.Now()
 	held := s.latest()
 	if len(c.object.Value) > 0 && c.object.Version > held.Version {
 		held = c.object
 	}
-	q.Held = held.Version
-	switch relay.Judge(q).(type) {
-	case relay.Trust:
-		s.confirm(held, q.Confirmed)
+	q.OwnVersion = held.Version
+	switch relay.Decide(q).(type) {
+	case relay.TrustPeer:
+		s.confirm(held, q.ConfirmedAt)
 		if held.Version == 0 {
 			return watch.Reading{}, nil
 		}
-		return watch.Read(held, q.Confirmed), nil
+		return watch.Read(held, q.ConfirmedAt), nil
 	case relay.Wait:
 		return watch.Reading{}, errUnconfirmed
-	case relay.Seek:
+	case relay.FindPeer:
 		s.seeker.avoid(peer.peer.Name, false, q.Now)
 		s.seeker.wake()
 		return watch.Reading{}, errUnconfirmed
@@ -93,7 +93,7 @@
 		// It may be that only some entries are turned away: another peer may know more.
 		s.seeker.avoid(peer.peer.Name, false, clock.Now())
 		s.seeker.wake()
-	case relay.Leave(q, clock.Now()):
+	case relay.ShouldLeave(q, clock.Now()):
 		s.seeker.avoid(peer.peer.Name, false, clock.Now())
 		s.leave(peer, "it could not confirm what the platform holds")
 	}
--- a/transport/relay/seeker.go
+++ b/transport/relay/seeker.go
@@ -20,7 +20,7 @@
 const (
 	// dialLimit bounds the way to a peer and its first frame, before which it may ask
 	// the platform.
-	dialLimit = 300*time.Millisecond + relay.QuickFor
+	dialLimit = 300*time.Millisecond + relay.MaxHealthyCall
 	// avoidFirst is how long a peer that could not be reached or could not confirm is
 	// left out; it doubles with each time in a row, avoidDoublings times, which makes
 	// avoidMost.
@@ -152,7 +152,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var open []protocol.EntryRecord
-	for _, r := range relay.Before(s.source.Record(), s.records) {
+	for _, r := range relay.Candidates(s.source.Record(), s.records) {
 		if !s.avoided[r.Name].leaves(newsOnly, now) {
 			open = append(open, r)
 		}
--- a/transport/relay/source.go
+++ b/transport/relay/source.go
@@ -111,7 +111,7 @@
 // missing that matters: an entry that has just started follows whom it can at once, and
 // only if it has seen all and reaches nobody asks the platform itself.
 func (s *Source) Learn(records []protocol.EntryRecord, all bool) {
-	s.seeker.learn(records, relay.Alike(s.Record(), records), all)
+	s.seeker.learn(records, relay.FallbackCallers(s.Record(), records), all)
 }
 
 // Objects returns what is known of a kind, and whether it ever was.
