--- a/command/bound.go
+++ b/command/bound.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		return o.fail(exitUsage, err)
 	}
-	if err := printBounds(o, file.Fleet, bound.Fleet(facts, engines)); err != nil {
+	if err := printBounds(o, file.Fleet, bound.DataCenters(facts, engines)); err != nil {
 		return o.fail(exitFailed, err)
 	}
 	return exitGood
@@ -74,14 +74,14 @@
 	return all, nil
 }
 
-func printBounds(o *output, f *settings.Fleet, centers []bound.Center) error {
+func printBounds(o *output, f *settings.Fleet, centers []bound.DataCenter) error {
 	w := tabwriter.NewWriter(o.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "data center\tcopies\tstages\topen requests\tafter the worst loss\trequests/s by room\tby reading\tbinds")
 	total := 0.0
 	for _, c := range centers {
-		total += c.PerSecond()
+		total += c.RequestsPerSecond()
 		fmt.Fprintf(w, "%s\t%.2f\t%d\t%.0f\t%.0f\t%.1f\t%.1f\t%s\n",
-			c.Name(), c.Copies(), c.Stages(), c.Room(), c.LossRoom(), c.ByRoom(), c.ByReading(), c.Binds())
+			c.Name(), c.Replicas(), c.Stages(), c.Capacity(), c.CapacityAfterLoss(), c.CapacityLimit(), c.PrefillLimit(), c.Bottleneck())
 	}
 	if err := w.Flush(); err != nil {
 		return err
--- a/coordination/bound/fleet.go
+++ b/coordination/bound/fleet.go
@@ -15,8 +15,8 @@
 // once at most.
 const plansMost = 20
 
-// Center is what the engines of one data center allow, laid out as placement does.
-type Center struct {
+// DataCenter is what the engines of one data center allow, laid out as placement does.
+type DataCenter struct {
 	name      string
 	copies    float64
 	stages    int
@@ -27,43 +27,43 @@
 }
 
 // Name returns the data center's name.
-func (c Center) Name() string { return c.name }
+func (c DataCenter) Name() string { return c.name }
 
-// Copies returns how often the model is held.
-func (c Center) Copies() float64 { return c.copies }
+// Replicas returns how often the model is held.
+func (c DataCenter) Replicas() float64 { return c.copies }
 
 // Stages returns how many engines the shortest path has.
-func (c Center) Stages() int { return c.stages }
+func (c DataCenter) Stages() int { return c.stages }
 
-// Room returns how many requests of usual size can be open, by the layer with the
+// Capacity returns how many requests of usual size can be open, by the layer with the
 // least memory beside its weights.
-func (c Center) Room() float64 { return c.room }
+func (c DataCenter) Capacity() float64 { return c.room }
 
-// LossRoom returns the room after the worst loss of one engine, once its layers are
+// CapacityAfterLoss returns the room after the worst loss of one engine, once its layers are
 // held again.
-func (c Center) LossRoom() float64 { return c.lossRoom }
+func (c DataCenter) CapacityAfterLoss() float64 { return c.lossRoom }
 
-// ByRoom returns the requests a second that the room allows: as many as it holds, over
+// CapacityLimit returns the requests a second that the room allows: as many as it holds, over
 // the time that each takes while it is full.
-func (c Center) ByRoom() float64 { return c.byRoom }
+func (c DataCenter) CapacityLimit() float64 { return c.byRoom }
 
-// ByReading returns the requests a second whose prompts can be read.
-func (c Center) ByReading() float64 { return c.byReading }
+// PrefillLimit returns the requests a second whose prompts can be read.
+func (c DataCenter) PrefillLimit() float64 { return c.byReading }
 
-// PerSecond returns the requests a second that both allow.
-func (c Center) PerSecond() float64 { return min(c.byRoom, c.byReading) }
+// RequestsPerSecond returns the requests a second that both allow.
+func (c DataCenter) RequestsPerSecond() float64 { return min(c.byRoom, c.byReading) }
 
-// Binds names which of the two binds.
-func (c Center) Binds() string {
+// Bottleneck names which of the two binds.
+func (c DataCenter) Bottleneck() string {
 	if c.byRoom < c.byReading {
 		return "room"
 	}
 	return "reading"
 }
 
-// Fleet returns what each data center allows, in order of name. Layers that a data
+// DataCenters returns what each data center allows, in order of name. Layers that a data
 // center can't hold leave it with nothing.
-func Fleet(f *protocol.EngineFacts, engines []place.Engine) []Center {
+func DataCenters(f *protocol.EngineFacts, engines []place.Engine) []DataCenter {
 	byCenter := map[string][]place.Engine{}
 	var names []string
 	for _, e := range engines {
@@ -73,16 +73,16 @@
 		byCenter[e.DataCenter] = append(byCenter[e.DataCenter], e)
 	}
 	slices.SortFunc(names, strings.Compare)
-	var all []Center
+	var all []DataCenter
 	for _, n := range names {
 		all = append(all, centerOf(f, n, byCenter[n]))
 	}
 	return all
 }
 
-func centerOf(f *protocol.EngineFacts, name string, engines []place.Engine) Center {
+func centerOf(f *protocol.EngineFacts, name string, engines []place.Engine) DataCenter {
 	laid := layOut(f, slices.Clone(engines))
-	c := Center{name: name, room: room(f, laid), lossRoom: math.Inf(1)}
+	c := DataCenter{name: name, room: room(f, laid), lossRoom: math.Inf(1)}
 	for _, e := range laid {
 		c.copies += float64(e.Held.Layers()) / float64(f.Layers)
 	}
--- a/coordination/bound/fleet_test.go
+++ b/coordination/bound/fleet_test.go
@@ -31,20 +31,20 @@
 }
 
 func TestOneEngineThatHoldsAll(t *testing.T) {
-	c := bound.Fleet(smallModel(), engines("big", 1))[0]
-	require.InDelta(t, 1, c.Copies(), 1e-9)
+	c := bound.DataCenters(smallModel(), engines("big", 1))[0]
+	require.InDelta(t, 1, c.Replicas(), 1e-9)
 	require.Equal(t, 1, c.Stages())
-	require.InDelta(t, 100, c.Room(), 1e-9, "1,000 MB beside the weights, 1 MB a token, 10 tokens a request")
-	require.InDelta(t, 125, c.ByReading(), 1e-9, "1,000 tokens a second, 8 a prompt")
-	require.InDelta(t, 100/(1.0/125+2*0.020), c.ByRoom(), 1e-9, "10 ms a step and 0.1 ms for each of 100 requests")
-	require.Equal(t, "reading", c.Binds())
-	require.InDelta(t, 0, c.LossRoom(), 1e-9)
+	require.InDelta(t, 100, c.Capacity(), 1e-9, "1,000 MB beside the weights, 1 MB a token, 10 tokens a request")
+	require.InDelta(t, 125, c.PrefillLimit(), 1e-9, "1,000 tokens a second, 8 a prompt")
+	require.InDelta(t, 100/(1.0/125+2*0.020), c.CapacityLimit(), 1e-9, "10 ms a step and 0.1 ms for each of 100 requests")
+	require.Equal(t, "reading", c.Bottleneck())
+	require.InDelta(t, 0, c.CapacityAfterLoss(), 1e-9)
 }
 
 func TestADataCenterWithoutACopyServesNothing(t *testing.T) {
-	c := bound.Fleet(smallModel(), engines("small", 1))[0]
-	require.Zero(t, c.Room())
-	require.Zero(t, c.PerSecond())
+	c := bound.DataCenters(smallModel(), engines("small", 1))[0]
+	require.Zero(t, c.Capacity())
+	require.Zero(t, c.RequestsPerSecond())
 }
 
 // TestBoundsOfAnyFleet: a loss never leaves more room, and figures are never negative.
@@ -52,11 +52,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		all := engines("big", rapid.IntRange(0, 3).Draw(t, "big"))
 		all = append(all, engines("small", rapid.IntRange(1, 6).Draw(t, "small"))...)
-		for _, c := range bound.Fleet(smallModel(), all) {
-			require.LessOrEqual(t, c.LossRoom(), c.Room()+1e-9)
-			require.GreaterOrEqual(t, c.LossRoom(), 0.0)
-			require.GreaterOrEqual(t, c.PerSecond(), 0.0)
-			require.LessOrEqual(t, c.PerSecond(), c.ByReading())
+		for _, c := range bound.DataCenters(smallModel(), all) {
+			require.LessOrEqual(t, c.CapacityAfterLoss(), c.Capacity()+1e-9)
+			require.GreaterOrEqual(t, c.CapacityAfterLoss(), 0.0)
+			require.GreaterOrEqual(t, c.RequestsPerSecond(), 0.0)
+			require.LessOrEqual(t, c.RequestsPerSecond(), c.PrefillLimit())
 		}
 	})
 }
