--- a/state/roster/belief.go
+++ b/state/roster/belief.go
@@ -13,13 +13,13 @@
 // it: reports are some hundred ms old.
 const recordFresh = 500 * time.Millisecond
 
-// Taken is what a record told.
-type Taken uint8
+// UpdateResult is what a record told.
+type UpdateResult uint8
 
 // What a record may tell.
 const (
 	// Changed is a change of an endpoint that is known.
-	Changed Taken = iota
+	Changed UpdateResult = iota
 	// Joined is an endpoint that was unknown.
 	Joined
 	// Restarted is an endpoint that has started again and holds nothing of before.
@@ -38,7 +38,7 @@
 }
 
 // put takes one record. The mutex is held.
-func (r *Roster) put(e protocol.Endpoint, now time.Time) Taken {
+func (r *Roster) put(e protocol.Endpoint, now time.Time) UpdateResult {
 	if e.Incarnation.Before(r.occupants.Lifetime(e.ID)) {
 		r.noteLate(e, now)
 		return Stale // written by an earlier life, and done late
@@ -128,16 +128,16 @@
 	return e
 }
 
-// Lifetime returns the latest life of an endpoint that is known.
-func (r *Roster) Lifetime(id string) protocol.Incarnation {
+// Incarnation returns the latest life of an endpoint that is known.
+func (r *Roster) Incarnation(id string) protocol.Incarnation {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.occupants.Lifetime(id)
 }
 
-// Denied notes that an engine said that it does not hold the layers of its record, and
+// LayersDenied notes that an engine said that it does not hold the layers of its record, and
 // reports whether that was news. A record that has changed since stands.
-func (r *Roster) Denied(id string, life protocol.Incarnation, at time.Time) bool {
+func (r *Roster) LayersDenied(id string, life protocol.Incarnation, at time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	e, there := r.endpoints[id]
@@ -162,9 +162,9 @@
 	return true
 }
 
-// Holds notes that an engine held what its record says after all when it was asked, and
+// LayersConfirmed notes that an engine held what its record says after all when it was asked, and
 // reports whether that was news.
-func (r *Roster) Holds(id string, at time.Time) bool {
+func (r *Roster) LayersConfirmed(id string, at time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if b := r.beliefs[id]; !b.denied || at.Before(b.since) {
@@ -175,33 +175,33 @@
 	return true
 }
 
-// Reported is what an engine's own report says of its record.
-type Reported uint8
+// ReportResult is what an engine's own report says of its record.
+type ReportResult uint8
 
 // What a report may say of a record.
 const (
-	// Agrees is a report of the layers that the record names.
-	Agrees Reported = iota
-	// Differs is a report of other layers than were believed, or of another life.
-	Differs
-	// Silent is a report that changes nothing: it tells no layers, or those believed
+	// ReportMatches is a report of the layers that the record names.
+	ReportMatches ReportResult = iota
+	// ReportDiffers is a report of other layers than were believed, or of another life.
+	ReportDiffers
+	// ReportIgnored is a report that changes nothing: it tells no layers, or those believed
 	// already, is of an earlier life, or the record may be newer.
-	Silent
+	ReportIgnored
 )
 
 // Report takes an engine's own report.
-func (r *Roster) Report(id string, p *protocol.EngineReport, now time.Time) Reported {
+func (r *Roster) Report(id string, p *protocol.EngineReport, now time.Time) ReportResult {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	e, there := r.endpoints[id]
 	if !there || p.Incarnation.Before(e.Incarnation) {
-		return Silent
+		return ReportIgnored
 	}
 	b := r.beliefs[id]
 	sameLife := e.Incarnation.Known() && e.Incarnation == p.Incarnation
 	switch {
 	case p.Orders < b.orders && sameLife:
-		return Silent // two were asked for at a time, and this one came last
+		return ReportIgnored // two were asked for at a time, and this one came last
 	case p.Orders < b.orders, e.Incarnation.Before(p.Incarnation):
 		return r.startedAgain(e, p, now)
 	case p.Orders > b.orders:
@@ -210,23 +210,23 @@
 	}
 	switch {
 	case !p.LayersKnown:
-		return Silent
+		return ReportIgnored
 	case p.Layers == e.Layers:
 		if b.denied {
 			r.trust(id)
 			r.changed()
 		}
-		return Agrees
+		return ReportMatches
 	case b.denied && b.held == p.Layers, now.Before(r.changedAt[id].Add(recordFresh)):
-		return Silent
+		return ReportIgnored
 	default:
 		r.deny(id, p.Layers, now)
-		return Differs
+		return ReportDiffers
 	}
 }
 
 // startedAgain notes that an engine has started again since it wrote its record.
-func (r *Roster) startedAgain(e protocol.Endpoint, p *protocol.EngineReport, now time.Time) Reported {
+func (r *Roster) startedAgain(e protocol.Endpoint, p *protocol.EngineReport, now time.Time) ReportResult {
 	if p.Incarnation.Known() {
 		e.Incarnation = p.Incarnation
 	}
@@ -239,12 +239,12 @@
 	}
 	r.anew = append(r.anew, r.believed(e))
 	r.changed()
-	return Differs
+	return ReportDiffers
 }
 
-// StartedAgain returns the endpoints of which a report or a list showed since the last call that
+// TakeRestarted returns the endpoints of which a report or a list showed since the last call that
 // they have started again.
-func (r *Roster) StartedAgain() []protocol.Endpoint {
+func (r *Roster) TakeRestarted() []protocol.Endpoint {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	all := r.anew
--- a/state/roster/late.go
+++ b/state/roster/late.go
@@ -25,7 +25,7 @@
 	}
 	l, there := r.late[e.ID]
 	if !there || l.endpoint.Incarnation != e.Incarnation {
-		l.till = now.Add(Patience)
+		l.till = now.Add(ProbeGrace)
 	}
 	l.endpoint = e
 	r.late[e.ID] = l
--- a/state/roster/lives_test.go
+++ b/state/roster/lives_test.go
@@ -200,7 +200,7 @@
 	if c.gone {
 		r.roster.Remove(c.endpoint.ID, w.now)
 	} else {
-		r.roster.Take(c.endpoint, w.now)
+		r.roster.Update(c.endpoint, w.now)
 	}
 }
 
@@ -233,18 +233,18 @@
 func (w *fleetWorld) believe(r *reader, n word) {
 	switch n.occupant {
 	case "":
-		r.roster.Denied(n.endpoint, n.life, n.at)
+		r.roster.LayersDenied(n.endpoint, n.life, n.at)
 	case n.endpoint:
-		r.roster.Located(n.endpoint, n.occupant, n.life, n.at)
-		r.roster.Holds(n.endpoint, n.at)
+		r.roster.OwnerAnswered(n.endpoint, n.occupant, n.life, n.at)
+		r.roster.LayersConfirmed(n.endpoint, n.at)
 	default:
-		r.roster.Located(n.endpoint, n.occupant, n.life, n.at)
+		r.roster.OwnerAnswered(n.endpoint, n.occupant, n.life, n.at)
 	}
 }
 
 // met lets an entry take what an answer told it, and tell the others.
 func (w *fleetWorld) met(r *reader, endpoint, occupant string) {
-	n := word{endpoint: endpoint, occupant: occupant, life: r.roster.Lifetime(endpoint), at: w.now}
+	n := word{endpoint: endpoint, occupant: occupant, life: r.roster.Incarnation(endpoint), at: w.now}
 	w.believe(r, n)
 	for _, o := range w.entries {
 		if o != r {
@@ -277,15 +277,15 @@
 
 // inquire lets an entry ask where it is unclear.
 func (w *fleetWorld) inquire(r *reader, others bool) {
-	r.roster.Notices()
-	for _, q := range r.roster.Questions(others, w.now) {
+	r.roster.TakeUseChanges()
+	for _, q := range r.roster.DueProbes(others, w.now) {
 		p := w.alive[q.Address()]
 		if p == nil {
 			continue
 		}
-		if p.id == q.Endpoint() && q.Layers() {
+		if p.id == q.Endpoint() && q.AsksLayers() {
 			report := protocol.EngineReport{Layers: p.layers, LayersKnown: true, Incarnation: p.life, Orders: p.orders}
-			if r.roster.Report(p.id, &report, w.now) != roster.Agrees {
+			if r.roster.Report(p.id, &report, w.now) != roster.ReportMatches {
 				continue
 			}
 		}
@@ -341,7 +341,7 @@
 
 // leftOut bounds how long an engine that lives, and whose record stands, may be left out or
 // taken for an earlier life.
-const leftOut = roster.Patience + occupant.AskEvery
+const leftOut = roster.ProbeGrace + occupant.AskEvery
 
 // TestEnginesThatLiveAreUsedAndOnlyThose lets engines start, crash and start again, records
 // come late, lapse and come back, and entries see parts of it and hear news in any order.
@@ -356,7 +356,7 @@
 			"": w.check,
 		})
 		if w.setBack {
-			w.calm(roster.Patience) // until a record that stands is believed
+			w.calm(roster.ProbeGrace) // until a record that stands is believed
 		}
 		w.calm(leftOut)
 		var living []string
--- a/state/roster/notice.go
+++ b/state/roster/notice.go
@@ -10,8 +10,8 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// Notice tells that a record went out of use, or came back into it.
-type Notice struct {
+// RecordUse tells that a record went out of use, or came back into it.
+type RecordUse struct {
 	endpoint string
 	address  string
 	occupant string
@@ -19,22 +19,22 @@
 }
 
 // Endpoint returns the ID in the record.
-func (n Notice) Endpoint() string { return n.endpoint }
+func (n RecordUse) Endpoint() string { return n.endpoint }
 
 // Address returns the address that the record names.
-func (n Notice) Address() string { return n.address }
+func (n RecordUse) Address() string { return n.address }
 
-// Occupant returns the ID of the endpoint that has the address.
-func (n Notice) Occupant() string { return n.occupant }
+// Owner returns the ID of the endpoint that has the address.
+func (n RecordUse) Owner() string { return n.occupant }
 
 // Used reports whether the record is in use now.
-func (n Notice) Used() bool { return n.used }
+func (n RecordUse) Used() bool { return n.used }
 
 // inUse reports whether an endpoint has its address, and notes when that has changed.
 func (r *Roster) inUse(e protocol.Endpoint) bool {
 	used := r.occupants.InUse(e.ID)
 	if used == r.unused[e.ID] {
-		r.notices = append(r.notices, Notice{endpoint: e.ID, address: e.Address, occupant: r.occupants.Occupant(e.ID), used: used})
+		r.notices = append(r.notices, RecordUse{endpoint: e.ID, address: e.Address, occupant: r.occupants.Occupant(e.ID), used: used})
 		if r.unused == nil {
 			r.unused = make(map[string]bool)
 		}
@@ -47,8 +47,8 @@
 	return used
 }
 
-// Notices returns which records went out of use or came back into it since the last call.
-func (r *Roster) Notices() []Notice {
+// TakeUseChanges returns which records went out of use or came back into it since the last call.
+func (r *Roster) TakeUseChanges() []RecordUse {
 	r.derive()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -57,25 +57,25 @@
 	return all
 }
 
-// Superseded returns the records out of use because another endpoint has their address, in
+// SupersededRecords returns the records out of use because another endpoint has their address, in
 // order of ID.
-func (r *Roster) Superseded() []Notice {
+func (r *Roster) SupersededRecords() []RecordUse {
 	r.derive()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	all := make([]Notice, 0, len(r.unused))
+	all := make([]RecordUse, 0, len(r.unused))
 	for id := range r.unused {
 		if e, there := r.endpoints[id]; there {
-			all = append(all, Notice{endpoint: id, address: e.Address, occupant: r.occupants.Occupant(id)})
+			all = append(all, RecordUse{endpoint: id, address: e.Address, occupant: r.occupants.Occupant(id)})
 		}
 	}
-	slices.SortFunc(all, func(a, b Notice) int { return strings.Compare(a.endpoint, b.endpoint) })
+	slices.SortFunc(all, func(a, b RecordUse) int { return strings.Compare(a.endpoint, b.endpoint) })
 	return all
 }
 
-// Located notes that an endpoint, the occupant, answered at the address of an endpoint's
+// OwnerAnswered notes that an endpoint, the occupant, answered at the address of an endpoint's
 // record. It reports whether that changes which record is in use.
-func (r *Roster) Located(id, occupant string, life protocol.Incarnation, at time.Time) bool {
+func (r *Roster) OwnerAnswered(id, occupant string, life protocol.Incarnation, at time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	e, there := r.endpoints[id]
--- a/state/roster/roster.go
+++ b/state/roster/roster.go
@@ -57,7 +57,7 @@
 	beliefs    map[string]belief     // of endpoints whose record is not believed as it stands
 	changedAt  map[string]time.Time  // when a record last told something new
 	unused     map[string]bool       // records out of use when it was last derived
-	notices    []Notice              // not told yet
+	notices    []RecordUse           // not told yet
 	unrecorded map[string]unrecorded // by ID: answered at an address, and have no record
 	late       map[string]lateRecord // not believed, but the latest of their endpoints
 	anew       []protocol.Endpoint   // that have started again, not told yet
@@ -65,7 +65,7 @@
 	derived    atomic.Uint64
 	view       atomic.Pointer[fleet.View]
 	list       atomic.Pointer[[]protocol.Endpoint]
-	misfits    atomic.Pointer[[]Misfit]
+	misfits    atomic.Pointer[[]UnusableEndpoint]
 	centers    atomic.Pointer[map[string][]string] // by service
 }
 
@@ -75,18 +75,18 @@
 	return r.view.Load()
 }
 
-// Changes returns a number that rises with each change of the endpoints.
-func (r *Roster) Changes() uint64 { return r.changes.Load() }
+// Revision returns a number that rises with each change of the endpoints.
+func (r *Roster) Revision() uint64 { return r.changes.Load() }
 
-// Derived returns how often what follows from the changes was worked out.
-func (r *Roster) Derived() uint64 { return r.derived.Load() }
+// Rebuilds returns how often what follows from the changes was worked out.
+func (r *Roster) Rebuilds() uint64 { return r.derived.Load() }
 
-// Known reports whether a list was ever taken.
-func (r *Roster) Known() bool { return r.known.Load() }
+// HasList reports whether a list was ever taken.
+func (r *Roster) HasList() bool { return r.known.Load() }
 
-// Centers returns the data centers in which engines of a service hold layers, in
+// EngineDataCenters returns the data centers in which engines of a service hold layers, in
 // order of name. The caller must not change the slice.
-func (r *Roster) Centers(service string) []string {
+func (r *Roster) EngineDataCenters(service string) []string {
 	r.derive()
 	if c := r.centers.Load(); c != nil {
 		return (*c)[service]
@@ -104,16 +104,16 @@
 	return nil
 }
 
-// Services takes the services that routes name.
-func (r *Roster) Services(services []protocol.RoutedService) {
+// SetServices takes the services that routes name.
+func (r *Roster) SetServices(services []protocol.RoutedService) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.services = services
 	r.changed()
 }
 
-// Outage notes that the platform did not answer at that time.
-func (r *Roster) Outage(at time.Time) {
+// MarkOutage notes that the platform did not answer at that time.
+func (r *Roster) MarkOutage(at time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if at.After(r.outage) {
@@ -159,11 +159,11 @@
 	return gone
 }
 
-// Put takes one new or changed endpoint, and reports whether it was unknown.
-func (r *Roster) Put(e protocol.Endpoint) bool { return r.Take(e, clock.Now()) == Joined }
+// Add takes one new or changed endpoint, and reports whether it was unknown.
+func (r *Roster) Add(e protocol.Endpoint) bool { return r.Update(e, clock.Now()) == Joined }
 
-// Take takes one new or changed endpoint.
-func (r *Roster) Take(e protocol.Endpoint, now time.Time) Taken {
+// Update takes one new or changed endpoint.
+func (r *Roster) Update(e protocol.Endpoint, now time.Time) UpdateResult {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.occupants.Next()
--- a/state/roster/roster_test.go
+++ b/state/roster/roster_test.go
@@ -24,7 +24,7 @@
 
 func newRoster() *roster.Roster {
 	r := &roster.Roster{Home: fleet.Home{Name: "e1", DataCenter: "a"}}
-	r.Services(services)
+	r.SetServices(services)
 	return r
 }
 
@@ -42,13 +42,13 @@
 
 func TestTheViewHoldsEnginesByDataCenterAndServicesWhole(t *testing.T) {
 	r := newRoster()
-	require.False(t, r.Known())
+	require.False(t, r.HasList())
 	now := time.Unix(100, 0)
 	r.Replace([]protocol.Endpoint{
 		engine("x", "b", 0, 5), engine("y", "a", 5, 10), engine("empty", "a", 0, 0), {ID: "p", Service: "plain", DataCenter: "b"},
 	}, now)
-	require.True(t, r.Known())
-	require.Equal(t, []string{"a", "b"}, r.Centers("llm"))
+	require.True(t, r.HasList())
+	require.Equal(t, []string{"a", "b"}, r.EngineDataCenters("llm"))
 	require.NotNil(t, r.View().Runner("x"))
 	require.Nil(t, r.View().Runner("empty"), "an engine without layers can't serve")
 	require.Len(t, r.View().Model(roster.ModelName("plain", "")).Groups(), 1)
@@ -60,19 +60,19 @@
 	now := time.Unix(100, 0)
 	r.Replace([]protocol.Endpoint{engine("x", "a", 0, 5)}, now)
 	x := r.View().Runner("x")
-	r.Put(engine("y", "a", 5, 10))
+	r.Add(engine("y", "a", 5, 10))
 	require.Same(t, x, r.View().Runner("x"))
 	moved := engine("x", "a", 2, 5)
-	require.False(t, r.Put(moved))
+	require.False(t, r.Add(moved))
 	require.NotSame(t, x, r.View().Runner("x"))
 }
 
 func TestALeavingEndpointTakesNoNewWork(t *testing.T) {
 	r := newRoster()
-	r.Put(engine("x", "a", 0, 10))
+	r.Add(engine("x", "a", 0, 10))
 	e := engine("x", "a", 0, 10)
 	e.Leaving = true
-	r.Put(e)
+	r.Add(e)
 	require.False(t, r.View().Runner("x").Usable(time.Unix(100, 0)))
 }
 
@@ -82,7 +82,7 @@
 	leaving := engine("z", "a", 0, 5)
 	leaving.Leaving = true
 	r.Replace([]protocol.Endpoint{engine("x", "a", 0, 5), engine("y", "a", 5, 10), leaving}, now)
-	r.Outage(now)
+	r.MarkOutage(now)
 	require.False(t, r.Remove("x", now.Add(time.Second)))
 	require.Equal(t, []string{"z"}, ids(r.Replace([]protocol.Endpoint{engine("y", "a", 5, 10)}, now.Add(time.Second))),
 		"one that said that it leaves is not believed in")
@@ -96,21 +96,21 @@
 	r := newRoster()
 	now := time.Unix(100, 0)
 	r.Replace([]protocol.Endpoint{engine("x", "a", 0, 5)}, now)
-	r.Outage(now)
+	r.MarkOutage(now)
 	r.Remove("x", now)
-	r.Put(engine("x", "a", 0, 5))
+	r.Add(engine("x", "a", 0, 5))
 	require.Empty(t, r.Sweep(now.Add(time.Minute)))
 	require.True(t, r.Remove("x", now.Add(time.Minute)), "long after the outage, gone is gone")
 }
 
 func TestEachLookHoldsAllThatWasTakenBefore(t *testing.T) {
 	r := newRoster()
-	before := r.Changes()
-	r.Put(engine("x", "a", 0, 5))
-	r.Put(engine("y", "b", 0, 10))
-	require.Equal(t, before+2, r.Changes())
+	before := r.Revision()
+	r.Add(engine("x", "a", 0, 5))
+	r.Add(engine("y", "b", 0, 10))
+	require.Equal(t, before+2, r.Revision())
 	require.NotNil(t, r.View().Runner("y"))
-	require.Equal(t, []string{"a", "b"}, r.Centers("llm"))
+	require.Equal(t, []string{"a", "b"}, r.EngineDataCenters("llm"))
 	require.Equal(t, []string{"x", "y"}, ids(r.Endpoints()))
 	require.Same(t, r.View(), r.View(), "nothing is derived anew without a change")
 	r.Remove("x", time.Unix(100, 0))
@@ -138,11 +138,11 @@
 		{"a start told for the first time", atX("x", 0, 3, 5), atX("x", 10, 3, 5), false},
 	} {
 		r := newRoster()
-		require.Equal(t, roster.Joined, r.Take(c.before, now), c.name)
+		require.Equal(t, roster.Joined, r.Update(c.before, now), c.name)
 		runner := r.View().Runner("x")
 		runner.Failed(now)
 		runner.Lose(now, now.Add(time.Hour))
-		require.Equal(t, c.restarted, r.Take(c.after, now) == roster.Restarted, c.name)
+		require.Equal(t, c.restarted, r.Update(c.after, now) == roster.Restarted, c.name)
 		require.Equal(t, c.restarted, r.View().Runner("x") != runner, c.name)
 		require.Equal(t, c.restarted, r.View().Runner("x").Usable(now), c.name)
 	}
@@ -151,19 +151,19 @@
 func TestARecordOfAnEarlierLifeChangesNothing(t *testing.T) {
 	r := newRoster()
 	now := time.Unix(100, 0)
-	r.Take(atX("x", 20, 1, 3), now)
+	r.Update(atX("x", 20, 1, 3), now)
 	x := r.View().Runner("x")
-	require.Equal(t, roster.Stale, r.Take(atX("x", 10, 9, 10), now))
+	require.Equal(t, roster.Stale, r.Update(atX("x", 10, 9, 10), now))
 	r.Replace([]protocol.Endpoint{atX("x", 10, 9, 10)}, now)
 	require.Same(t, x, r.View().Runner("x"))
 	require.True(t, r.Remove("x", now))
-	require.Equal(t, roster.Stale, r.Take(atX("x", 10, 9, 10), now), "nor after the later one's has gone")
+	require.Equal(t, roster.Stale, r.Update(atX("x", 10, 9, 10), now), "nor after the later one's has gone")
 	require.Empty(t, r.Endpoints())
 	report := protocol.EngineReport{Incarnation: 10, LayersKnown: true}
-	r.Take(atX("x", 20, 1, 3), now)
-	require.Equal(t, roster.Silent, r.Report("x", &report, now.Add(time.Minute)), "nor does a report of that life")
-	require.False(t, r.Denied("x", 10, now.Add(time.Minute)), "nor an answer")
-	require.Len(t, r.Centers("llm"), 1)
+	r.Update(atX("x", 20, 1, 3), now)
+	require.Equal(t, roster.ReportIgnored, r.Report("x", &report, now.Add(time.Minute)), "nor does a report of that life")
+	require.False(t, r.LayersDenied("x", 10, now.Add(time.Minute)), "nor an answer")
+	require.Len(t, r.EngineDataCenters("llm"), 1)
 }
 
 // TestALifeWhoseRecordStandsIsNotOver: a process that lives writes over what an earlier life of it
@@ -171,7 +171,7 @@
 // start, looks like an earlier life and is not.
 func TestALifeWhoseRecordStandsIsNotOver(t *testing.T) {
 	now := time.Unix(100, 0)
-	stands := now.Add(roster.Patience)
+	stands := now.Add(roster.ProbeGrace)
 	later, earlier := atX("x", 20, 1, 3), atX("x", 10, 1, 10)
 	for _, c := range []struct {
 		name     string
@@ -180,23 +180,23 @@
 	}{
 		{"it stands", func(*roster.Roster) {}, 10},
 		{"it is listed again", func(r *roster.Roster) { r.Replace([]protocol.Endpoint{earlier}, stands.Add(-1)) }, 10},
-		{"the later one's record has gone before", func(r *roster.Roster) { r.Take(earlier, now) }, 10},
-		{"it is written over", func(r *roster.Roster) { r.Take(later, now) }, 20},
+		{"the later one's record has gone before", func(r *roster.Roster) { r.Update(earlier, now) }, 10},
+		{"it is written over", func(r *roster.Roster) { r.Update(later, now) }, 20},
 		{"it is not in a list", func(r *roster.Roster) { r.Replace([]protocol.Endpoint{later}, now) }, 20},
 		{"it goes", func(r *roster.Roster) { r.Remove("x", now) }, 0},
 		{"it is replaced by one that can't be used", func(r *roster.Roster) { r.Discard("x") }, 0},
-		{"who lives can't write", func(r *roster.Roster) { r.Outage(stands) }, 20},
+		{"who lives can't write", func(r *roster.Roster) { r.MarkOutage(stands) }, 20},
 	} {
 		r := newRoster()
-		r.Take(later, now)
+		r.Update(later, now)
 		runner := r.View().Runner("x")
 		if c.name == "the later one's record has gone before" {
 			r.Remove("x", now)
 		}
-		require.Equal(t, roster.Stale, r.Take(earlier, now), c.name)
+		require.Equal(t, roster.Stale, r.Update(earlier, now), c.name)
 		c.meantime(r)
 		r.Sweep(stands.Add(-time.Millisecond))
-		require.Empty(t, r.StartedAgain(), c.name)
+		require.Empty(t, r.TakeRestarted(), c.name)
 		r.Sweep(stands)
 		if c.life == 0 {
 			require.Empty(t, r.Endpoints(), c.name)
@@ -205,23 +205,23 @@
 		require.Len(t, r.Endpoints(), 1, c.name)
 		require.Equal(t, c.life, r.Endpoints()[0].Incarnation, c.name)
 		require.Equal(t, c.life == 10, r.View().Runner("x") != runner, c.name)
-		require.Equal(t, c.life == 10, len(r.StartedAgain()) == 1, c.name)
-		require.Equal(t, c.life == 10, r.Report("x", &protocol.EngineReport{Incarnation: 10, LayersKnown: true}, stands.Add(time.Minute)) == roster.Differs, c.name)
+		require.Equal(t, c.life == 10, len(r.TakeRestarted()) == 1, c.name)
+		require.Equal(t, c.life == 10, r.Report("x", &protocol.EngineReport{Incarnation: 10, LayersKnown: true}, stands.Add(time.Minute)) == roster.ReportDiffers, c.name)
 	}
 }
 
 func TestAnEngineThatLacksItsLayersCountsAsEmpty(t *testing.T) {
 	r := newRoster()
 	now := time.Unix(100, 0)
-	r.Take(atX("x", 0, 2, 5), now)
-	require.False(t, r.Denied("x", 0, now.Add(-time.Second)), "its record has told more since")
-	require.True(t, r.Denied("x", 0, now.Add(time.Second)))
-	require.False(t, r.Denied("x", 0, now.Add(2*time.Second)), "it is known")
+	r.Update(atX("x", 0, 2, 5), now)
+	require.False(t, r.LayersDenied("x", 0, now.Add(-time.Second)), "its record has told more since")
+	require.True(t, r.LayersDenied("x", 0, now.Add(time.Second)))
+	require.False(t, r.LayersDenied("x", 0, now.Add(2*time.Second)), "it is known")
 	require.Nil(t, r.View().Runner("x"))
 	require.Equal(t, protocol.Span{}, r.Endpoints()[0].Layers, "it can be given layers")
-	r.Take(atX("x", 0, 2, 5), now.Add(3*time.Second))
+	r.Update(atX("x", 0, 2, 5), now.Add(3*time.Second))
 	require.Nil(t, r.View().Runner("x"), "its record says what it said")
-	r.Take(atX("x", 0, 3, 7), now.Add(4*time.Second))
+	r.Update(atX("x", 0, 3, 7), now.Add(4*time.Second))
 	require.NotNil(t, r.View().Runner("x"))
 }
 
@@ -232,50 +232,50 @@
 		name   string
 		report protocol.EngineReport
 		after  time.Duration
-		says   roster.Reported
+		says   roster.ReportResult
 		layers protocol.Span
 		anew   bool
 	}{
-		{"the same", protocol.EngineReport{Layers: span, LayersKnown: true, Orders: 2}, time.Second, roster.Agrees, span, false},
-		{"nothing of layers", protocol.EngineReport{Orders: 2}, time.Second, roster.Silent, span, false},
-		{"none", protocol.EngineReport{LayersKnown: true, Orders: 2}, time.Second, roster.Differs, protocol.Span{}, false},
-		{"none, from before the record changed", protocol.EngineReport{LayersKnown: true, Orders: 2}, 100 * time.Millisecond, roster.Silent, span, false},
-		{"orders counted anew", protocol.EngineReport{LayersKnown: true, Orders: 1}, 100 * time.Millisecond, roster.Differs, protocol.Span{}, true},
-		{"fewer orders of the same life, which is late", protocol.EngineReport{LayersKnown: true, Orders: 1, Incarnation: 10}, time.Second, roster.Silent, span, false},
-		{"a later start", protocol.EngineReport{LayersKnown: true, Orders: 2, Incarnation: 20}, 100 * time.Millisecond, roster.Differs, protocol.Span{}, true},
+		{"the same", protocol.EngineReport{Layers: span, LayersKnown: true, Orders: 2}, time.Second, roster.ReportMatches, span, false},
+		{"nothing of layers", protocol.EngineReport{Orders: 2}, time.Second, roster.ReportIgnored, span, false},
+		{"none", protocol.EngineReport{LayersKnown: true, Orders: 2}, time.Second, roster.ReportDiffers, protocol.Span{}, false},
+		{"none, from before the record changed", protocol.EngineReport{LayersKnown: true, Orders: 2}, 100 * time.Millisecond, roster.ReportIgnored, span, false},
+		{"orders counted anew", protocol.EngineReport{LayersKnown: true, Orders: 1}, 100 * time.Millisecond, roster.ReportDiffers, protocol.Span{}, true},
+		{"fewer orders of the same life, which is late", protocol.EngineReport{LayersKnown: true, Orders: 1, Incarnation: 10}, time.Second, roster.ReportIgnored, span, false},
+		{"a later start", protocol.EngineReport{LayersKnown: true, Orders: 2, Incarnation: 20}, 100 * time.Millisecond, roster.ReportDiffers, protocol.Span{}, true},
 	} {
 		r := newRoster()
-		r.Take(atX("x", 10, 7, 5), now)
+		r.Update(atX("x", 10, 7, 5), now)
 		r.Report("x", &protocol.EngineReport{Layers: span, LayersKnown: true, Orders: 2}, now)
 		require.Equal(t, c.says, r.Report("x", &c.report, now.Add(c.after)), c.name)
 		require.Equal(t, c.layers, r.Endpoints()[0].Layers, c.name)
-		require.Equal(t, c.anew, len(r.StartedAgain()) == 1, c.name)
-		require.Empty(t, r.StartedAgain())
+		require.Equal(t, c.anew, len(r.TakeRestarted()) == 1, c.name)
+		require.Empty(t, r.TakeRestarted())
 	}
 }
 
 func TestWhoAnswersWithoutARecordIsKnownUntilItHasOne(t *testing.T) {
 	r := newRoster()
 	now := time.Unix(100, 0)
-	r.Take(atX("old", 0, 0, 5), now)
-	r.Located("old", "next", 0, now.Add(time.Second))
+	r.Update(atX("old", 0, 0, 5), now)
+	r.OwnerAnswered("old", "next", 0, now.Add(time.Second))
 	known := r.Unrecorded(now.Add(2 * time.Second))
 	require.Len(t, known, 1)
 	require.Equal(t, atX("next", 0, 0, 0), known[0], "what it is, is taken from the record, but not its layers")
 	require.Empty(t, r.Endpoints(), "it serves nothing")
 	r.Remove("old", now.Add(3*time.Second))
 	require.Len(t, r.Unrecorded(now.Add(4*time.Second)), 1, "the other one's record is not needed any more")
-	r.Take(atX("next", 0, 0, 0), now.Add(5*time.Second))
+	r.Update(atX("next", 0, 0, 0), now.Add(5*time.Second))
 	require.Empty(t, r.Unrecorded(now.Add(5*time.Second)))
-	r.Located("next", "third", 0, now.Add(6*time.Second))
+	r.OwnerAnswered("next", "third", 0, now.Add(6*time.Second))
 	require.Empty(t, r.Unrecorded(now.Add(time.Minute)), "one that is never recorded is forgotten")
 }
 
 func TestAnswersOfManyNamesAreForgottenByWhoNeverOrders(t *testing.T) {
 	r := newRoster()
 	now := time.Unix(100, 0)
-	r.Take(atX("old", 0, 0, 5), now)
-	r.Located("old", "next", 0, now)
+	r.Update(atX("old", 0, 0, 5), now)
+	r.OwnerAnswered("old", "next", 0, now)
 	r.Sweep(now.Add(time.Minute))
 	require.Empty(t, r.Unrecorded(now), "nobody looked at it before")
 }
@@ -284,15 +284,15 @@
 func TestADenialOutlastsWhatWasAskedBefore(t *testing.T) {
 	r := newRoster()
 	now := time.Unix(100, 0)
-	r.Take(atX("x", 0, 2, 5), now)
-	require.True(t, r.Denied("x", 0, now.Add(2*time.Second)))
-	require.False(t, r.Holds("x", now.Add(time.Second)), "it was asked before")
-	q, there := r.Probe("x", now.Add(3*time.Second))
+	r.Update(atX("x", 0, 2, 5), now)
+	require.True(t, r.LayersDenied("x", 0, now.Add(2*time.Second)))
+	require.False(t, r.LayersConfirmed("x", now.Add(time.Second)), "it was asked before")
+	q, there := r.ProbeIfDue("x", now.Add(3*time.Second))
 	require.True(t, there)
-	require.True(t, q.Layers(), "its layers are in doubt as well")
-	require.True(t, r.Holds("x", now.Add(4*time.Second)))
-	q, _ = r.Ask("x")
-	require.False(t, q.Layers())
+	require.True(t, q.AsksLayers(), "its layers are in doubt as well")
+	require.True(t, r.LayersConfirmed("x", now.Add(4*time.Second)))
+	q, _ = r.ProbeOf("x")
+	require.False(t, q.AsksLayers())
 }
 
 func TestEndpointsAreCountedAsOfTheLatestLook(t *testing.T) {
@@ -301,7 +301,7 @@
 	require.Zero(t, r.Count())
 	r.Replace([]protocol.Endpoint{engine("x", "a", 0, 5)}, now)
 	require.Len(t, r.Endpoints(), 1)
-	r.Take(engine("y", "a", 5, 10), now)
+	r.Update(engine("y", "a", 5, 10), now)
 	require.Equal(t, 1, r.Count(), "counting derives nothing")
 	require.Len(t, r.Endpoints(), 2)
 	require.Equal(t, 2, r.Count())
@@ -310,18 +310,18 @@
 func TestEveryRecordThatGoesOutOfUseIsTold(t *testing.T) {
 	r := newRoster()
 	now := time.Unix(100, 0)
-	r.Take(atX("old", 0, 0, 5), now)
-	r.Take(atX("new", 0, 0, 0), now)
+	r.Update(atX("old", 0, 0, 5), now)
+	r.Update(atX("new", 0, 0, 0), now)
 	require.Equal(t, []string{"new"}, ids(r.Endpoints()))
-	told := r.Notices()
+	told := r.TakeUseChanges()
 	require.Len(t, told, 1)
 	require.Equal(t, "old", told[0].Endpoint())
-	require.Equal(t, "new", told[0].Occupant())
+	require.Equal(t, "new", told[0].Owner())
 	require.False(t, told[0].Used())
-	require.Empty(t, r.Notices())
-	require.True(t, r.Located("old", "old", 0, now.Add(time.Second)))
+	require.Empty(t, r.TakeUseChanges())
+	require.True(t, r.OwnerAnswered("old", "old", 0, now.Add(time.Second)))
 	require.Equal(t, []string{"old"}, ids(r.Endpoints()))
-	require.Len(t, r.Notices(), 2)
+	require.Len(t, r.TakeUseChanges(), 2)
 	require.True(t, r.Has("new"))
 }
 
@@ -332,7 +332,7 @@
 			for b.Loop() {
 				r := newRoster()
 				for i := range n {
-					r.Put(engine(fmt.Sprint("e-", i), "a", 0, 5))
+					r.Add(engine(fmt.Sprint("e-", i), "a", 0, 5))
 				}
 				if r.View().Runner("e-1") == nil {
 					b.Fatal("not there")
@@ -348,11 +348,11 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			r := newRoster()
 			for i := range n {
-				r.Put(engine(fmt.Sprint("e-", i), "a", 0, 5))
+				r.Add(engine(fmt.Sprint("e-", i), "a", 0, 5))
 			}
 			to := 4
 			for b.Loop() {
-				r.Put(engine("e-1", "a", 0, to))
+				r.Add(engine("e-1", "a", 0, to))
 				to = 9 - to
 				if r.View().Runner("e-1") == nil {
 					b.Fatal("not there")
--- a/state/roster/usable.go
+++ b/state/roster/usable.go
@@ -9,21 +9,21 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// Misfit is an endpoint whose record can be read, but does not fit the services and
+// UnusableEndpoint is an endpoint whose record can be read, but does not fit the services and
 // data centers that there are. It is left out for as long as it does not.
-type Misfit struct {
+type UnusableEndpoint struct {
 	endpoint protocol.Endpoint
 	fault    protocol.RecordFault
 }
 
 // Endpoint returns the endpoint.
-func (m Misfit) Endpoint() protocol.Endpoint { return m.endpoint }
+func (m UnusableEndpoint) Endpoint() protocol.Endpoint { return m.endpoint }
 
 // Fault returns what does not fit.
-func (m Misfit) Fault() protocol.RecordFault { return m.fault }
+func (m UnusableEndpoint) Fault() protocol.RecordFault { return m.fault }
 
-// Misfits returns the endpoints that are left out. The caller must not change the slice.
-func (r *Roster) Misfits() []Misfit {
+// Unusable returns the endpoints that are left out. The caller must not change the slice.
+func (r *Roster) Unusable() []UnusableEndpoint {
 	r.derive()
 	if m := r.misfits.Load(); m != nil {
 		return *m
@@ -48,16 +48,16 @@
 }
 
 // usable divides the endpoints into those to use and those that don't fit.
-func (r *Roster) usable() ([]protocol.Endpoint, []Misfit) {
+func (r *Roster) usable() ([]protocol.Endpoint, []UnusableEndpoint) {
 	services := make(map[string]*protocol.RoutedService, len(r.services))
 	for i := range r.services {
 		services[r.services[i].Name] = &r.services[i]
 	}
 	list := make([]protocol.Endpoint, 0, len(r.endpoints))
-	var misfits []Misfit
+	var misfits []UnusableEndpoint
 	for _, e := range r.endpoints {
 		if fault := r.fault(services, e); fault != "" {
-			misfits = append(misfits, Misfit{endpoint: e, fault: fault})
+			misfits = append(misfits, UnusableEndpoint{endpoint: e, fault: fault})
 			continue
 		}
 		if r.inUse(e) {
--- a/state/roster/usable_test.go
+++ b/state/roster/usable_test.go
@@ -33,7 +33,7 @@
 	r.Replace([]protocol.Endpoint{plain, whole, outside, nowhere, unknown, untold, stranger, layered, home}, time.Unix(100, 0))
 	require.Equal(t, []string{"home", "plain", "untold", "whole"}, ids(r.Endpoints()))
 	faults := map[string]protocol.RecordFault{}
-	for _, m := range r.Misfits() {
+	for _, m := range r.Unusable() {
 		faults[m.Endpoint().ID] = m.Fault()
 	}
 	require.Equal(t, map[string]protocol.RecordFault{
@@ -42,7 +42,7 @@
 		"layered": protocol.RecordLayersOutside,
 	}, faults)
 	require.Nil(t, r.View().Runner("outside"))
-	r.Services(append(services, protocol.RoutedService{Name: "another"}))
+	r.SetServices(append(services, protocol.RoutedService{Name: "another"}))
 	require.Contains(t, ids(r.Endpoints()), "stranger", "a later table names its service")
 }
 
@@ -51,11 +51,11 @@
 func TestWhoeverIsUsedFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &roster.Roster{Home: fleet.Home{Name: "e1", DataCenter: "a"}, DataCenters: []string{"a", "b"}}
-		r.Services(services)
+		r.SetServices(services)
 		id := rapid.SampledFrom([]string{"e1", "e2", "e3"})
 		t.Repeat(map[string]func(*rapid.T){
 			"put": func(t *rapid.T) {
-				r.Put(protocol.Endpoint{
+				r.Add(protocol.Endpoint{
 					ID: id.Draw(t, "id"), Service: rapid.SampledFrom([]string{"plain", "llm", "other"}).Draw(t, "service"),
 					DataCenter:  rapid.SampledFrom([]string{"a", "b", "z"}).Draw(t, "center"),
 					Accelerator: rapid.SampledFrom([]string{"t4", "abacus"}).Draw(t, "accelerator"),
--- a/transport/director/director.go
+++ b/transport/director/director.go
@@ -148,7 +148,7 @@
 	if d.wasWoken() {
 		d.again = now
 	}
-	b := basis{table: d.Routing.Current(), endpoints: d.Roster.Changes()}
+	b := basis{table: d.Routing.Current(), endpoints: d.Roster.Revision()}
 	if b == d.basis && now.Before(d.again) {
 		d.release(now)
 		return
--- a/transport/director/director_test.go
+++ b/transport/director/director_test.go
@@ -116,7 +116,7 @@
 			d.Start()
 			time.Sleep(1500 * time.Millisecond)
 			if !lost {
-				d.Roster.Put(record("e2", protocol.Span{From: 6, To: 10}))
+				d.Roster.Add(record("e2", protocol.Span{From: 6, To: 10}))
 			}
 			time.Sleep(5 * time.Second)
 			d.Close()
@@ -164,15 +164,15 @@
 			d := w.director(t, "one")
 			d.Following = func() bool { return follows }
 			whole := protocol.Span{From: 0, To: 5}
-			d.Roster.Put(record("e0", whole))
-			d.Roster.Put(record("e1", protocol.Span{From: 5, To: 10}))
+			d.Roster.Add(record("e0", whole))
+			d.Roster.Add(record("e1", protocol.Span{From: 5, To: 10}))
 			d.Start()
 			time.Sleep(50 * time.Millisecond) // changes come between looks
 			for i := range 100 {
 				time.Sleep(100 * time.Millisecond)
 				span := whole
 				span.To += i % 2
-				d.Roster.Put(record("e2", span))
+				d.Roster.Add(record("e2", span))
 			}
 			d.Close()
 			synctest.Wait()
@@ -191,8 +191,8 @@
 		w := newWorld(2)
 		w.engines["e1"].told = true
 		d := w.director(t, "one")
-		d.Roster.Put(record("e0", protocol.Span{From: 0, To: 5}))
-		d.Roster.Put(record("e1", protocol.Span{From: 5, To: 7})) // nobody has [7,10)
+		d.Roster.Add(record("e0", protocol.Span{From: 0, To: 5}))
+		d.Roster.Add(record("e1", protocol.Span{From: 5, To: 7})) // nobody has [7,10)
 		time.Sleep(time.Second)
 		d.Start()
 		time.Sleep(5 * time.Second)
@@ -215,10 +215,10 @@
 		var told []string
 		d.Misdirected = func(endpoint string, by *director.Misdirected) {
 			told = append(told, endpoint+" "+by.Occupant)
-			d.Roster.Located(endpoint, by.Occupant, 0, time.Now())
+			d.Roster.OwnerAnswered(endpoint, by.Occupant, 0, time.Now())
 		}
-		d.Roster.Put(record("e0", protocol.Span{From: 0, To: 5}))
-		d.Roster.Put(record("e1", protocol.Span{}))
+		d.Roster.Add(record("e0", protocol.Span{From: 0, To: 5}))
+		d.Roster.Add(record("e1", protocol.Span{}))
 		d.Start()
 		time.Sleep(10 * time.Second)
 		d.Close()
@@ -234,8 +234,8 @@
 		w := newWorld(2)
 		w.engines["e1"].loads = time.Hour
 		d := w.director(t, "one")
-		d.Roster.Put(record("e0", protocol.Span{From: 0, To: 5}))
-		d.Roster.Put(record("e1", protocol.Span{}))
+		d.Roster.Add(record("e0", protocol.Span{From: 0, To: 5}))
+		d.Roster.Add(record("e1", protocol.Span{}))
 		d.Start()
 		time.Sleep(4 * time.Second) // the list of engines is whole by then
 		require.Equal(t, 1, w.orders())
@@ -268,12 +268,12 @@
 			w.engines["e1"].told, w.engines["e1"].kind, w.engines["e1"].layers = true, c.kind, c.layers
 			w.engines["e1"].loads = time.Hour
 			d := w.director(t, "one")
-			d.Roster.Put(record("e0", protocol.Span{From: 0, To: 5}))
-			d.Roster.Put(record("e1", protocol.Span{From: 5, To: 10}))
+			d.Roster.Add(record("e0", protocol.Span{From: 0, To: 5}))
+			d.Roster.Add(record("e1", protocol.Span{From: 5, To: 10}))
 			d.Start()
 			time.Sleep(4 * time.Second) // the list of engines is whole by then
 			require.Zero(t, w.orders())
-			d.Roster.Located("e1", "next", 0, time.Now())
+			d.Roster.OwnerAnswered("e1", "next", 0, time.Now())
 			time.Sleep(time.Second)
 			d.Close()
 			synctest.Wait()
--- a/transport/director/moves.go
+++ b/transport/director/moves.go
@@ -45,7 +45,7 @@
 // that only improve a layout or without.
 func (d *Director) moves(now time.Time, improving bool) []move {
 	table := d.Routing.Current()
-	if table == nil || !d.Roster.Known() {
+	if table == nil || !d.Roster.HasList() {
 		return nil
 	}
 	if d.knownAt.IsZero() {
--- a/transport/director/order.go
+++ b/transport/director/order.go
@@ -90,7 +90,7 @@
 // notes why not.
 func (g *giving) mayOrder(report *protocol.EngineReport) bool {
 	d := g.director
-	if d.Roster.Report(g.move.Engine(), report, clock.Now()) == roster.Differs {
+	if d.Roster.Report(g.move.Engine(), report, clock.Now()) == roster.ReportDiffers {
 		g.differs() // the plan rests on layers that it does not hold
 		return false
 	}
--- a/transport/director/world_test.go
+++ b/transport/director/world_test.go
@@ -142,7 +142,7 @@
 	e.orders = append(e.orders, o)
 	time.AfterFunc(e.loads, func() {
 		for _, r := range w.rosters {
-			r.Put(record(o.EndpointID, o.Layers))
+			r.Add(record(o.EndpointID, o.Layers))
 		}
 	})
 	return nil
@@ -183,7 +183,7 @@
 		Engines: w, Objects: w, Entries: func() int { return 3 }, Counters: &metric.Set{},
 	}
 	d.Routing.Offer(table)
-	d.Roster.Services(table.Services())
+	d.Roster.SetServices(table.Services())
 	var list []protocol.Endpoint
 	for id := range w.engines {
 		list = append(list, record(id, protocol.Span{}))
--- a/transport/forward/admit.go
+++ b/transport/forward/admit.go
@@ -30,7 +30,7 @@
 		return protocol.Refuse(protocol.Stopping, "this entry is stopping").Again(x.begun)
 	}
 	table := f.Routing.Current()
-	if table == nil || !f.Roster.Known() {
+	if table == nil || !f.Roster.HasList() {
 		return protocol.Refuse(protocol.NoConfiguration, "no routing table was read yet").Again(x.begun.Add(againUnsure))
 	}
 	x.table = table
--- a/transport/forward/budget.go
+++ b/transport/forward/budget.go
@@ -109,5 +109,5 @@
 // sharers returns how many entries send to the engines of one data center: about
 // as many in each.
 func (f *Forwarder) sharers(service string) float64 {
-	return max(1, float64(f.entries.Load())/float64(max(1, len(f.Roster.Centers(service)))))
+	return max(1, float64(f.entries.Load())/float64(max(1, len(f.Roster.EngineDataCenters(service)))))
 }
--- a/transport/forward/candidate.go
+++ b/transport/forward/candidate.go
@@ -45,7 +45,7 @@
 		*into = best.path
 		return true
 	}
-	for _, center := range f.Roster.Centers(s.Name) {
+	for _, center := range f.Roster.EngineDataCenters(s.Name) {
 		if center == first {
 			continue
 		}
--- a/transport/forward/idle_test.go
+++ b/transport/forward/idle_test.go
@@ -36,10 +36,10 @@
 				go f.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/", nil)) // waits for the entry to open
 			}
 			for i := range 100 {
-				endpoints.Put(protocol.Endpoint{ID: fmt.Sprint("e-", i), Service: "llm", DataCenter: "a"})
+				endpoints.Add(protocol.Endpoint{ID: fmt.Sprint("e-", i), Service: "llm", DataCenter: "a"})
 				time.Sleep(100 * time.Millisecond)
 			}
-			n = endpoints.Derived()
+			n = endpoints.Rebuilds()
 		})
 		return n
 	}
--- a/transport/forward/misplaced.go
+++ b/transport/forward/misplaced.go
@@ -51,12 +51,12 @@
 	var news bool
 	switch occupant {
 	case "":
-		news = f.Roster.Denied(id, report.Incarnation(), report.At())
+		news = f.Roster.LayersDenied(id, report.Incarnation(), report.At())
 	case id:
-		moved := f.Roster.Located(id, occupant, report.Incarnation(), report.At())
-		news = f.Roster.Holds(id, report.At()) || moved
+		moved := f.Roster.OwnerAnswered(id, occupant, report.Incarnation(), report.At())
+		news = f.Roster.LayersConfirmed(id, report.At()) || moved
 	default:
-		news = f.Roster.Located(id, occupant, report.Incarnation(), report.At())
+		news = f.Roster.OwnerAnswered(id, occupant, report.Incarnation(), report.At())
 	}
 	if news {
 		f.log(event.RecordDisproved, slog.String("endpoint", id), slog.String("occupant", occupant),
--- a/transport/forward/news_test.go
+++ b/transport/forward/news_test.go
@@ -55,7 +55,7 @@
 		}
 	}
 	f.OpenBudget(Retries{Share: 0.2, Slack: 1000, Ends: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
-	f.Roster.Services([]protocol.RoutedService{s})
+	f.Roster.SetServices([]protocol.RoutedService{s})
 	var list []protocol.Endpoint
 	for i := range n {
 		list = append(list, protocol.Endpoint{
--- a/transport/forward/pace_world_test.go
+++ b/transport/forward/pace_world_test.go
@@ -104,7 +104,7 @@
 	}
 	f.suspects.forwarder, f.poller.forwarder, f.paces.forwarder = f, f, f
 	f.OpenBudget(Retries{Share: 0.2, Slack: 1000, Ends: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
-	f.Roster.Services([]protocol.RoutedService{s})
+	f.Roster.SetServices([]protocol.RoutedService{s})
 	var list []protocol.Endpoint
 	for stage := range 3 {
 		for i := range each {
--- a/transport/forward/poll.go
+++ b/transport/forward/poll.go
@@ -48,7 +48,7 @@
 		if services[i].Engine == nil {
 			continue
 		}
-		for _, center := range f.Roster.Centers(services[i].Name) {
+		for _, center := range f.Roster.EngineDataCenters(services[i].Name) {
 			p.lookAt(view.Model(roster.ModelName(services[i].Name, center)), services[i].Name, now)
 		}
 	}
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -214,7 +214,7 @@
 // away from its endpoint.
 func (x *exchange) enrol(a *attempt, now time.Time) {
 	q := x.forwarder.Quarantine
-	a.life = x.forwarder.Roster.Lifetime(a.endpoint.Name())
+	a.life = x.forwarder.Roster.Incarnation(a.endpoint.Name())
 	if _, free := x.standing(now).(quarantine.Unrestricted); !free {
 		a.trial = true
 		q.Tell(x.news(a, protocol.WorkTried), now)
@@ -297,7 +297,7 @@
 		x.forwarder.log(event.StageLost, x.id(), slog.Int("attempt", a.number), slog.String("endpoint", r.Name()),
 			slog.String("fingerprint", x.work().String()))
 		q.Tell(protocol.RelayWork{
-			Work: x.work(), Endpoint: r.Name(), Incarnation: x.forwarder.Roster.Lifetime(r.Name()), Observation: protocol.WorkBrokeBehind,
+			Work: x.work(), Endpoint: r.Name(), Incarnation: x.forwarder.Roster.Incarnation(r.Name()), Observation: protocol.WorkBrokeBehind,
 		}, now)
 	}
 }
--- a/transport/forward/repath.go
+++ b/transport/forward/repath.go
@@ -150,7 +150,7 @@
 	view := x.forwarder.Roster.View()
 	home := a.endpoint.Spec().Model
 	list := []*fleet.Model{view.Model(home)}
-	for _, center := range x.forwarder.Roster.Centers(x.service.Name) {
+	for _, center := range x.forwarder.Roster.EngineDataCenters(x.service.Name) {
 		if name := roster.ModelName(x.service.Name, center); name != home {
 			list = append(list, view.Model(name))
 		}
--- a/transport/forward/repath_world_test.go
+++ b/transport/forward/repath_world_test.go
@@ -84,7 +84,7 @@
 	f := &Forwarder{Home: home, Roster: &roster.Roster{Home: home}, Headers: plainHeaders{}, Counters: &metric.Set{}, Changer: s.engine, Reporter: s.engine}
 	f.suspects.forwarder, f.poller.forwarder, f.paces.forwarder = f, f, f // as Start does
 	f.OpenBudget(Retries{Share: 0.2, Slack: 1000, Ends: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
-	f.Roster.Services([]protocol.RoutedService{service})
+	f.Roster.SetServices([]protocol.RoutedService{service})
 	var list []protocol.Endpoint
 	for i, address := range addresses {
 		from := i % 3 * 3
--- a/transport/forward/send.go
+++ b/transport/forward/send.go
@@ -66,7 +66,7 @@
 // firstCenter returns the data center whose engines come first.
 func (x *exchange) firstCenter() string {
 	f := x.forwarder
-	return path.FirstDataCenter(f.Home.DataCenter, f.Roster.Centers(x.service.Name), x.headSent, x.draw)
+	return path.FirstDataCenter(f.Home.DataCenter, f.Roster.EngineDataCenters(x.service.Name), x.headSent, x.draw)
 }
 
 // query is what the choice of a path depends on.
--- a/transport/forward/usual_test.go
+++ b/transport/forward/usual_test.go
@@ -19,7 +19,7 @@
 func plain(t *testing.T) (*Forwarder, func() *exchange) {
 	f, _, _ := staged(t, 1)
 	s := protocol.RoutedService{Name: "ledger"}
-	f.Roster.Services([]protocol.RoutedService{s})
+	f.Roster.SetServices([]protocol.RoutedService{s})
 	var list []protocol.Endpoint
 	for _, id := range []string{"p1", "p2", "p3"} {
 		list = append(list, protocol.Endpoint{ID: id, Service: "ledger", Address: id, DataCenter: "a"})
--- a/transport/front/fleet.go
+++ b/transport/front/fleet.go
@@ -21,15 +21,15 @@
 	for _, e := range f.roster.Endpoints() {
 		s.Endpoints = append(s.Endpoints, f.endpointStatus(&e, view.Runner(e.ID), now))
 	}
-	for _, m := range f.roster.Misfits() {
+	for _, m := range f.roster.Unusable() {
 		e := m.Endpoint()
 		d := described(&e)
 		d.State, d.Reason = protocol.EndpointMisfit, m.Fault()
 		s.Endpoints = append(s.Endpoints, d)
 	}
-	for _, n := range f.roster.Superseded() {
+	for _, n := range f.roster.SupersededRecords() {
 		s.Endpoints = append(s.Endpoints, protocol.EndpointStatus{
-			ID: n.Endpoint(), Address: n.Address(), Occupant: n.Occupant(), State: protocol.EndpointSuperseded,
+			ID: n.Endpoint(), Address: n.Address(), Occupant: n.Owner(), State: protocol.EndpointSuperseded,
 		})
 	}
 	s.Waiting = f.forwarder.Waiting(now)
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -120,8 +120,8 @@
 		Platform: f.Outside.Objects,
 		Self:     protocol.EntryRecord{Name: s.Name, DataCenter: s.DataCenter, MemoryMB: s.MemoryMB},
 		Kinds:    []string{f.Outside.RoutingKind, f.Outside.EndpointKind, entryKind, ownKind}, Kind: f.Outside.RoutingKind, Name: f.Outside.RoutingName,
-		Counters: f.Counters, Logger: f.Logger, Failed: f.roster.Outage,
-		Endpoints: f.roster.Count, Judged: f.judged, Lifetime: f.roster.Lifetime, Paced: f.paced,
+		Counters: f.Counters, Logger: f.Logger, Failed: f.roster.MarkOutage,
+		Endpoints: f.roster.Count, Judged: f.judged, Lifetime: f.roster.Incarnation, Paced: f.paced,
 	}
 }
 
@@ -268,7 +268,7 @@
 // entry does not stop, has room for what it holds, and keys can still be confirmed.
 // Where most entries have no room left, the balancer uses all of them, as before.
 func (f *Front) isReady(now time.Time) bool {
-	return !f.stopping.Load() && !f.held.Near() && f.routing.Current() != nil && f.roster.Known() &&
+	return !f.stopping.Load() && !f.held.Near() && f.routing.Current() != nil && f.roster.HasList() &&
 		now.Before(f.Settings.KeyTrust(f.routing.ConfirmedAt()))
 }
 
@@ -279,7 +279,7 @@
 // (logs of 54 s).
 func (f *Front) learned() {
 	t := f.routing.Current()
-	if t == nil || !f.roster.Known() || !f.refusals.areRead() || t.Keyed() && f.routing.ConfirmedAt().IsZero() {
+	if t == nil || !f.roster.HasList() || !f.refusals.areRead() || t.Keyed() && f.routing.ConfirmedAt().IsZero() {
 		return
 	}
 	f.forwarder.Opened()
@@ -289,7 +289,7 @@
 // records lapse meanwhile, whatever was asked for, and the watch of endpoints may rest for
 // longer than those are believed in afterwards.
 func (f *Front) watchFailed(what string, err error, now time.Time) {
-	f.roster.Outage(now)
+	f.roster.MarkOutage(now)
 	f.platformFailed(what, err)
 }
 
--- a/transport/front/occupants.go
+++ b/transport/front/occupants.go
@@ -22,17 +22,17 @@
 // addresses whose occupant is unclear. The entry that follows no other asks at once; the
 // others usually hear the answer from it.
 func (f *Front) lookAtRecords(now time.Time) {
-	for _, n := range f.roster.Notices() {
+	for _, n := range f.roster.TakeUseChanges() {
 		if !n.Used() {
 			f.Counters.Add(metric.RecordsSuperseded, 1)
 		}
 		event.RecordSuperseded.Log(f.Logger, slog.String("endpoint", n.Endpoint()), slog.String("address", n.Address()),
-			slog.String("occupant", n.Occupant()), slog.Bool("used", n.Used()))
+			slog.String("occupant", n.Owner()), slog.Bool("used", n.Used()))
 	}
-	for _, e := range f.roster.StartedAgain() {
+	for _, e := range f.roster.TakeRestarted() {
 		f.restarted(e, 0)
 	}
-	for _, q := range f.roster.Questions(f.source.Following(), now) {
+	for _, q := range f.roster.DueProbes(f.source.Following(), now) {
 		f.inquire(q)
 	}
 	if !f.source.Following() {
@@ -47,7 +47,7 @@
 		if !r.Lost(now) {
 			continue
 		}
-		if q, due := f.roster.Probe(id, now); due {
+		if q, due := f.roster.ProbeIfDue(id, now); due {
 			f.inquire(q)
 		}
 	}
@@ -60,7 +60,7 @@
 		f.source.Locate(endpoint, by.Occupant, clock.Now())
 		return
 	}
-	if q, there := f.roster.Ask(endpoint); there {
+	if q, there := f.roster.ProbeOf(endpoint); there {
 		f.inquire(q)
 	}
 }
@@ -80,11 +80,11 @@
 // inquiry asks an address who has it, and an engine whose layers are in doubt what it holds.
 type inquiry struct {
 	front    *Front
-	question roster.Question
+	question roster.Probe
 }
 
 // inquire begins to ask a question.
-func (f *Front) inquire(q roster.Question) { go (&inquiry{front: f, question: q}).run() }
+func (f *Front) inquire(q roster.Probe) { go (&inquiry{front: f, question: q}).run() }
 
 func (i *inquiry) run() {
 	f, q := i.front, i.question
@@ -95,7 +95,7 @@
 	if occupant == "" {
 		return // asked again soon
 	}
-	if occupant == q.Endpoint() && q.Layers() && !i.holds(ctx) {
+	if occupant == q.Endpoint() && q.AsksLayers() && !i.holds(ctx) {
 		return
 	}
 	f.source.Locate(q.Endpoint(), occupant, asked)
@@ -129,5 +129,5 @@
 	if err != nil {
 		return false
 	}
-	return f.roster.Report(q.Endpoint(), &report, clock.Now()) == roster.Agrees || !report.LayersKnown
+	return f.roster.Report(q.Endpoint(), &report, clock.Now()) == roster.ReportMatches || !report.LayersKnown
 }
--- a/transport/front/records.go
+++ b/transport/front/records.go
@@ -108,12 +108,12 @@
 func (r *records) judge(endpoints *roster.Roster) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	at := endpoints.Changes()
+	at := endpoints.Revision()
 	if at == r.judged {
 		return
 	}
 	r.judged = at
-	misfits := endpoints.Misfits()
+	misfits := endpoints.Unusable()
 	if len(misfits) == 0 && len(r.misfit) == 0 {
 		return
 	}
--- a/transport/front/records_test.go
+++ b/transport/front/records_test.go
@@ -105,13 +105,13 @@
 func TestManyBadRecordsAreToldOnceEach(t *testing.T) {
 	w := newRecordWorld(t)
 	w.list(map[string]string{"sound": "plain"})
-	before := w.front.roster.Changes()
+	before := w.front.roster.Revision()
 	for i := range 60_000 {
 		w.change(fmt.Sprint("bad-", i%100), "!layers")
 	}
 	require.Equal(t, 100, w.told("record unusable"))
 	require.EqualValues(t, 100, w.front.Counters.Value("records_unusable.layers"))
-	require.Equal(t, before, w.front.roster.Changes(), "nothing is derived anew for them")
+	require.Equal(t, before, w.front.roster.Revision(), "nothing is derived anew for them")
 	require.Len(t, w.front.records.faults, 100)
 	for i := range 2 * recordsKept {
 		w.change(fmt.Sprint("new-", i), "!layers")
@@ -132,7 +132,7 @@
 	look := func() { w.front.records.judge(&w.front.roster) }
 	look()
 	require.Equal(t, []string{"e1", "e2"}, w.used(), "no table says yet which services there are")
-	w.front.roster.Services([]protocol.RoutedService{{Name: "plain"}})
+	w.front.roster.SetServices([]protocol.RoutedService{{Name: "plain"}})
 	look()
 	look()
 	require.Equal(t, []string{"e1"}, w.used())
@@ -141,7 +141,7 @@
 	require.Equal(t, 1, w.told("record unusable"))
 	require.Equal(t, 2, w.told("endpoint joined"), "it did not join anew")
 	require.EqualValues(t, 1, w.front.Counters.Value("records_unusable.service_unknown"))
-	w.front.roster.Services([]protocol.RoutedService{{Name: "plain"}, {Name: "other"}})
+	w.front.roster.SetServices([]protocol.RoutedService{{Name: "plain"}, {Name: "other"}})
 	look()
 	require.Equal(t, []string{"e1", "e2"}, w.used())
 	require.Equal(t, 1, w.told("record usable"))
--- a/transport/front/routing_sink.go
+++ b/transport/front/routing_sink.go
@@ -87,7 +87,7 @@
 	}
 	// The endpoints of its services come first: from the moment at which the table is
 	// in force, requests look for them.
-	f.roster.Services(t.Services())
+	f.roster.SetServices(t.Services())
 	f.routing.Offer(t)
 	f.Counters.Add(metric.ConfigAccepted, 1)
 	event.ConfigInForce.Log(f.Logger, slog.Uint64("version", t.Version()), slog.Uint64("revision", o.Version),
--- a/transport/front/sleep.go
+++ b/transport/front/sleep.go
@@ -15,7 +15,7 @@
 // come back; and what was confirmed may have lapsed.
 func (f *Front) woke(now time.Time) {
 	event.VMSuspended.Log(f.Logger, slog.Int64("suspended_ms", clock.Slept().Milliseconds()))
-	f.roster.Outage(now)
+	f.roster.MarkOutage(now)
 	f.confirmer.Wake()
 	f.director.Wake()
 }
