--- a/coordination/path/parts_test.go
+++ b/coordination/path/parts_test.go
@@ -23,7 +23,7 @@
 	for i, s := range spans {
 		runners[i] = protocol.Runner{Name: fmt.Sprint("r", i), Model: partsModel, From: s.From, To: s.To, Speed: 1e6}
 	}
-	return fleet.Gather(nil, []protocol.Model{{Name: partsModel, Layers: layers}}, runners, fleet.Home{Name: "e1"})
+	return fleet.Gather(nil, []protocol.Model{{Name: partsModel, Layers: layers}}, runners, fleet.Entry{Name: "e1"})
 }
 
 // TestPartsRunEveryLayerOnceInOrder draws holders and checks that a path is found
--- a/coordination/path/path_test.go
+++ b/coordination/path/path_test.go
@@ -28,7 +28,7 @@
 	c, err := config.Make(1, []protocol.Model{{Name: "m", Version: "1", Layers: layers, Open: 1, Context: 9}},
 		protocol.Fleet{Name: "dc", Runners: runners})
 	require.NoError(t, err)
-	return fleet.Build(nil, c, fleet.Home{Name: "e1", DataCenter: "dc"})
+	return fleet.Build(nil, c, fleet.Entry{Name: "e1", DataCenter: "dc"})
 }
 
 func draw() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
--- a/coordination/repath/repath_test.go
+++ b/coordination/repath/repath_test.go
@@ -29,7 +29,7 @@
 			Name: name(i), Model: model, From: s.From, To: s.To, Speed: 1e6, Step: 1e-5, Room: 1e4, Address: name(i),
 		}
 	}
-	return fleet.Gather(nil, []protocol.Model{{Name: model, Layers: layers}}, runners, fleet.Home{Name: "e1"})
+	return fleet.Gather(nil, []protocol.Model{{Name: model, Layers: layers}}, runners, fleet.Entry{Name: "e1"})
 }
 
 func name(i int) string { return fmt.Sprint("r", i) }
--- a/coordination/slow/play_test.go
+++ b/coordination/slow/play_test.go
@@ -47,7 +47,7 @@
 			p.slow[name] = s < 3 && h == 0 // three of 24
 		}
 	}
-	p.view = fleet.Gather(nil, []protocol.Model{{Name: "m", Layers: stages}}, runners, fleet.Home{Name: "one"})
+	p.view = fleet.Gather(nil, []protocol.Model{{Name: "m", Layers: stages}}, runners, fleet.Entry{Name: "one"})
 	return p
 }
 
--- a/state/fleet/room_test.go
+++ b/state/fleet/room_test.go
@@ -18,7 +18,7 @@
 		{Name: "a", Model: "m", From: 0, To: 5, Speed: 1000, Step: 0.001, Room: 1000},
 		{Name: "b", Model: "m", From: 0, To: 5, Speed: 1000, Step: 0.001, Room: 1000},
 		{Name: "c", Model: "m", From: 5, To: 10, Speed: 1000, Step: 0.001, Room: 1500},
-	}, fleet.Home{Name: "e1"})
+	}, fleet.Entry{Name: "e1"})
 }
 
 func TestACrowdedRunnerCostsMore(t *testing.T) {
@@ -113,7 +113,7 @@
 }
 
 func TestARunnerOfUnknownRoomIsNeverFull(t *testing.T) {
-	v := fleet.Gather(nil, []protocol.Model{{Name: "m", Layers: 1}}, []protocol.Runner{{Name: "p", Model: "m", To: 1, Speed: 1}}, fleet.Home{Name: "e1"})
+	v := fleet.Gather(nil, []protocol.Model{{Name: "m", Layers: 1}}, []protocol.Runner{{Name: "p", Model: "m", To: 1, Speed: 1}}, fleet.Entry{Name: "e1"})
 	r := v.Runner("p")
 	r.Sent(1 << 20)
 	r.RefusedForRoom(time.Unix(100, 0))
--- a/state/fleet/view.go
+++ b/state/fleet/view.go
@@ -59,18 +59,18 @@
 	runners map[string]*Runner
 }
 
-// Home is where an entry is, and its name, by which its subsets are drawn.
-type Home struct{ Name, DataCenter string }
+// Entry is where an entry is, and its name, by which its subsets are drawn.
+type Entry struct{ Name, DataCenter string }
 
 // Build returns the view of a configuration for an entry. Runners that the older
 // view knows unchanged keep their measurements.
-func Build(older *View, c *config.Config, home Home) *View {
+func Build(older *View, c *config.Config, home Entry) *View {
 	return Gather(older, c.ModelList(), c.Runners(), home)
 }
 
 // Gather returns the view of runners that are known one by one, each under the
 // name of one of the models.
-func Gather(older *View, models []protocol.Model, runners []protocol.Runner, home Home) *View {
+func Gather(older *View, models []protocol.Model, runners []protocol.Runner, home Entry) *View {
 	v := &View{models: make(map[string]*Model, len(models)), runners: make(map[string]*Runner, len(runners))}
 	for _, m := range models {
 		v.models[m.Name] = &Model{layers: m.Layers}
--- a/state/fleet/view_test.go
+++ b/state/fleet/view_test.go
@@ -18,7 +18,7 @@
 
 var now = time.Unix(1_800_000_000, 0)
 
-var home = fleet.Home{Name: "e1", DataCenter: "dc"}
+var home = fleet.Entry{Name: "e1", DataCenter: "dc"}
 
 func configOf(t require.TestingT, n int) *config.Config {
 	f := protocol.Fleet{Name: "dc"}
--- a/state/roster/roster.go
+++ b/state/roster/roster.go
@@ -42,7 +42,7 @@
 
 // Roster holds the live endpoints. Set the exported fields before use.
 type Roster struct {
-	Home fleet.Home
+	Home fleet.Entry
 	// DataCenters are those in which an endpoint may be; empty when they are not known.
 	DataCenters []string
 
--- a/transport/engine/client_test.go
+++ b/transport/engine/client_test.go
@@ -67,7 +67,7 @@
 		}},
 	})
 	require.NoError(t, err)
-	view := fleet.Build(nil, c, fleet.Home{Name: "e1", DataCenter: "dc"})
+	view := fleet.Build(nil, c, fleet.Entry{Name: "e1", DataCenter: "dc"})
 	found, ok := path.Choose(view.Model("m"), path.Query{Now: time.Now(), Positions: 1, Rand: rand.New(rand.NewPCG(1, 1))}).(*path.Found)
 	require.True(t, ok)
 	pool := Pool{Counters: &metric.Set{}}
--- a/transport/forward/forwarder.go
+++ b/transport/forward/forwarder.go
@@ -43,7 +43,7 @@
 
 // Forwarder forwards requests. Set the exported fields before Start.
 type Forwarder struct {
-	Home     fleet.Home
+	Home     fleet.Entry
 	Routing  *routing.Store
 	Roster   *roster.Roster
 	Headers  Headers
--- a/transport/forward/idle_test.go
+++ b/transport/forward/idle_test.go
@@ -24,7 +24,7 @@
 func TestAnEntryWithNothingOpenDerivesNothing(t *testing.T) {
 	derived := func(busy bool) (n uint64) {
 		synctest.Test(t, func(t *testing.T) {
-			home := fleet.Home{Name: "one", DataCenter: "a"}
+			home := fleet.Entry{Name: "one", DataCenter: "a"}
 			endpoints := &roster.Roster{Home: home}
 			f := &Forwarder{Home: home, Roster: endpoints, Routing: &routing.Store{}, Headers: plainHeaders{}, Counters: &metric.Set{}}
 			table, err := routing.Build(protocol.Routing{Version: 1, Services: []protocol.RoutedService{{Name: "llm", Engine: &protocol.EngineFacts{Layers: 10}}}})
--- a/transport/forward/repath_world_test.go
+++ b/transport/forward/repath_world_test.go
@@ -79,7 +79,7 @@
 		Layers: 9, LayerMB: 100, TokenLayerMB: 0.1, UsualPrompt: 10, UsualAnswer: 10, StepMS: 1, ReadPerSecond: 1e6,
 		Accelerators: []protocol.AcceleratorFacts{{Name: "t4", MemoryMB: 2000, StepFactor: 1, ReadFactor: 1}},
 	}}
-	home := fleet.Home{Name: "one", DataCenter: "a"}
+	home := fleet.Entry{Name: "one", DataCenter: "a"}
 	s := &replacing{t: t, engine: &firstEngine{orders: make(chan protocol.PathOrder, 10), answers: make(chan protocol.PathAnswer, 10)}}
 	f := &Forwarder{Home: home, Roster: &roster.Roster{Home: home}, Headers: plainHeaders{}, Counters: &metric.Set{}, Changer: s.engine, Reporter: s.engine}
 	f.suspects.forwarder, f.poller.forwarder, f.paces.forwarder = f, f, f // as Start does
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -95,7 +95,7 @@
 func (f *Front) assemble() {
 	s := &f.Settings
 	f.register.front, f.refusals.front = f, f
-	home := fleet.Home{Name: s.Name, DataCenter: s.DataCenter}
+	home := fleet.Entry{Name: s.Name, DataCenter: s.DataCenter}
 	f.roster.Home = home
 	f.roster.DataCenters = s.DataCenters
 	f.records = records{counters: f.Counters, logger: f.Logger}
