--- a/state/roster/roster.go
+++ b/state/roster/roster.go
@@ -42,7 +42,7 @@
 
 // Roster holds the live endpoints. Set the exported fields before use.
 type Roster struct {
-	Home fleet.Entry
+	Entry fleet.Entry
 	// DataCenters are those in which an endpoint may be; empty when they are not known.
 	DataCenters []string
 
@@ -278,7 +278,7 @@
 	for i := range r.services {
 		s := &r.services[i]
 		for _, e := range list {
-			spec, ok := runnerOf(s, e, r.Home.DataCenter)
+			spec, ok := runnerOf(s, e, r.Entry.DataCenter)
 			if !ok {
 				continue
 			}
@@ -294,5 +294,5 @@
 		slices.Sort(c)
 	}
 	r.centers.Store(&centers)
-	r.view.Store(fleet.Gather(r.view.Load(), models, runners, r.Home))
+	r.view.Store(fleet.Gather(r.view.Load(), models, runners, r.Entry))
 }
--- a/state/roster/roster_test.go
+++ b/state/roster/roster_test.go
@@ -23,7 +23,7 @@
 }
 
 func newRoster() *roster.Roster {
-	r := &roster.Roster{Home: fleet.Entry{Name: "e1", DataCenter: "a"}}
+	r := &roster.Roster{Entry: fleet.Entry{Name: "e1", DataCenter: "a"}}
 	r.SetServices(services)
 	return r
 }
--- a/state/roster/usable.go
+++ b/state/roster/usable.go
@@ -70,7 +70,7 @@
 // fault returns what of an endpoint does not fit. Records may come before the table that
 // names their services: nothing is judged by services before the first one.
 func (r *Roster) fault(services map[string]*protocol.RoutedService, e protocol.Endpoint) protocol.RecordFault {
-	if len(r.DataCenters) > 0 && e.DataCenter != r.Home.DataCenter && !slices.Contains(r.DataCenters, e.DataCenter) {
+	if len(r.DataCenters) > 0 && e.DataCenter != r.Entry.DataCenter && !slices.Contains(r.DataCenters, e.DataCenter) {
 		return protocol.RecordDataCenterUnknown
 	}
 	if len(services) == 0 {
--- a/state/roster/usable_test.go
+++ b/state/roster/usable_test.go
@@ -50,7 +50,7 @@
 // table, a data center that there is, and layers of its model; and whoever fits is used.
 func TestWhoeverIsUsedFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := &roster.Roster{Home: fleet.Entry{Name: "e1", DataCenter: "a"}, DataCenters: []string{"a", "b"}}
+		r := &roster.Roster{Entry: fleet.Entry{Name: "e1", DataCenter: "a"}, DataCenters: []string{"a", "b"}}
 		r.SetServices(services)
 		id := rapid.SampledFrom([]string{"e1", "e2", "e3"})
 		t.Repeat(map[string]func(*rapid.T){
--- a/transport/director/world_test.go
+++ b/transport/director/world_test.go
@@ -179,7 +179,7 @@
 	table, err := routing.Build(protocol.Routing{Version: 1, Services: []protocol.RoutedService{{Name: "llm", Engine: facts}}})
 	require.NoError(t, err)
 	d := &director.Director{
-		Self: name, LeaseKind: "k", Routing: &routing.Store{}, Roster: &roster.Roster{Home: fleet.Entry{Name: name, DataCenter: "a"}},
+		Self: name, LeaseKind: "k", Routing: &routing.Store{}, Roster: &roster.Roster{Entry: fleet.Entry{Name: name, DataCenter: "a"}},
 		Engines: w, Objects: w, Entries: func() int { return 3 }, Counters: &metric.Set{},
 	}
 	d.Routing.Offer(table)
--- a/transport/forward/idle_test.go
+++ b/transport/forward/idle_test.go
@@ -25,7 +25,7 @@
 	derived := func(busy bool) (n uint64) {
 		synctest.Test(t, func(t *testing.T) {
 			home := fleet.Entry{Name: "one", DataCenter: "a"}
-			endpoints := &roster.Roster{Home: home}
+			endpoints := &roster.Roster{Entry: home}
 			f := &Forwarder{Home: home, Roster: endpoints, Routing: &routing.Store{}, Headers: plainHeaders{}, Counters: &metric.Set{}}
 			table, err := routing.Build(protocol.Routing{Version: 1, Services: []protocol.RoutedService{{Name: "llm", Engine: &protocol.EngineFacts{Layers: 10}}}})
 			require.NoError(t, err)
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -96,7 +96,7 @@
 	s := &f.Settings
 	f.register.front, f.refusals.front = f, f
 	home := fleet.Entry{Name: s.Name, DataCenter: s.DataCenter}
-	f.roster.Home = home
+	f.roster.Entry = home
 	f.roster.DataCenters = s.DataCenters
 	f.records = records{counters: f.Counters, logger: f.Logger}
 	f.held.Counters, f.held.Logger = f.Counters, f.Logger
