--- a/coordination/detect/detect.go
+++ b/coordination/detect/detect.go
@@ -58,7 +58,7 @@
 
 // ReplyDeadline returns the time by which the step's reply is normally there.
 func ReplyDeadline(r *fleet.Runner, s Step) time.Time {
-	mean, deviation := r.Slowness(s.SentAt)
+	mean, deviation := r.Slowdown(s.SentAt)
 	seconds := s.ExpectedSeconds * (max(1, mean) + deviations*deviation)
 	return s.SentAt.Add(slack + time.Duration(seconds*float64(time.Second)))
 }
--- a/coordination/path/parts.go
+++ b/coordination/path/parts.go
@@ -103,7 +103,7 @@
 		if !ok || s.kept != nil && s.kept.Contains(r) {
 			continue
 		}
-		fixed, layer := r.Parts(q.Now, q.Positions, q.OutputTokens, q.Entries)
+		fixed, layer := r.RequestCost(q.Now, q.Positions, q.OutputTokens, q.Entries)
 		fixed += penalty + q.Rand.Float64()*tieSeconds
 		for i := begin + 1; i < s.count && s.bounds[i] <= g.Span().To; i++ {
 			to := s.bounds[i]
--- a/coordination/path/parts_test.go
+++ b/coordination/path/parts_test.go
@@ -23,7 +23,7 @@
 	for i, s := range spans {
 		runners[i] = protocol.Runner{Name: fmt.Sprint("r", i), Model: partsModel, From: s.From, To: s.To, Speed: 1e6}
 	}
-	return fleet.Gather(nil, []protocol.Model{{Name: partsModel, Layers: layers}}, runners, fleet.Entry{Name: "e1"})
+	return fleet.NewView(nil, []protocol.Model{{Name: partsModel, Layers: layers}}, runners, fleet.Entry{Name: "e1"})
 }
 
 // TestPartsRunEveryLayerOnceInOrder draws holders and checks that a path is found
@@ -87,9 +87,9 @@
 	view.Runner("r0").Suspect(now.Add(time.Second))
 	require.Negative(t, path.ChooseSubspans(view.Model(partsModel), &q, &p))
 	require.Equal(t, 2, p.Len())
-	view.Runner("r1").LeaveOut(now.Add(time.Second))
+	view.Runner("r1").Exclude(now.Add(time.Second))
 	require.Negative(t, path.ChooseSubspans(view.Model(partsModel), &q, &p), "the last resort is taken rather than none")
-	view.Runner("r0").Works()
+	view.Runner("r0").MarkWorking()
 	require.Negative(t, path.ChooseSubspans(view.Model(partsModel), &q, &p))
 	require.Equal(t, "r0", p.Runner(0).Name())
 }
@@ -142,7 +142,7 @@
 		reached := path.ChooseSubspans(view.Model(partsModel), &q, &before)
 		for i := range spans {
 			if pace := rapid.SampledFrom([]float64{1, 1, 1.5, 12, 1000}).Draw(t, "pace"); pace > 1 {
-				view.Runner(fmt.Sprint("r", i)).Slow(pace, now, now.Add(time.Second))
+				view.Runner(fmt.Sprint("r", i)).MarkSlow(pace, now, now.Add(time.Second))
 			}
 		}
 		require.Equal(t, reached, path.ChooseSubspans(view.Model(partsModel), &q, &after))
@@ -153,8 +153,8 @@
 func TestASlowHolderIsTakenOnlyWhenItIsTheOnlyOne(t *testing.T) {
 	view := gather(10, []protocol.Span{{From: 0, To: 5}, {From: 0, To: 5}, {From: 5, To: 10}})
 	now := time.Unix(100, 0)
-	view.Runner("r0").Slow(12, now, now.Add(time.Second))
-	view.Runner("r2").Slow(12, now, now.Add(time.Second))
+	view.Runner("r0").MarkSlow(12, now, now.Add(time.Second))
+	view.Runner("r2").MarkSlow(12, now, now.Add(time.Second))
 	for seed := range uint64(20) {
 		q := path.Query{Now: now, Positions: 1000, OutputTokens: 100, Rand: rand.New(rand.NewPCG(seed, 2))}
 		var p path.Path
--- a/coordination/path/path.go
+++ b/coordination/path/path.go
@@ -224,7 +224,7 @@
 		if !r.Usable(q.Now) || avoided(q.Avoid, r) {
 			continue
 		}
-		if cost := r.Cost(q.Now, q.Positions) + pledgeWeight*r.Pledged(); cost < least {
+		if cost := r.Cost(q.Now, q.Positions) + pledgeWeight*r.Backlog(); cost < least {
 			chosen, least = r, cost
 		}
 	}
@@ -244,7 +244,7 @@
 		switch {
 		case r.Leaving():
 		case !r.Usable(q.Now):
-			if last == nil || r.EjectedTill().Before(last.EjectedTill()) {
+			if last == nil || r.EjectedUntil().Before(last.EjectedUntil()) {
 				last = r
 			}
 		case avoided(q.Avoid, r):
@@ -266,7 +266,7 @@
 	var chosen *fleet.Runner
 	least := math.Inf(1)
 	for _, r := range runners {
-		if load := r.Reported() / r.Spec().Speed; r.Usable(q.Now) && !avoided(q.Avoid, r) && load < least {
+		if load := r.ReportedQueue() / r.Spec().Speed; r.Usable(q.Now) && !avoided(q.Avoid, r) && load < least {
 			chosen, least = r, load
 		}
 	}
--- a/coordination/path/path_test.go
+++ b/coordination/path/path_test.go
@@ -28,7 +28,7 @@
 	c, err := config.Make(1, []protocol.Model{{Name: "m", Version: "1", Layers: layers, Open: 1, Context: 9}},
 		protocol.Fleet{Name: "dc", Runners: runners})
 	require.NoError(t, err)
-	return fleet.Build(nil, c, fleet.Entry{Name: "e1", DataCenter: "dc"})
+	return fleet.NewViewFromConfig(nil, c, fleet.Entry{Name: "e1", DataCenter: "dc"})
 }
 
 func draw() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
@@ -112,13 +112,13 @@
 	}
 	v := view(t, 4, runners)
 	own := v.Model("m").Groups()[0].Runners()
-	require.Len(t, own, fleet.Subset)
+	require.Len(t, own, fleet.SubsetSize)
 	q := path.Query{Now: now, Positions: 1, Rand: draw()}
 	used := map[*fleet.Runner]bool{}
 	for range 200 {
 		used[path.Choose(v.Model("m"), q).(*path.Found).Path().Runner(0)] = true
 	}
-	require.Len(t, used, fleet.Subset)
+	require.Len(t, used, fleet.SubsetSize)
 	for _, r := range own {
 		r.Failed(now)
 	}
--- a/coordination/repath/repath.go
+++ b/coordination/repath/repath.go
@@ -127,7 +127,7 @@
 		if q.Path.HasStage(r, span) {
 			continue
 		}
-		if r.Fill(q.Search.Now, float64((q.Tokens+q.RemainingTokens)*span.Layers())) > roomMost {
+		if r.Utilization(q.Search.Now, float64((q.Tokens+q.RemainingTokens)*span.Layers())) > roomMost {
 			return false
 		}
 	}
@@ -143,7 +143,7 @@
 		if has != nil && has.HasStage(r, span) {
 			continue
 		}
-		fixed, layer := r.Parts(q.Search.Now, q.Tokens, 0, q.Search.Entries)
+		fixed, layer := r.RequestCost(q.Search.Now, q.Tokens, 0, q.Search.Entries)
 		seconds += fixed + layer*float64(span.Layers())
 	}
 	return seconds
@@ -153,7 +153,7 @@
 func total(p *path.Path, q *Query, has *path.Path) float64 {
 	seconds := reading(p, q, has)
 	for i := range p.Len() {
-		_, layer := p.Runner(i).Parts(q.Search.Now, 0, q.RemainingTokens, q.Search.Entries)
+		_, layer := p.Runner(i).RequestCost(q.Search.Now, 0, q.RemainingTokens, q.Search.Entries)
 		seconds += layer * float64(p.Span(i).Layers())
 	}
 	return seconds
--- a/coordination/repath/repath_test.go
+++ b/coordination/repath/repath_test.go
@@ -29,7 +29,7 @@
 			Name: name(i), Model: model, From: s.From, To: s.To, Speed: 1e6, Step: 1e-5, Room: 1e4, Address: name(i),
 		}
 	}
-	return fleet.Gather(nil, []protocol.Model{{Name: model, Layers: layers}}, runners, fleet.Entry{Name: "e1"})
+	return fleet.NewView(nil, []protocol.Model{{Name: model, Layers: layers}}, runners, fleet.Entry{Name: "e1"})
 }
 
 func name(i int) string { return fmt.Sprint("r", i) }
@@ -104,7 +104,7 @@
 	}
 	require.IsType(t, &repath.Change{}, choose(v, query()))
 	for range 40 {
-		v.Runner("r2").Measured(time.Second, 0.01, now)
+		v.Runner("r2").ObserveStep(time.Second, 0.01, now)
 	}
 	v.Runner("r3").Suspect(now.Add(time.Second)) // not for the hole either
 	require.Equal(t, repath.Resend{}, choose(v, query()))
@@ -114,7 +114,7 @@
 func TestAFullRunnerIsNoReplacement(t *testing.T) {
 	v := gather(4, protocol.Span{From: 0, To: 2}, protocol.Span{From: 2, To: 4}, protocol.Span{From: 2, To: 4})
 	p := whole(t, v, v.Runner("r2"))
-	v.Runner("r2").ReportUsed(0.95, now)
+	v.Runner("r2").ReportUtilization(0.95, now)
 	require.Equal(t, repath.Wait{}, choose(v, &repath.Query{Path: p, Lost: []*fleet.Runner{v.Runner("r1")}, Tokens: 800}))
 }
 
@@ -130,14 +130,14 @@
 			spans = append(spans, protocol.Span{From: from, To: rapid.IntRange(from+1, layers).Draw(t, "to")})
 		}
 		v := gather(layers, spans...)
-		v.Runner("r0").LeaveOut(now.Add(time.Second)) // it would be the whole path
+		v.Runner("r0").Exclude(now.Add(time.Second)) // it would be the whole path
 		p := whole(t, v)
-		v.Runner("r0").Works()
+		v.Runner("r0").MarkWorking()
 		q := &repath.Query{Path: p, Tokens: 800, RemainingTokens: 100}
 		for i := range p.Len() {
 			if rapid.Bool().Draw(t, "lost") {
 				q.Lost = append(q.Lost, p.Runner(i))
-				p.Runner(i).Lose(now, now.Add(time.Second))
+				p.Runner(i).MarkLost(now, now.Add(time.Second))
 			}
 		}
 		for i := range spans {
--- a/coordination/slow/play_test.go
+++ b/coordination/slow/play_test.go
@@ -47,7 +47,7 @@
 			p.slow[name] = s < 3 && h == 0 // three of 24
 		}
 	}
-	p.view = fleet.Gather(nil, []protocol.Model{{Name: "m", Layers: stages}}, runners, fleet.Entry{Name: "one"})
+	p.view = fleet.NewView(nil, []protocol.Model{{Name: "m", Layers: stages}}, runners, fleet.Entry{Name: "one"})
 	return p
 }
 
@@ -96,9 +96,9 @@
 	}, now.Add(-reportAge))
 	switch v := p.book.Apply(told, now).(type) {
 	case slow.Slow:
-		r.Slow(v.Slowdown(), v.Since(), v.Until())
+		r.MarkSlow(v.Slowdown(), v.Since(), v.Until())
 	case slow.Recovered:
-		r.Fast()
+		r.ClearSlow()
 	}
 }
 
--- a/state/fleet/cost.go
+++ b/state/fleet/cost.go
@@ -27,20 +27,20 @@
 // Cost returns the seconds until the reply to a step of that many positions, by
 // what the runner has shown lately.
 func (r *Runner) Cost(now time.Time, positions int) float64 {
-	slowness, _ := r.Slowness(now)
-	return r.Expected(now, positions) * slowness
+	slowness, _ := r.Slowdown(now)
+	return r.ExpectedLatency(now, positions) * slowness
 }
 
-// Expected returns the seconds until the reply to a step of that many positions
+// ExpectedLatency returns the seconds until the reply to a step of that many positions
 // if the runner keeps its configured speed.
-func (r *Runner) Expected(now time.Time, positions int) float64 {
+func (r *Runner) ExpectedLatency(now time.Time, positions int) float64 {
 	work := float64(positions*r.Span().Layers()) / r.spec.Speed
-	return r.Wait(now) + work + batchSeconds + linkSeconds[r.link]
+	return r.QueueDelay(now) + work + batchSeconds + linkSeconds[r.link]
 }
 
-// Wait returns the seconds that a step sent now is expected to queue: the last
+// QueueDelay returns the seconds that a step sent now is expected to queue: the last
 // report less what was worked off since, plus what this entry sent since.
-func (r *Runner) Wait(now time.Time) float64 {
+func (r *Runner) QueueDelay(now time.Time) float64 {
 	own := float64(r.outstanding.Load())
 	age := float64(now.UnixNano()-r.reportedAt.Load()) / float64(time.Second)
 	if age < 0 || age > reportTrust.Seconds() {
@@ -50,16 +50,16 @@
 	return max(own, reported) / r.spec.Speed
 }
 
-// Parts returns the expected seconds of a whole request that reads and writes so
+// RequestCost returns the expected seconds of a whole request that reads and writes so
 // many tokens: those whatever the number of layers, and those for each layer.
 // Sharers is how many entries send to the runner; each is taken to send alike.
-func (r *Runner) Parts(now time.Time, read, write int, sharers float64) (fixed, layer float64) {
-	slowness, _ := r.Slowness(now)
-	fixed = slowness * (r.Wait(now) + batchSeconds + linkSeconds[r.link])
+func (r *Runner) RequestCost(now time.Time, read, write int, sharers float64) (fixed, layer float64) {
+	slowness, _ := r.Slowdown(now)
+	fixed = slowness * (r.QueueDelay(now) + batchSeconds + linkSeconds[r.link])
 	layer = slowness * (float64(read)/r.spec.Speed + float64(write)*r.spec.Step)
 	if r.spec.Room > 0 {
 		full := sharers * float64(r.outstanding.Load()) / r.roomPasses()
-		if known := r.Fill(now, 0); known > nearlyFull {
+		if known := r.Utilization(now, 0); known > nearlyFull {
 			full = max(full, known)
 		}
 		square := full * full
@@ -68,12 +68,12 @@
 	return fixed, layer
 }
 
-// Pledge notes that this entry's streams will need that many more layer passes
+// AddBacklog notes that this entry's streams will need that many more layer passes
 // here, or fewer when it is negative.
-func (r *Runner) Pledge(passes int64) { r.pledged.Add(passes) }
+func (r *Runner) AddBacklog(passes int64) { r.pledged.Add(passes) }
 
-// Pledged returns the seconds of work that this entry's streams still need here.
-func (r *Runner) Pledged() float64 { return float64(r.pledged.Load()) / r.spec.Speed }
+// Backlog returns the seconds of work that this entry's streams still need here.
+func (r *Runner) Backlog() float64 { return float64(r.pledged.Load()) / r.spec.Speed }
 
 // Sent notes that a step of that many layer passes left for the runner.
 func (r *Runner) Sent(passes int64) {
--- a/state/fleet/ejection.go
+++ b/state/fleet/ejection.go
@@ -33,8 +33,8 @@
 	return till
 }
 
-// LeaveOut leaves the runner out until a time without counting a failure.
-func (r *Runner) LeaveOut(till time.Time) {
+// Exclude leaves the runner out until a time without counting a failure.
+func (r *Runner) Exclude(till time.Time) {
 	if n := till.UnixNano(); n > r.ejectedTill.Load() {
 		r.ejectedTill.Store(n)
 	}
@@ -44,9 +44,9 @@
 // the one at fault.
 func (r *Runner) Suspect(till time.Time) { r.suspectTill.Store(till.UnixNano()) }
 
-// Works notes that the runner was seen to work: it is no suspect, and what failed
+// MarkWorking notes that the runner was seen to work: it is no suspect, and what failed
 // before counts no longer.
-func (r *Runner) Works() {
+func (r *Runner) MarkWorking() {
 	if r.suspectTill.Load() != 0 {
 		r.suspectTill.Store(0)
 	}
@@ -56,15 +56,15 @@
 	}
 }
 
-// Answers notes that the runner itself answers, although others wait for it: it is left
+// MarkResponsive notes that the runner itself answers, although others wait for it: it is left
 // out as before, but not lost.
-func (r *Runner) Answers() { r.failures.Store(0) }
+func (r *Runner) MarkResponsive() { r.failures.Store(0) }
 
 // Refused notes that the runner did not run a request. It gets no new work for a
 // time that doubles with each refusal in a row.
 func (r *Runner) Refused(now time.Time) {
 	runs := min(r.refusals.Add(1)-1, refusedRuns)
-	r.LeaveOut(now.Add(refusedFirst << runs))
+	r.Exclude(now.Add(refusedFirst << runs))
 }
 
 // Accepted notes that the runner runs a request that was sent after it last
@@ -75,19 +75,19 @@
 	}
 }
 
-// Lose notes that entries found the runner lost, by signs of a time. It gets no new work
+// MarkLost notes that entries found the runner lost, by signs of a time. It gets no new work
 // until the signs count no longer, unless it is heard.
-func (r *Runner) Lose(at, till time.Time) {
+func (r *Runner) MarkLost(at, till time.Time) {
 	r.lostAt.Store(at.UnixNano())
 	r.lostTill.Store(till.UnixNano())
 }
 
-// Return takes back that the runner is lost.
-func (r *Runner) Return() { r.lostTill.Store(0) }
+// ClearLost takes back that the runner is lost.
+func (r *Runner) ClearLost() { r.lostTill.Store(0) }
 
-// Returns takes it that something came from the runner, and reports whether that disproves
+// ClearLostIfHeard takes it that something came from the runner, and reports whether that disproves
 // that it is lost.
-func (r *Runner) Returns(now time.Time) bool {
+func (r *Runner) ClearLostIfHeard(now time.Time) bool {
 	if r.lostTill.Load() == 0 || now.UnixNano() < r.lostAt.Load()+int64(underWay) {
 		return false
 	}
@@ -105,5 +105,5 @@
 	return !r.Leaving() && now.UnixNano() >= max(r.ejectedTill.Load(), r.suspectTill.Load(), r.lostTill.Load())
 }
 
-// EjectedTill returns until when the runner is left out.
-func (r *Runner) EjectedTill() time.Time { return time.Unix(0, r.ejectedTill.Load()) }
+// EjectedUntil returns until when the runner is left out.
+func (r *Runner) EjectedUntil() time.Time { return time.Unix(0, r.ejectedTill.Load()) }
--- a/state/fleet/report.go
+++ b/state/fleet/report.go
@@ -20,11 +20,11 @@
 
 // The reasons to ignore a load report.
 const (
-	ReportTaken ReportFault = iota
-	ReportOfOther
-	ReportImpossible
-	ReportFuture
-	ReportOld
+	ReportAccepted ReportFault = iota
+	ReportWrongRunner
+	ReportInvalid
+	ReportFromFuture
+	ReportExpired
 )
 
 // Report takes a load report, or says why it was ignored.
@@ -32,13 +32,13 @@
 	at := time.UnixMilli(l.UnixMS)
 	switch {
 	case l.Runner != r.spec.Name:
-		return ReportOfOther
+		return ReportWrongRunner
 	case l.Queued < 0 || l.Streams < 0 || l.From != r.spec.From || l.To != r.spec.To:
-		return ReportImpossible
+		return ReportInvalid
 	case at.After(now.Add(maxReportSkew)):
-		return ReportFuture
+		return ReportFromFuture
 	case now.Sub(at) > reportTrust:
-		return ReportOld
+		return ReportExpired
 	}
 	r.queued.Store(l.Queued)
 	r.sentSince.Store(0)
@@ -46,9 +46,9 @@
 	if l.Leaving {
 		r.MarkLeaving()
 	}
-	return ReportTaken
+	return ReportAccepted
 }
 
-// Reported returns the layer passes queued at the runner by its last report,
+// ReportedQueue returns the layer passes queued at the runner by its last report,
 // uncorrected.
-func (r *Runner) Reported() float64 { return float64(r.queued.Load()) }
+func (r *Runner) ReportedQueue() float64 { return float64(r.queued.Load()) }
--- a/state/fleet/room.go
+++ b/state/fleet/room.go
@@ -19,14 +19,14 @@
 	writtenShare = 0.88
 )
 
-// ReportUsed takes which part of the runner's room is used by the requests of all
+// ReportUtilization takes which part of the runner's room is used by the requests of all
 // entries, as it reported.
-func (r *Runner) ReportUsed(part float64, now time.Time) {
+func (r *Runner) ReportUtilization(part float64, now time.Time) {
 	r.noteUsed(part*r.roomPasses(), now, usedTrust)
 }
 
-// RefusedForRoom notes that the runner had no room for a request just now.
-func (r *Runner) RefusedForRoom(now time.Time) { r.noteUsed(r.roomPasses(), now, fullTrust) }
+// RefusedForCapacity notes that the runner had no room for a request just now.
+func (r *Runner) RefusedForCapacity(now time.Time) { r.noteUsed(r.roomPasses(), now, fullTrust) }
 
 // noteUsed notes how many layer passes the requests of all entries held at that time.
 func (r *Runner) noteUsed(passes float64, now time.Time, trust time.Duration) {
@@ -34,17 +34,17 @@
 	r.usedTill.Store(now.Add(trust).UnixNano())
 }
 
-// UsedTill returns until when the last word on the runner's room is believed.
-func (r *Runner) UsedTill() time.Time { return time.Unix(0, r.usedTill.Load()) }
+// UtilizationUntil returns until when the last word on the runner's room is believed.
+func (r *Runner) UtilizationUntil() time.Time { return time.Unix(0, r.usedTill.Load()) }
 
 // Outstanding returns how many layer passes of this entry's requests are open here.
 func (r *Runner) Outstanding() int64 { return r.outstanding.Load() }
 
-// Fill returns which part of the runner's room is taken when a request of that many
+// Utilization returns which part of the runner's room is taken when a request of that many
 // layer passes comes to it: what all entries' requests held by the last word, and what
 // this entry has begun and ended since; without such a word only what this entry has
 // open. It is 0 when the runner's room is unknown.
-func (r *Runner) Fill(now time.Time, passes float64) float64 {
+func (r *Runner) Utilization(now time.Time, passes float64) float64 {
 	room := r.roomPasses()
 	if room <= 0 {
 		return 0
--- a/state/fleet/runner.go
+++ b/state/fleet/runner.go
@@ -91,9 +91,9 @@
 // SetVMLeaving notes whether the runner's VM is listed as leaving.
 func (r *Runner) SetVMLeaving(leaving bool) { r.vmLeaving.Store(leaving) }
 
-// SaysLeaving reports whether the configuration or the engine itself says that
+// DeclaredLeaving reports whether the configuration or the engine itself says that
 // the runner is leaving, whatever the list of VMs says.
-func (r *Runner) SaysLeaving() bool { return r.leaving.Load() }
+func (r *Runner) DeclaredLeaving() bool { return r.leaving.Load() }
 
 // MarkLeaving notes that the runner takes no new work from now on.
 func (r *Runner) MarkLeaving() bool { return !r.leaving.Swap(true) }
--- a/state/fleet/slowness.go
+++ b/state/fleet/slowness.go
@@ -19,31 +19,31 @@
 	forgetSlowness = 5 * time.Second
 )
 
-// Slowness returns how many times longer than expected the runner's steps take, by what
+// Slowdown returns how many times longer than expected the runner's steps take, by what
 // was measured here or by the word of entries, and the mean deviation of that. What makes
 // it seem slow fades as it grows old.
-func (r *Runner) Slowness(now time.Time) (mean, deviation float64) {
+func (r *Runner) Slowdown(now time.Time) (mean, deviation float64) {
 	mean, deviation = r.measured(now)
-	return max(mean, r.Pace(now)), deviation
+	return max(mean, r.ReportedSlowdown(now)), deviation
 }
 
-// Slow notes that since a time the runner's work takes pace times as long as usual, and until
+// MarkSlow notes that since a time the runner's work takes pace times as long as usual, and until
 // when that counts.
-func (r *Runner) Slow(pace float64, since, till time.Time) {
+func (r *Runner) MarkSlow(pace float64, since, till time.Time) {
 	r.pace.Store(math.Float64bits(pace))
 	r.slowSince.Store(since.UnixNano())
 	r.slowTill.Store(till.UnixNano())
 }
 
-// Fast takes back that the runner is slow.
-func (r *Runner) Fast() { r.slowTill.Store(0) }
+// ClearSlow takes back that the runner is slow.
+func (r *Runner) ClearSlow() { r.slowTill.Store(0) }
 
 // IsSlow reports whether the runner is slow by the word of entries.
 func (r *Runner) IsSlow(now time.Time) bool { return now.UnixNano() < r.slowTill.Load() }
 
-// Pace returns how many times longer than usual the runner's work takes by the word of
+// ReportedSlowdown returns how many times longer than usual the runner's work takes by the word of
 // entries, 1 if it is not slow.
-func (r *Runner) Pace(now time.Time) float64 {
+func (r *Runner) ReportedSlowdown(now time.Time) float64 {
 	if !r.IsSlow(now) {
 		return 1
 	}
@@ -79,9 +79,9 @@
 	return 1 + (mean-1)*kept, deviation
 }
 
-// Measured notes how long a step took that was expected to take that many
+// ObserveStep notes how long a step took that was expected to take that many
 // seconds. The failures before count no longer.
-func (r *Runner) Measured(took time.Duration, expected float64, now time.Time) {
+func (r *Runner) ObserveStep(took time.Duration, expected float64, now time.Time) {
 	mean, dev := r.measured(now)
 	sample := min(took.Seconds()/expected, maxSlowness)
 	dev += smoothing * (math.Abs(sample-mean) - dev)
@@ -92,10 +92,10 @@
 	r.failures.Store(0)
 }
 
-// Overdue notes that a step expected to take that many seconds was given up
+// ObserveTimeout notes that a step expected to take that many seconds was given up
 // after a time. The next bound is twice as long, so that a runner slower than it
 // is configured is found out instead of being given up again and again.
-func (r *Runner) Overdue(took time.Duration, expected float64, now time.Time) {
+func (r *Runner) ObserveTimeout(took time.Duration, expected float64, now time.Time) {
 	mean, _ := r.measured(now)
 	r.slowness.Store(math.Float64bits(min(maxSlowness, max(mean, 2*took.Seconds()/expected))))
 	r.measuredAt.Store(now.UnixNano())
--- a/state/fleet/slowness_test.go
+++ b/state/fleet/slowness_test.go
@@ -12,10 +12,10 @@
 // TestASlowRunnerCostsMoreUntilItIsFast, and is left out never.
 func TestASlowRunnerCostsMoreUntilItIsFast(t *testing.T) {
 	r, now := roomy().Runner("a"), time.Unix(100, 0)
-	fixed, layer := r.Parts(now, 10, 100, 1)
+	fixed, layer := r.RequestCost(now, 10, 100, 1)
 	cost := r.Cost(now, 10)
-	r.Slow(12, now, now.Add(3*time.Second))
-	slowFixed, slowLayer := r.Parts(now, 10, 100, 1)
+	r.MarkSlow(12, now, now.Add(3*time.Second))
+	slowFixed, slowLayer := r.RequestCost(now, 10, 100, 1)
 	require.InDelta(t, 12*fixed, slowFixed, 1e-9)
 	require.InDelta(t, 12*layer, slowLayer, 1e-9)
 	require.InDelta(t, 12*cost, r.Cost(now, 10), 1e-9)
@@ -23,10 +23,10 @@
 	require.False(t, r.Lost(now))
 	require.Equal(t, now.UnixNano(), r.SlowSince(now.Add(time.Second)).UnixNano())
 
-	_, lapsed := r.Parts(now.Add(3*time.Second), 10, 100, 1)
+	_, lapsed := r.RequestCost(now.Add(3*time.Second), 10, 100, 1)
 	require.InDelta(t, layer, lapsed, 1e-9, "news that nobody renews lapse")
-	r.Fast()
-	_, again := r.Parts(now.Add(time.Second), 10, 100, 1)
+	r.ClearSlow()
+	_, again := r.RequestCost(now.Add(time.Second), 10, 100, 1)
 	require.InDelta(t, layer, again, 1e-9)
 	require.True(t, r.SlowSince(now.Add(time.Second)).IsZero())
 }
@@ -34,9 +34,9 @@
 // TestTheWordOfOthersIsNotMeasured: what was measured here stays what it is.
 func TestTheWordOfOthersIsNotMeasured(t *testing.T) {
 	r, now := roomy().Runner("a"), time.Unix(100, 0)
-	r.Slow(100, now, now.Add(3*time.Second))
-	r.Measured(time.Second, 1, now)
-	r.Fast()
-	mean, _ := r.Slowness(now)
+	r.MarkSlow(100, now, now.Add(3*time.Second))
+	r.ObserveStep(time.Second, 1, now)
+	r.ClearSlow()
+	mean, _ := r.Slowdown(now)
 	require.InDelta(t, 1, mean, 1e-9)
 }
--- a/state/fleet/view.go
+++ b/state/fleet/view.go
@@ -20,10 +20,10 @@
 	"pinerun.example/pinerun/state/config"
 )
 
-// Subset is how many runners of a group an entry uses as long as they are
+// SubsetSize is how many runners of a group an entry uses as long as they are
 // usable. It bounds the connections and load reports of an entry; each entry has
 // a subset of its own, so that all runners are used.
-const Subset = 12
+const SubsetSize = 12
 
 // Group is the runners that hold the same span of a model.
 type Group struct {
@@ -36,7 +36,7 @@
 
 // Runners returns the runners that this entry uses. The caller must not change
 // the slice.
-func (g *Group) Runners() []*Runner { return g.runners[:min(Subset, len(g.runners))] }
+func (g *Group) Runners() []*Runner { return g.runners[:min(SubsetSize, len(g.runners))] }
 
 // All returns every runner of the group. The caller must not change the slice.
 func (g *Group) All() []*Runner { return g.runners }
@@ -62,15 +62,15 @@
 // Entry is where an entry is, and its name, by which its subsets are drawn.
 type Entry struct{ Name, DataCenter string }
 
-// Build returns the view of a configuration for an entry. Runners that the older
+// NewViewFromConfig returns the view of a configuration for an entry. Runners that the older
 // view knows unchanged keep their measurements.
-func Build(older *View, c *config.Config, home Entry) *View {
-	return Gather(older, c.ModelList(), c.Runners(), home)
+func NewViewFromConfig(older *View, c *config.Config, home Entry) *View {
+	return NewView(older, c.ModelList(), c.Runners(), home)
 }
 
-// Gather returns the view of runners that are known one by one, each under the
+// NewView returns the view of runners that are known one by one, each under the
 // name of one of the models.
-func Gather(older *View, models []protocol.Model, runners []protocol.Runner, home Entry) *View {
+func NewView(older *View, models []protocol.Model, runners []protocol.Runner, home Entry) *View {
 	v := &View{models: make(map[string]*Model, len(models)), runners: make(map[string]*Runner, len(runners))}
 	for _, m := range models {
 		v.models[m.Name] = &Model{layers: m.Layers}
@@ -97,7 +97,7 @@
 // drawSubset puts the entry's own runners first, by rendezvous hashing, so that
 // a change of one runner changes at most one place of the subset.
 func drawSubset(runners []*Runner, entry string) {
-	if len(runners) <= Subset {
+	if len(runners) <= SubsetSize {
 		return
 	}
 	scores := make(map[*Runner]uint64, len(runners))
--- a/state/fleet/view_test.go
+++ b/state/fleet/view_test.go
@@ -37,46 +37,46 @@
 // figures, from the future or too old change nothing.
 func TestReportsAreCheckedBeforeTheyCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := fleet.Build(nil, configOf(t, 8), home).Runner("runner-3")
+		r := fleet.NewViewFromConfig(nil, configOf(t, 8), home).Runner("runner-3")
 		good := protocol.LoadReport{Runner: "runner-3", From: 3, To: 4, Queued: 50, UnixMS: now.UnixMilli()}
-		require.Equal(t, fleet.ReportTaken, r.Report(good, now))
-		wait := r.Wait(now)
+		require.Equal(t, fleet.ReportAccepted, r.Report(good, now))
+		wait := r.QueueDelay(now)
 		require.InDelta(t, 0.5, wait, 0.001)
 		bad := good
-		want := fleet.ReportImpossible
+		want := fleet.ReportInvalid
 		switch rapid.IntRange(0, 4).Draw(t, "kind") {
 		case 0:
-			bad.Runner, want = "runner-4", fleet.ReportOfOther
+			bad.Runner, want = "runner-4", fleet.ReportWrongRunner
 		case 1:
 			bad.Queued = -rapid.Int64Range(1, 1<<40).Draw(t, "queued")
 		case 2:
 			bad.From, bad.To = rapid.IntRange(4, 99).Draw(t, "from"), 100
 		case 3:
 			bad.UnixMS += rapid.Int64Range(2001, 1<<40).Draw(t, "ahead")
-			want = fleet.ReportFuture
+			want = fleet.ReportFromFuture
 		case 4:
 			bad.UnixMS -= rapid.Int64Range(5001, 1<<40).Draw(t, "behind")
-			want = fleet.ReportOld
+			want = fleet.ReportExpired
 		}
 		require.Equal(t, want, r.Report(bad, now))
-		require.InDelta(t, wait, r.Wait(now), 0)
+		require.InDelta(t, wait, r.QueueDelay(now), 0)
 	})
 }
 
 func TestMeasurementsOutliveAnUnrelatedChange(t *testing.T) {
 	c := configOf(t, 8)
-	before := fleet.Build(nil, c, home)
-	before.Runner("runner-1").Measured(time.Second, 0.1, now)
-	after := fleet.Build(before, c, home)
+	before := fleet.NewViewFromConfig(nil, c, home)
+	before.Runner("runner-1").ObserveStep(time.Second, 0.1, now)
+	after := fleet.NewViewFromConfig(before, c, home)
 	require.Same(t, before.Runner("runner-1"), after.Runner("runner-1"))
 }
 
 func TestAnOverdueRunnerGetsLonger(t *testing.T) {
-	r := fleet.Build(nil, configOf(t, 1), home).Runner("runner-0")
-	r.Overdue(time.Second, 0.1, now)
-	mean, _ := r.Slowness(now)
+	r := fleet.NewViewFromConfig(nil, configOf(t, 1), home).Runner("runner-0")
+	r.ObserveTimeout(time.Second, 0.1, now)
+	mean, _ := r.Slowdown(now)
 	require.InDelta(t, 20, mean, 0.01)
-	mean, _ = r.Slowness(now.Add(time.Minute))
+	mean, _ = r.Slowdown(now.Add(time.Minute))
 	require.InDelta(t, 1, mean, 0.1, "it fades")
 }
 
@@ -91,11 +91,11 @@
 			c := configOf(b, n)
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			v := fleet.Build(nil, c, home)
+			v := fleet.NewViewFromConfig(nil, c, home)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			for b.Loop() {
-				v = fleet.Build(v, c, home)
+				v = fleet.NewViewFromConfig(v, c, home)
 			}
 			b.ReportMetric(float64(after.HeapAlloc)-float64(before.HeapAlloc), "heap-B")
 			b.ReportMetric(float64(before.HeapAlloc)-float64(empty.HeapAlloc), "config-heap-B")
--- a/state/roster/roster.go
+++ b/state/roster/roster.go
@@ -294,5 +294,5 @@
 		slices.Sort(c)
 	}
 	r.centers.Store(&centers)
-	r.view.Store(fleet.Gather(r.view.Load(), models, runners, r.Entry))
+	r.view.Store(fleet.NewView(r.view.Load(), models, runners, r.Entry))
 }
--- a/state/roster/roster_test.go
+++ b/state/roster/roster_test.go
@@ -141,7 +141,7 @@
 		require.Equal(t, roster.Joined, r.Update(c.before, now), c.name)
 		runner := r.View().Runner("x")
 		runner.Failed(now)
-		runner.Lose(now, now.Add(time.Hour))
+		runner.MarkLost(now, now.Add(time.Hour))
 		require.Equal(t, c.restarted, r.Update(c.after, now) == roster.Restarted, c.name)
 		require.Equal(t, c.restarted, r.View().Runner("x") != runner, c.name)
 		require.Equal(t, c.restarted, r.View().Runner("x").Usable(now), c.name)
--- a/transport/director/slow_test.go
+++ b/transport/director/slow_test.go
@@ -21,10 +21,10 @@
 	r := fleet.NewRunner(protocol.Runner{Name: "e", Speed: 1}, "a")
 	require.False(t, slowForLong(f, r, held, now))
 	require.False(t, slowForLong(f, nil, held, now), "an engine that nobody sends to")
-	r.Slow(12, now, now.Add(10*time.Second))
+	r.MarkSlow(12, now, now.Add(10*time.Second))
 	require.False(t, slowForLong(f, r, held, now.Add(1700*time.Millisecond)))
 	require.True(t, slowForLong(f, r, held, now.Add(1750*time.Millisecond)))
 	require.False(t, slowForLong(f, r, protocol.Span{From: 0, To: 40}, now.Add(1750*time.Millisecond)), "more layers take longer")
-	r.Fast()
+	r.ClearSlow()
 	require.False(t, slowForLong(f, r, held, now.Add(5*time.Second)))
 }
--- a/transport/engine/client.go
+++ b/transport/engine/client.go
@@ -291,7 +291,7 @@
 	}
 	c.Runner.Settled(w.passes)
 	now := time.Now()
-	c.Runner.Measured(now.Sub(w.sentAt), w.expected, now)
+	c.Runner.ObserveStep(now.Sub(w.sentAt), w.expected, now)
 	if !w.mailbox.put(Replied{from: c.Runner, reply: r}) {
 		c.Counters.Add(metric.RepliesDropped, 1)
 	}
@@ -299,7 +299,7 @@
 
 func (c *Client) report(l protocol.LoadReport) {
 	fault := c.Runner.Report(l, time.Now())
-	if fault == fleet.ReportTaken {
+	if fault == fleet.ReportAccepted {
 		c.mutex.Lock()
 		c.life = l.Lifetime
 		c.mutex.Unlock()
--- a/transport/engine/client_test.go
+++ b/transport/engine/client_test.go
@@ -67,7 +67,7 @@
 		}},
 	})
 	require.NoError(t, err)
-	view := fleet.Build(nil, c, fleet.Entry{Name: "e1", DataCenter: "dc"})
+	view := fleet.NewViewFromConfig(nil, c, fleet.Entry{Name: "e1", DataCenter: "dc"})
 	found, ok := path.Choose(view.Model("m"), path.Query{Now: time.Now(), Positions: 1, Rand: rand.New(rand.NewPCG(1, 1))}).(*path.Found)
 	require.True(t, ok)
 	pool := Pool{Counters: &metric.Set{}}
@@ -95,7 +95,7 @@
 	require.NoError(b, err)
 	for b.Loop() {
 		f, err := protocol.DecodeReplies(frame)
-		if err != nil || r.Report(*f.Report, now) != fleet.ReportTaken {
+		if err != nil || r.Report(*f.Report, now) != fleet.ReportAccepted {
 			b.Fatal("not taken")
 		}
 	}
--- a/transport/entry/entry.go
+++ b/transport/entry/entry.go
@@ -169,7 +169,7 @@
 // inForce rebuilds the view of the fleet for a new configuration. What was
 // measured of unchanged runners is kept.
 func (e *Entry) inForce(c *config.Config) {
-	view := fleet.Build(e.view.Load(), c, fleet.Entry{Name: e.Settings.Name, DataCenter: e.Settings.DataCenter})
+	view := fleet.NewViewFromConfig(e.view.Load(), c, fleet.Entry{Name: e.Settings.Name, DataCenter: e.Settings.DataCenter})
 	for _, r := range view.Runners() {
 		r.SetVMLeaving(e.leaving.has(r.Spec().VM))
 	}
--- a/transport/entry/entry_test.go
+++ b/transport/entry/entry_test.go
@@ -329,7 +329,7 @@
 	c, err := config.Make(1, []protocol.Model{{Name: "fares", Version: "1", Layers: layers, Open: 1, Context: 9}},
 		protocol.Fleet{Name: "dc", Runners: specs})
 	require.NoError(b, err)
-	x := &direct{view: fleet.Build(nil, c, fleet.Entry{Name: "e1", DataCenter: "dc"})}
+	x := &direct{view: fleet.NewViewFromConfig(nil, c, fleet.Entry{Name: "e1", DataCenter: "dc"})}
 	x.pool.Counters = &metric.Set{}
 	b.Cleanup(x.pool.Close)
 	return x
--- a/transport/entry/flight.go
+++ b/transport/entry/flight.go
@@ -22,7 +22,7 @@
 func (m *modelRun) send(s stream.Dispatch) {
 	now := time.Now()
 	r := s.Runner()
-	f := flight{runner: r, step: detect.Step{SentAt: now, ExpectedSeconds: r.Expected(now, s.Step().Count)}}
+	f := flight{runner: r, step: detect.Step{SentAt: now, ExpectedSeconds: r.ExpectedLatency(now, s.Step().Count)}}
 	f.look = detect.ReplyDeadline(r, f.step)
 	m.flights = append(m.flights, f)
 	m.setSilence()
@@ -62,7 +62,7 @@
 	positions := m.machine.TokenCount() + m.machine.Remaining()
 	for i := range m.pledges {
 		m.pledges[i] = int64(positions * p.Runner(i).Span().Layers())
-		p.Runner(i).Pledge(m.pledges[i])
+		p.Runner(i).AddBacklog(m.pledges[i])
 	}
 }
 
@@ -73,7 +73,7 @@
 		if p.Runner(i) == r {
 			done := min(m.pledges[i], int64(count*r.Span().Layers()))
 			m.pledges[i] -= done
-			r.Pledge(-done)
+			r.AddBacklog(-done)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 		}
 	}
 	for i, left := range m.pledges {
-		p.Runner(i).Pledge(-left)
+		p.Runner(i).AddBacklog(-left)
 	}
 	m.pledges = nil
 }
--- a/transport/entry/leaving.go
+++ b/transport/entry/leaving.go
@@ -124,7 +124,7 @@
 // tellLeaving adds to a heartbeat what this entry knows to be leaving.
 func (e *Entry) tellLeaving(b *protocol.PeerHeartbeat) {
 	for name, r := range e.view.Load().Runners() {
-		if r.SaysLeaving() && !r.Spec().Drain {
+		if r.DeclaredLeaving() && !r.Spec().Drain {
 			b.Leaving = append(b.Leaving, name)
 		}
 	}
--- a/transport/entry/operator.go
+++ b/transport/entry/operator.go
@@ -111,7 +111,7 @@
 	for _, r := range e.view.Load().Runners() {
 		s.Runners = append(s.Runners, runnerStatus{
 			Name: r.Name(), Model: r.Spec().Model, Layers: r.Span().String(),
-			Usable: r.Usable(now), Leaving: r.Leaving(), WaitMS: r.Wait(now) * 1000,
+			Usable: r.Usable(now), Leaving: r.Leaving(), WaitMS: r.QueueDelay(now) * 1000,
 		})
 	}
 	slices.SortFunc(s.Runners, func(a, b runnerStatus) int { return cmp.Compare(a.Name, b.Name) })
--- a/transport/entry/recover.go
+++ b/transport/entry/recover.go
@@ -41,7 +41,7 @@
 	took := time.Since(f.step.SentAt)
 	m.entry.detected.Record(took)
 	cause := "too slow"
-	f.runner.Overdue(took, f.step.ExpectedSeconds, time.Now())
+	f.runner.ObserveTimeout(took, f.step.ExpectedSeconds, time.Now())
 	if v.Dead() {
 		cause = "silence"
 		f.runner.Failed(time.Now())
--- a/transport/entry/suspects_test.go
+++ b/transport/entry/suspects_test.go
@@ -41,7 +41,7 @@
 	require.NoError(t, err)
 	e := &Entry{}
 	e.suspects.entry, e.suspects.book.Self = e, "e1"
-	e.view.Store(fleet.Build(nil, c, fleet.Entry{Name: "e1", DataCenter: "dc"}))
+	e.view.Store(fleet.NewViewFromConfig(nil, c, fleet.Entry{Name: "e1", DataCenter: "dc"}))
 	t.Cleanup(e.suspects.close)
 	return &e.suspects
 }
--- a/transport/forward/blame.go
+++ b/transport/forward/blame.go
@@ -58,7 +58,7 @@
 func (x *exchange) leaveRoom(a *attempt, address string, now time.Time) {
 	for i := range a.path.Len() {
 		if a.isAtFault(i, address) {
-			a.path.Runner(i).RefusedForRoom(now)
+			a.path.Runner(i).RefusedForCapacity(now)
 		}
 	}
 }
--- a/transport/forward/candidate.go
+++ b/transport/forward/candidate.go
@@ -93,7 +93,7 @@
 	most := 0.0
 	for i := range p.Len() {
 		passes := float64((q.Positions + q.OutputTokens) * p.Span(i).Layers())
-		most = max(most, p.Runner(i).Fill(q.Now, passes))
+		most = max(most, p.Runner(i).Utilization(q.Now, passes))
 	}
 	return most
 }
--- a/transport/forward/news.go
+++ b/transport/forward/news.go
@@ -56,8 +56,8 @@
 func (f *Forwarder) works(r *fleet.Runner, now time.Time) {
 	f.heardAt.Store(now.UnixNano())
 	r.Heard(now)
-	r.Works()
-	if r.Returns(now) {
+	r.MarkWorking()
+	if r.ClearLostIfHeard(now) {
 		f.tell(r, protocol.LossAnswered, now)
 	}
 }
@@ -81,13 +81,13 @@
 	now := clock.Now()
 	switch v := v.(type) {
 	case loss.Lost:
-		r.Lose(v.At(), v.Until())
+		r.MarkLost(v.At(), v.Until())
 		f.Counters.Ejected(metric.EjectedLost)
 		f.losses.Tell()
 	case loss.Suspected:
 		r.Suspect(now.Add(suspectFor))
 	case loss.Recovered:
-		r.Return()
+		r.ClearLost()
 	default:
 		return false
 	}
--- a/transport/forward/pace.go
+++ b/transport/forward/pace.go
@@ -148,7 +148,7 @@
 	switch v := v.(type) {
 	case slow.Slow:
 		before := r.IsSlow(now)
-		r.Slow(v.Slowdown(), v.Since(), v.Until())
+		r.MarkSlow(v.Slowdown(), v.Since(), v.Until())
 		f.paces.keep(r.Name(), report, v.Until(), now)
 		if !before {
 			f.log(event.EndpointSlow, slog.String("runner", r.Name()), slog.String("witness", report.Observer()),
@@ -161,7 +161,7 @@
 		if since.IsZero() {
 			return false // it was only doubted
 		}
-		r.Fast()
+		r.ClearSlow()
 		f.paces.drop(r.Name())
 		f.log(event.EndpointFast, slog.String("runner", r.Name()), slog.String("witness", report.Observer()),
 			slog.Int64("slow_ms", now.Sub(since).Milliseconds()))
--- a/transport/forward/pace_test.go
+++ b/transport/forward/pace_test.go
@@ -30,7 +30,7 @@
 		}
 		synctest.Wait()
 		require.True(t, late.IsSlow(time.Now()))
-		require.InDelta(t, 12, late.Pace(time.Now()), 1e-9)
+		require.InDelta(t, 12, late.ReportedSlowdown(time.Now()), 1e-9)
 		require.True(t, late.Usable(time.Now()), "it is not left out")
 		require.Equal(t, int64(1), f.Counters.Value(string(metric.EndpointsSlow)))
 		for range 20 {
@@ -150,7 +150,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		_, x, _ := staged(t, 2)
 		now := time.Now()
-		x.live[0].path.Runner(1).Slow(1.6, now, now.Add(time.Minute))
+		x.live[0].path.Runner(1).MarkSlow(1.6, now, now.Add(time.Minute))
 		time.Sleep(450 * time.Millisecond)
 		x.wake(time.Now())
 		require.Len(t, x.live, 2)
--- a/transport/forward/poll.go
+++ b/transport/forward/poll.go
@@ -68,8 +68,8 @@
 
 // matters reports whether an engine's room may be short.
 func (p *poller) matters(r *fleet.Runner, service string, now time.Time) bool {
-	fill := r.Fill(now, 0)
-	if !now.Before(r.UsedTill()) {
+	fill := r.Utilization(now, 0)
+	if !now.Before(r.UtilizationUntil()) {
 		fill *= p.forwarder.sharers(service)
 	}
 	return fill > pollFill
@@ -112,5 +112,5 @@
 	if !report.CapacityKnown {
 		return // an engine whose room is unknown is never taken as full
 	}
-	p.runner.ReportUsed(report.CapacityUsed, clock.Now())
+	p.runner.ReportUtilization(report.CapacityUsed, clock.Now())
 }
--- a/transport/forward/repath_answer.go
+++ b/transport/forward/repath_answer.go
@@ -89,7 +89,7 @@
 		case a.path.HasStage(r, span):
 		case r.Spec().Address == address:
 			r.Refused(now)
-			r.RefusedForRoom(now)
+			r.RefusedForCapacity(now)
 			x.avoid = append(x.avoid, r)
 		case address == "":
 			x.avoid = append(x.avoid, r)
--- a/transport/forward/repath_world_test.go
+++ b/transport/forward/repath_world_test.go
@@ -114,7 +114,7 @@
 	x := s.exchange
 	if len(x.live) > 0 {
 		now := time.Now()
-		x.live[0].path.Runner(stage).Lose(now, now.Add(time.Minute))
+		x.live[0].path.Runner(stage).MarkLost(now, now.Add(time.Minute))
 		x.lossTold(now)
 	}
 	s.noteOrder()
--- a/transport/forward/slow.go
+++ b/transport/forward/slow.go
@@ -51,7 +51,7 @@
 		r := p.Runner(i)
 		work := r.Spec().Step * float64(p.Span(i).Layers())
 		usual += work
-		known += work * r.Pace(now)
+		known += work * r.ReportedSlowdown(now)
 	}
 	if usual <= 0 {
 		return 1
--- a/transport/forward/suspects.go
+++ b/transport/forward/suspects.go
@@ -90,7 +90,7 @@
 	}
 	for i := range q.path.Len() {
 		if r := q.path.Runner(i); !stalledAt(r, report.Stalled) {
-			r.Works()
+			r.MarkWorking()
 		}
 	}
 }
@@ -124,7 +124,7 @@
 	asked := clock.Now()
 	_, err := f.report(p.runner)
 	if err == nil {
-		p.runner.Answers()
+		p.runner.MarkResponsive()
 		return
 	}
 	now := clock.Now()
--- a/transport/front/fleet.go
+++ b/transport/front/fleet.go
@@ -52,7 +52,7 @@
 		s.OrderedFrom, s.OrderedTo = span.From, span.To
 	}
 	if r != nil {
-		s.Fill = r.Fill(now, 0)
+		s.Fill = r.Utilization(now, 0)
 		s.Open = r.Outstanding()
 	}
 	switch {
