--- a/state/occupant/occupant.go
+++ b/state/occupant/occupant.go
@@ -26,26 +26,26 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// Remembered is how long a claim counts after its record has gone. A write without an answer
+// Retention is how long a claim counts after its record has gone. A write without an answer
 // may take effect seconds later and bring the record back.
-const Remembered = time.Minute
+const Retention = time.Minute
 
-// AskEvery is how often an address is asked whose records are all out of use. It bounds how
+// ProbeInterval is how often an address is asked whose records are all out of use. It bounds how
 // long an endpoint that lives is left out because its record looked like an earlier one's.
-const AskEvery = time.Second
+const ProbeInterval = time.Second
 
 // Claim is what a record says of who has an address.
 type Claim struct {
-	Endpoint string
-	Address  string
-	Lifetime protocol.Incarnation
-	// Holds says that the record promises layers. Of claims that nothing else tells apart
+	Endpoint    string
+	Address     string
+	Incarnation protocol.Incarnation
+	// HoldsLayers says that the record promises layers. Of claims that nothing else tells apart
 	// the one that promises nothing is the safer.
-	Holds bool
+	HoldsLayers bool
 }
 
-// Ledger holds the claims to all addresses. The zero value is empty.
-type Ledger struct {
+// Tracker holds the claims to all addresses. The zero value is empty.
+type Tracker struct {
 	sites    map[string]*site
 	address  map[string]string // by endpoint, of its latest record
 	departed []departure       // in the order in which they are forgotten
@@ -55,17 +55,17 @@
 // departure is a claim without a record.
 type departure struct{ endpoint, address string }
 
-// Next begins a new list or change, whose records count as later than those before. Between
-// the records of one list there is no Next: in which order they were written is not known.
-func (l *Ledger) Next() { l.number++ }
+// NextBatch begins a new list or change, whose records count as later than those before. Between
+// the records of one list there is no NextBatch: in which order they were written is not known.
+func (l *Tracker) NextBatch() { l.number++ }
 
 // Record takes one record. One without an address counts as alone at an address of its own.
-func (l *Ledger) Record(c Claim, now time.Time) {
+func (l *Tracker) Record(c Claim, now time.Time) {
 	if c.Address == "" {
 		c.Address = c.Endpoint
 	}
 	if old, ok := l.address[c.Endpoint]; ok && old != c.Address {
-		l.Gone(c.Endpoint, now)
+		l.RecordRemoved(c.Endpoint, now)
 	}
 	s := l.site(c.Address)
 	k := s.claimOf(c.Endpoint)
@@ -74,22 +74,22 @@
 		k = &claim{Claim: c, number: l.number, seen: now}
 		s.claims = append(s.claims, k)
 		s.changed = now
-	case k.Lifetime.Before(c.Lifetime):
+	case k.Incarnation.Before(c.Incarnation):
 		*k = claim{Claim: c, number: l.number, seen: now}
 		s.changed = now
 	case !k.recorded:
 		s.changed = now
 	}
 	k.recorded = true
-	k.Holds = c.Holds
-	if !k.Lifetime.Known() {
-		k.Lifetime = c.Lifetime
+	k.HoldsLayers = c.HoldsLayers
+	if !k.Incarnation.Known() {
+		k.Incarnation = c.Incarnation
 	}
 	l.address[c.Endpoint] = c.Address
 }
 
-// Gone notes that a record is gone.
-func (l *Ledger) Gone(endpoint string, now time.Time) {
+// RecordRemoved notes that a record is gone.
+func (l *Tracker) RecordRemoved(endpoint string, now time.Time) {
 	if k := l.claimOf(endpoint); k != nil && k.recorded {
 		k.recorded = false
 		l.depart(k, now)
@@ -97,34 +97,34 @@
 }
 
 // Forget takes back all that is known of the claim of an endpoint.
-func (l *Ledger) Forget(endpoint string) {
+func (l *Tracker) Forget(endpoint string) {
 	if k := l.claimOf(endpoint); k != nil {
 		l.drop(l.sites[k.Address], k)
 	}
 }
 
 // depart remembers a claim without a record for a while.
-func (l *Ledger) depart(k *claim, now time.Time) {
-	k.till = now.Add(Remembered)
+func (l *Tracker) depart(k *claim, now time.Time) {
+	k.till = now.Add(Retention)
 	l.departed = append(l.departed, departure{endpoint: k.Endpoint, address: k.Address})
 }
 
 // Answered notes that the process at an address named itself. The life is its present one, 0
 // if it did not tell.
-func (l *Ledger) Answered(address, endpoint string, life protocol.Incarnation, now time.Time) {
+func (l *Tracker) Answered(address, endpoint string, life protocol.Incarnation, now time.Time) {
 	s := l.site(address)
 	k := s.claimOf(endpoint)
 	if k == nil {
 		l.number++
-		k = &claim{Claim: Claim{Endpoint: endpoint, Address: address, Lifetime: life}, number: l.number, seen: now}
+		k = &claim{Claim: Claim{Endpoint: endpoint, Address: address, Incarnation: life}, number: l.number, seen: now}
 		s.claims = append(s.claims, k)
 		l.depart(k, now)
 	}
-	if life.Before(k.Lifetime) || now.Before(k.proven) {
+	if life.Before(k.Incarnation) || now.Before(k.proven) {
 		return // an answer that was under way for long
 	}
 	if life.Known() {
-		k.Lifetime = life
+		k.Incarnation = life
 	}
 	k.proven = now
 	s.asked = now
@@ -132,7 +132,7 @@
 }
 
 // InUse reports whether an endpoint is the occupant of its address.
-func (l *Ledger) InUse(endpoint string) bool {
+func (l *Tracker) InUse(endpoint string) bool {
 	s := l.sites[l.address[endpoint]]
 	if s == nil {
 		return false
@@ -141,8 +141,8 @@
 	return o != nil && o.Endpoint == endpoint && o.recorded
 }
 
-// Occupant returns the ID of the endpoint that has an endpoint's address, as far as is known.
-func (l *Ledger) Occupant(endpoint string) string {
+// Owner returns the ID of the endpoint that has an endpoint's address, as far as is known.
+func (l *Tracker) Owner(endpoint string) string {
 	s := l.sites[l.address[endpoint]]
 	if s == nil {
 		return ""
@@ -153,19 +153,19 @@
 	return ""
 }
 
-// Lifetime returns the latest life of an endpoint that is known.
-func (l *Ledger) Lifetime(endpoint string) protocol.Incarnation {
+// Incarnation returns the latest life of an endpoint that is known.
+func (l *Tracker) Incarnation(endpoint string) protocol.Incarnation {
 	if k := l.claimOf(endpoint); k != nil {
-		return k.Lifetime
+		return k.Incarnation
 	}
 	return 0
 }
 
-// Question reports whether the address of an endpoint should be asked now who has it, and
+// ProbeDue reports whether the address of an endpoint should be asked now who has it, and
 // notes that it is asked. It should be if several records name it and nothing has answered
 // since the last of them came, or if none that names it is in use. Patience is how long
 // asking is left to other entries.
-func (l *Ledger) Question(endpoint string, patience time.Duration, now time.Time) bool {
+func (l *Tracker) ProbeDue(endpoint string, patience time.Duration, now time.Time) bool {
 	s := l.sites[l.address[endpoint]]
 	if s == nil || !s.unclear(now) || now.Before(s.changed.Add(patience)) || now.Before(s.asked.Add(patience)) {
 		return false
@@ -174,11 +174,11 @@
 	return true
 }
 
-// Due reports whether the address of an endpoint may be asked again, whatever is known of it:
+// MayProbe reports whether the address of an endpoint may be asked again, whatever is known of it:
 // the last time was AskEvery ago, or patience if that is longer. It notes that it is asked.
-func (l *Ledger) Due(endpoint string, patience time.Duration, now time.Time) bool {
+func (l *Tracker) MayProbe(endpoint string, patience time.Duration, now time.Time) bool {
 	s := l.sites[l.address[endpoint]]
-	if s == nil || now.Before(s.asked.Add(max(AskEvery, patience))) {
+	if s == nil || now.Before(s.asked.Add(max(ProbeInterval, patience))) {
 		return false
 	}
 	s.asked = now
@@ -186,7 +186,7 @@
 }
 
 // Sweep forgets claims whose records went long ago.
-func (l *Ledger) Sweep(now time.Time) {
+func (l *Tracker) Sweep(now time.Time) {
 	for len(l.departed) > 0 {
 		d := l.departed[0]
 		s := l.sites[d.address]
@@ -205,7 +205,7 @@
 }
 
 // drop forgets a claim, and its address if it was the last one there.
-func (l *Ledger) drop(s *site, k *claim) {
+func (l *Tracker) drop(s *site, k *claim) {
 	s.claims = slices.DeleteFunc(s.claims, func(o *claim) bool { return o == k })
 	if l.address[k.Endpoint] == k.Address {
 		delete(l.address, k.Endpoint)
@@ -216,7 +216,7 @@
 }
 
 // site returns an address with its claims, and enters it if it is new.
-func (l *Ledger) site(address string) *site {
+func (l *Tracker) site(address string) *site {
 	if l.sites == nil {
 		l.sites = make(map[string]*site)
 		l.address = make(map[string]string)
@@ -230,7 +230,7 @@
 }
 
 // claimOf returns the claim that the latest record of an endpoint makes, or nil.
-func (l *Ledger) claimOf(endpoint string) *claim {
+func (l *Tracker) claimOf(endpoint string) *claim {
 	if s := l.sites[l.address[endpoint]]; s != nil {
 		return s.claimOf(endpoint)
 	}
--- a/state/occupant/occupant_test.go
+++ b/state/occupant/occupant_test.go
@@ -16,11 +16,11 @@
 func at(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 
 // ledger is a ledger whose records all name one address.
-type ledger struct{ occupant.Ledger }
+type ledger struct{ occupant.Tracker }
 
 func (l *ledger) record(id string, life protocol.Incarnation, ms int) {
-	l.Next()
-	l.Record(occupant.Claim{Endpoint: id, Address: "x", Lifetime: life, Holds: true}, at(ms))
+	l.NextBatch()
+	l.Record(occupant.Claim{Endpoint: id, Address: "x", Incarnation: life, HoldsLayers: true}, at(ms))
 }
 
 // used returns which of the endpoints x and y is in use.
@@ -45,25 +45,25 @@
 		{"the one that was seen later", func(l *ledger) { l.record("old", 0, 0); l.record("new", 0, 1) }, "new"},
 		{"not one that comes back", func(l *ledger) {
 			l.record("old", 0, 0)
-			l.Gone("old", at(1))
+			l.RecordRemoved("old", at(1))
 			l.record("new", 0, 2)
 			l.record("old", 0, 3)
 		}, "new"},
 		{"one that comes back to an address of its own", func(l *ledger) {
 			l.record("old", 0, 0)
-			l.Gone("old", at(1))
+			l.RecordRemoved("old", at(1))
 			l.record("old", 0, 2)
 		}, "old"},
 		{"not one that was superseded, once the next has gone", func(l *ledger) {
 			l.record("old", 0, 0)
 			l.record("new", 0, 1)
-			l.Gone("new", at(2))
+			l.RecordRemoved("new", at(2))
 		}, ""},
 		{"one that is recorded anew and anew stays superseded", func(l *ledger) {
 			l.record("old", 0, 0)
 			l.record("new", 0, 1)
 			for i := range 10 {
-				l.Gone("old", at(2+2*i))
+				l.RecordRemoved("old", at(2+2*i))
 				l.record("old", 0, 3+2*i)
 			}
 		}, "new"},
@@ -103,14 +103,14 @@
 			l.Answered("x", "old", 5, at(2))
 		}, "new"},
 		{"of one list that which promises nothing", func(l *ledger) {
-			l.Next()
-			l.Record(occupant.Claim{Endpoint: "old", Address: "x", Holds: true}, at(0))
+			l.NextBatch()
+			l.Record(occupant.Claim{Endpoint: "old", Address: "x", HoldsLayers: true}, at(0))
 			l.Record(occupant.Claim{Endpoint: "new", Address: "x"}, at(0))
 		}, "new"},
 		{"one that has moved leaves its address to others", func(l *ledger) {
 			l.record("old", 0, 0)
 			l.record("new", 0, 1)
-			l.Next()
+			l.NextBatch()
 			l.Record(occupant.Claim{Endpoint: "new", Address: "y"}, at(2))
 			l.Answered("x", "old", 0, at(3))
 		}, "oldnew"},
@@ -123,9 +123,9 @@
 
 func TestRecordsWithoutAnAddressDontContend(t *testing.T) {
 	var l ledger
-	l.Next()
+	l.NextBatch()
 	l.Record(occupant.Claim{Endpoint: "old"}, at(0))
-	l.Next()
+	l.NextBatch()
 	l.Record(occupant.Claim{Endpoint: "new"}, at(1))
 	require.Equal(t, "oldnew", l.used())
 }
@@ -133,29 +133,29 @@
 func TestWhatIsUnclearIsAsked(t *testing.T) {
 	var l ledger
 	l.record("old", 0, 0)
-	require.False(t, l.Question("old", 0, at(5000)), "one record, in use")
+	require.False(t, l.ProbeDue("old", 0, at(5000)), "one record, in use")
 	l.record("new", 0, 6000)
-	require.False(t, l.Question("new", 5*time.Second, at(6001)), "it is left to others for now")
-	require.True(t, l.Question("new", 0, at(6001)))
-	require.False(t, l.Question("new", 0, at(7000)), "once")
-	require.True(t, l.Question("new", 0, at(7001)), "no answer came")
-	require.False(t, l.Question("new", 0, at(7002)))
-	l.Gone("new", at(9000))
-	require.True(t, l.Question("old", 0, at(9001)), "no record is in use")
-	require.False(t, l.Question("old", 0, at(9002)))
-	require.True(t, l.Question("old", 0, at(9001).Add(occupant.AskEvery)))
+	require.False(t, l.ProbeDue("new", 5*time.Second, at(6001)), "it is left to others for now")
+	require.True(t, l.ProbeDue("new", 0, at(6001)))
+	require.False(t, l.ProbeDue("new", 0, at(7000)), "once")
+	require.True(t, l.ProbeDue("new", 0, at(7001)), "no answer came")
+	require.False(t, l.ProbeDue("new", 0, at(7002)))
+	l.RecordRemoved("new", at(9000))
+	require.True(t, l.ProbeDue("old", 0, at(9001)), "no record is in use")
+	require.False(t, l.ProbeDue("old", 0, at(9002)))
+	require.True(t, l.ProbeDue("old", 0, at(9001).Add(occupant.ProbeInterval)))
 	l.Answered("x", "old", 0, at(11000))
-	require.False(t, l.Question("old", 0, at(20000)), "it answered itself")
+	require.False(t, l.ProbeDue("old", 0, at(20000)), "it answered itself")
 }
 
 func TestASupersededRecordIsForgottenAfterAWhile(t *testing.T) {
 	var l ledger
 	l.record("old", 0, 0)
-	l.Gone("old", at(1))
+	l.RecordRemoved("old", at(1))
 	l.record("new", 0, 2)
-	l.Gone("new", at(3))
-	l.Sweep(at(3).Add(occupant.Remembered))
-	require.Empty(t, l.Occupant("old"))
+	l.RecordRemoved("new", at(3))
+	l.Sweep(at(3).Add(occupant.Retention))
+	require.Empty(t, l.Owner("old"))
 	l.record("old", 0, 100000)
 	require.Equal(t, "old", l.used())
 }
@@ -163,8 +163,8 @@
 // BenchmarkInUse asks for each of so many endpoints whether it is in use. With 4,900 the
 // rebuilding of a roster spends 0.24 ms on it.
 func BenchmarkInUse(b *testing.B) {
-	var l occupant.Ledger
-	l.Next()
+	var l occupant.Tracker
+	l.NextBatch()
 	var ids []string
 	for i := range 4900 {
 		ids = append(ids, fmt.Sprint("e-", i))
--- a/state/occupant/site.go
+++ b/state/occupant/site.go
@@ -30,7 +30,7 @@
 // outlived reports whether another claim tells a later start and this one has not answered
 // since the other was seen.
 func (k *claim) outlived(by *claim) bool {
-	return k.Lifetime.Before(by.Lifetime) && k.proven.Before(by.seen)
+	return k.Incarnation.Before(by.Incarnation) && k.proven.Before(by.seen)
 }
 
 // compare orders two claims by their evidence, the better one last.
@@ -40,7 +40,7 @@
 		k.proven.Compare(than.proven),
 		cmp.Compare(k.number, than.number),
 		rank(k.recorded, than.recorded),
-		rank(than.Holds, k.Holds),
+		rank(than.HoldsLayers, k.HoldsLayers),
 		cmp.Compare(k.Endpoint, than.Endpoint),
 	)
 }
@@ -101,7 +101,7 @@
 			records++
 		}
 	}
-	again := !now.Before(s.asked.Add(AskEvery))
+	again := !now.Before(s.asked.Add(ProbeInterval))
 	switch o := s.occupant(); {
 	case records == 0:
 		return false
--- a/state/roster/belief.go
+++ b/state/roster/belief.go
@@ -39,7 +39,7 @@
 
 // put takes one record. The mutex is held.
 func (r *Roster) put(e protocol.Endpoint, now time.Time) UpdateResult {
-	if e.Incarnation.Before(r.occupants.Lifetime(e.ID)) {
+	if e.Incarnation.Before(r.occupants.Incarnation(e.ID)) {
 		r.noteLate(e, now)
 		return Stale // written by an earlier life, and done late
 	}
@@ -70,7 +70,7 @@
 // claim enters an endpoint, which holds a span, as one that claims its address.
 func (r *Roster) claim(e *protocol.Endpoint, held protocol.Span, now time.Time) {
 	r.occupants.Record(occupant.Claim{
-		Endpoint: e.ID, Address: e.Address, Lifetime: e.Incarnation, Holds: held.Layers() > 0,
+		Endpoint: e.ID, Address: e.Address, Incarnation: e.Incarnation, HoldsLayers: held.Layers() > 0,
 	}, now)
 }
 
@@ -114,7 +114,7 @@
 
 // forget forgets what is believed of an endpoint whose record is gone.
 func (r *Roster) forget(id string, now time.Time) {
-	r.occupants.Gone(id, now)
+	r.occupants.RecordRemoved(id, now)
 	delete(r.beliefs, id)
 	delete(r.changedAt, id)
 	delete(r.unused, id)
@@ -132,7 +132,7 @@
 func (r *Roster) Incarnation(id string) protocol.Incarnation {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.occupants.Lifetime(id)
+	return r.occupants.Incarnation(id)
 }
 
 // LayersDenied notes that an engine said that it does not hold the layers of its record, and
@@ -231,7 +231,7 @@
 		e.Incarnation = p.Incarnation
 	}
 	r.endpoints[e.ID] = e
-	r.occupants.Next()
+	r.occupants.NextBatch()
 	r.claim(&e, p.Layers, now)
 	r.restart(e.ID, now)
 	if p.LayersKnown {
--- a/state/roster/late.go
+++ b/state/roster/late.go
@@ -55,7 +55,7 @@
 		}
 		delete(r.late, id)
 		delete(r.endpoints, id)
-		r.occupants.Next()
+		r.occupants.NextBatch()
 		r.occupants.Forget(id)
 		r.put(l.endpoint, now)
 		r.restart(id, now)
--- a/state/roster/lives_test.go
+++ b/state/roster/lives_test.go
@@ -341,7 +341,7 @@
 
 // leftOut bounds how long an engine that lives, and whose record stands, may be left out or
 // taken for an earlier life.
-const leftOut = roster.ProbeGrace + occupant.AskEvery
+const leftOut = roster.ProbeGrace + occupant.ProbeInterval
 
 // TestEnginesThatLiveAreUsedAndOnlyThose lets engines start, crash and start again, records
 // come late, lapse and come back, and entries see parts of it and hear news in any order.
--- a/state/roster/notice.go
+++ b/state/roster/notice.go
@@ -34,7 +34,7 @@
 func (r *Roster) inUse(e protocol.Endpoint) bool {
 	used := r.occupants.InUse(e.ID)
 	if used == r.unused[e.ID] {
-		r.notices = append(r.notices, RecordUse{endpoint: e.ID, address: e.Address, occupant: r.occupants.Occupant(e.ID), used: used})
+		r.notices = append(r.notices, RecordUse{endpoint: e.ID, address: e.Address, occupant: r.occupants.Owner(e.ID), used: used})
 		if r.unused == nil {
 			r.unused = make(map[string]bool)
 		}
@@ -66,7 +66,7 @@
 	all := make([]RecordUse, 0, len(r.unused))
 	for id := range r.unused {
 		if e, there := r.endpoints[id]; there {
-			all = append(all, RecordUse{endpoint: id, address: e.Address, occupant: r.occupants.Occupant(id)})
+			all = append(all, RecordUse{endpoint: id, address: e.Address, occupant: r.occupants.Owner(id)})
 		}
 	}
 	slices.SortFunc(all, func(a, b RecordUse) int { return strings.Compare(a.endpoint, b.endpoint) })
@@ -86,9 +86,9 @@
 		life = 0 // it is of the endpoint that was asked for
 		r.noteUnrecorded(occupant, e, at)
 	}
-	before := r.occupants.Occupant(id)
+	before := r.occupants.Owner(id)
 	r.occupants.Answered(e.Address, occupant, life, at)
-	if r.occupants.Occupant(id) == before {
+	if r.occupants.Owner(id) == before {
 		return false
 	}
 	r.changed()
--- a/state/roster/question.go
+++ b/state/roster/question.go
@@ -57,12 +57,12 @@
 	}
 	var all []Probe
 	for id := range r.unused {
-		if r.occupants.Question(id, patience, now) {
+		if r.occupants.ProbeDue(id, patience, now) {
 			all = append(all, r.ask(id))
 		}
 	}
 	for id, b := range r.beliefs {
-		if b.denied && !r.unused[id] && !now.Before(b.since.Add(patience)) && r.occupants.Due(id, patience, now) {
+		if b.denied && !r.unused[id] && !now.Before(b.since.Add(patience)) && r.occupants.MayProbe(id, patience, now) {
 			all = append(all, r.ask(id))
 		}
 	}
@@ -74,7 +74,7 @@
 func (r *Roster) ProbeIfDue(id string, now time.Time) (Probe, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if _, there := r.endpoints[id]; !there || !r.occupants.Due(id, 0, now) {
+	if _, there := r.endpoints[id]; !there || !r.occupants.MayProbe(id, 0, now) {
 		return Probe{}, false
 	}
 	return r.ask(id), true
--- a/state/roster/roster.go
+++ b/state/roster/roster.go
@@ -53,7 +53,7 @@
 	services   []protocol.RoutedService
 	known      atomic.Bool
 	stale      atomic.Bool // what is derived does not hold the latest changes yet
-	occupants  occupant.Ledger
+	occupants  occupant.Tracker
 	beliefs    map[string]belief     // of endpoints whose record is not believed as it stands
 	changedAt  map[string]time.Time  // when a record last told something new
 	unused     map[string]bool       // records out of use when it was last derived
@@ -136,7 +136,7 @@
 	defer r.mutex.Unlock()
 	before := r.endpoints
 	r.endpoints = make(map[string]protocol.Endpoint, len(list))
-	r.occupants.Next()
+	r.occupants.NextBatch()
 	for _, e := range list {
 		if old, there := before[e.ID]; there {
 			r.endpoints[e.ID] = old
@@ -166,7 +166,7 @@
 func (r *Roster) Update(e protocol.Endpoint, now time.Time) UpdateResult {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.occupants.Next()
+	r.occupants.NextBatch()
 	t := r.put(e, now)
 	if t != Stale {
 		r.changed()
