--- a/state/mirror/mirror.go
+++ b/state/mirror/mirror.go
@@ -28,21 +28,21 @@
 	keptBytes = 4 << 20
 )
 
-// Run takes whoever knows a kind as it was at revision After to revision At. Changes
+// Delta takes whoever knows a kind as it was at revision After to revision At. Changes
 // that were watched also serve who knows a later revision than After. A difference
 // between two lists does not: it lacks what came and went between them. A whole run
 // holds every object there is at At, and serves who knows anything else or nothing.
-type Run struct {
-	After      uint64
-	At         uint64
-	Difference bool
-	Whole      bool
-	Changes    []protocol.Change
+type Delta struct {
+	After    uint64
+	To       uint64
+	ListDiff bool
+	Snapshot bool
+	Changes  []protocol.Change
 }
 
 // listing returns what a whole run holds.
-func (r *Run) listing() protocol.Listing {
-	l := protocol.Listing{At: r.At}
+func (r *Delta) listing() protocol.Listing {
+	l := protocol.Listing{At: r.To}
 	for _, c := range r.Changes {
 		l.Objects = append(l.Objects, c.Object)
 	}
@@ -60,12 +60,12 @@
 type kind struct {
 	objects map[string]protocol.Object
 	at      uint64
-	runs    []Run // the latest, each going on where the one before it ends
-	bytes   int   // of the values in them
+	runs    []Delta // the latest, each going on where the one before it ends
+	bytes   int     // of the values in them
 }
 
-// At returns the revision up to which a kind is known, 0 before its first list.
-func (m *Mirror) At(name string) uint64 {
+// Revision returns the revision up to which a kind is known, 0 before its first list.
+func (m *Mirror) Revision(name string) uint64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if k := m.kinds[name]; k != nil {
@@ -89,9 +89,9 @@
 // Changed returns a channel that closes at the next change of any kind.
 func (m *Mirror) Changed() <-chan struct{} { return m.changed.Awaited() }
 
-// Listed takes a whole list. What it changes is remembered as a run, so that those
+// ApplyList takes a whole list. What it changes is remembered as a run, so that those
 // who learn from here need no list of their own.
-func (m *Mirror) Listed(name string, l protocol.Listing) {
+func (m *Mirror) ApplyList(name string, l protocol.Listing) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.listed(name, l)
@@ -116,8 +116,8 @@
 	m.changed.Tell()
 }
 
-// All returns every object of a kind, and whether it was ever listed.
-func (m *Mirror) All(name string) (protocol.Listing, bool) {
+// List returns every object of a kind, and whether it was ever listed.
+func (m *Mirror) List(name string) (protocol.Listing, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	k := m.kinds[name]
@@ -131,10 +131,10 @@
 	return l, true
 }
 
-// Whole returns every object of a kind as one run, for who can't be told the changes.
-func (m *Mirror) Whole(name string) Run {
-	l, _ := m.All(name)
-	r := Run{At: l.At, Whole: true}
+// Snapshot returns every object of a kind as one run, for who can't be told the changes.
+func (m *Mirror) Snapshot(name string) Delta {
+	l, _ := m.List(name)
+	r := Delta{To: l.At, Snapshot: true}
 	for _, o := range l.Objects {
 		r.Changes = append(r.Changes, protocol.Change{Object: o})
 	}
@@ -150,52 +150,52 @@
 	m.changed.Tell()
 }
 
-// Took takes a run of changes, and reports whether it goes on from what is known.
+// Apply takes a run of changes, and reports whether it goes on from what is known.
 // A run that ends before is known already.
-func (m *Mirror) Took(name string, r Run) bool {
+func (m *Mirror) Apply(name string, r Delta) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if r.Whole {
+	if r.Snapshot {
 		m.listed(name, r.listing())
 		return true
 	}
 	k := m.kind(name)
-	if r.At <= k.at {
+	if r.To <= k.at {
 		return true
 	}
-	if k.at == 0 || r.After > k.at || r.Difference && r.After != k.at {
+	if k.at == 0 || r.After > k.at || r.ListDiff && r.After != k.at {
 		return false
 	}
 	r.After = k.at
 	k.append(r)
-	k.at = r.At
+	k.at = r.To
 	m.changed.Tell()
 	return true
 }
 
 // Since returns the changes after a revision as one run, and whether they are all
 // remembered. Of several changes of an object only the last is told.
-func (m *Mirror) Since(name string, after uint64) (Run, bool) {
+func (m *Mirror) Since(name string, after uint64) (Delta, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	k := m.kinds[name]
 	if k == nil || after >= k.at {
-		return Run{After: after, At: after}, true
+		return Delta{After: after, To: after}, true
 	}
-	all := Run{After: after, At: after}
+	all := Delta{After: after, To: after}
 	if len(k.runs) == 0 || k.runs[0].After > after {
 		return all, false
 	}
 	for _, r := range k.runs {
-		if r.At <= after {
+		if r.To <= after {
 			continue
 		}
-		if r.Difference && r.After < after {
+		if r.ListDiff && r.After < after {
 			return all, false
 		}
 		all.Changes = append(all.Changes, r.Changes...)
-		all.At = r.At
-		all.Difference = all.Difference || r.Difference
+		all.To = r.To
+		all.ListDiff = all.ListDiff || r.ListDiff
 	}
 	all.Changes = lastOfEach(all.Changes)
 	return all, true
@@ -233,8 +233,8 @@
 }
 
 // difference returns the run from what is known to a list.
-func (k *kind) difference(l protocol.Listing) Run {
-	r := Run{After: k.at, At: l.At, Difference: true}
+func (k *kind) difference(l protocol.Listing) Delta {
+	r := Delta{After: k.at, To: l.At, ListDiff: true}
 	listed := make(map[string]bool, len(l.Objects))
 	for _, o := range l.Objects {
 		listed[o.Name] = true
@@ -251,7 +251,7 @@
 }
 
 // append remembers a run that goes on from the last and applies it.
-func (k *kind) append(r Run) {
+func (k *kind) append(r Delta) {
 	for _, c := range r.Changes {
 		k.bytes += len(c.Object.Value)
 		if c.Gone {
--- a/state/mirror/mirror_test.go
+++ b/state/mirror/mirror_test.go
@@ -52,8 +52,8 @@
 }
 
 // run returns what a watch from a revision answers.
-func (p *platform) run(after uint64) mirror.Run {
-	r := mirror.Run{After: after, At: p.now}
+func (p *platform) run(after uint64) mirror.Delta {
+	r := mirror.Delta{After: after, To: p.now}
 	for i, c := range p.history {
 		if p.at[i] > after {
 			r.Changes = append(r.Changes, c)
@@ -79,32 +79,32 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := &platform{objects: map[string]protocol.Object{}, now: 1}
 		var source, follower mirror.Mirror
-		source.Listed(kind, p.list())
-		follower.Listed(kind, p.list())
+		source.ApplyList(kind, p.list())
+		follower.ApplyList(kind, p.list())
 		seen := map[string]protocol.Object{} // what the follower's own follower has
 		apply(seen, p.run(0).Changes)
-		at := follower.At(kind)
+		at := follower.Revision(kind)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0, 1:
 				p.change(t)
 			case 2:
-				source.Listed(kind, p.list())
+				source.ApplyList(kind, p.list())
 			case 3:
-				require.True(t, source.Took(kind, p.run(source.At(kind))))
+				require.True(t, source.Apply(kind, p.run(source.Revision(kind))))
 			case 4: // a watch of the follower's own, which overlaps what came from the source
-				require.True(t, follower.Took(kind, p.run(uint64(rapid.IntRange(1, int(follower.At(kind))).Draw(t, "from")))))
+				require.True(t, follower.Apply(kind, p.run(uint64(rapid.IntRange(1, int(follower.Revision(kind))).Draw(t, "from")))))
 			case 5:
 				catchUp(t, &source, &follower)
 			case 6:
-				require.True(t, follower.Took(kind, source.Whole(kind)))
+				require.True(t, follower.Apply(kind, source.Snapshot(kind)))
 			}
-			require.Equal(t, at, min(at, follower.At(kind)), "what is known never steps back")
+			require.Equal(t, at, min(at, follower.Revision(kind)), "what is known never steps back")
 			if rapid.Bool().Draw(t, "looks") {
 				at = look(t, &follower, at, seen)
 			}
 		}
-		source.Listed(kind, p.list())
+		source.ApplyList(kind, p.list())
 		catchUp(t, &source, &follower)
 		look(t, &follower, at, seen)
 		require.Equal(t, p.objects, seen)
@@ -114,12 +114,12 @@
 // catchUp takes what the source knows to the follower, all of it where the source can't
 // tell the changes.
 func catchUp(t *rapid.T, source, follower *mirror.Mirror) {
-	run, ok := source.Since(kind, follower.At(kind))
+	run, ok := source.Since(kind, follower.Revision(kind))
 	if !ok {
-		run = source.Whole(kind)
+		run = source.Snapshot(kind)
 	}
-	if run.At > follower.At(kind) {
-		require.True(t, follower.Took(kind, run))
+	if run.To > follower.Revision(kind) {
+		require.True(t, follower.Apply(kind, run))
 	}
 }
 
@@ -128,36 +128,36 @@
 	run, ok := m.Since(kind, at)
 	require.True(t, ok)
 	apply(seen, run.Changes)
-	return run.At
+	return run.To
 }
 
 func TestWhoKnowsNothingIsToldTheWhole(t *testing.T) {
 	var source, follower mirror.Mirror
-	_, ok := source.All(kind)
+	_, ok := source.List(kind)
 	require.False(t, ok)
-	source.Listed(kind, protocol.Listing{At: 5, Objects: []protocol.Object{{Kind: kind, Name: "b", Version: 3}, {Kind: kind, Name: "a", Version: 4}}})
-	require.True(t, follower.Took(kind, source.Whole(kind)))
-	require.Equal(t, uint64(5), follower.At(kind))
-	all, ok := follower.All(kind)
+	source.ApplyList(kind, protocol.Listing{At: 5, Objects: []protocol.Object{{Kind: kind, Name: "b", Version: 3}, {Kind: kind, Name: "a", Version: 4}}})
+	require.True(t, follower.Apply(kind, source.Snapshot(kind)))
+	require.Equal(t, uint64(5), follower.Revision(kind))
+	all, ok := follower.List(kind)
 	require.True(t, ok)
 	require.Len(t, all.Objects, 2)
-	require.Equal(t, "a", source.Whole(kind).Changes[0].Object.Name, "in order of name, whatever the map's")
+	require.Equal(t, "a", source.Snapshot(kind).Changes[0].Object.Name, "in order of name, whatever the map's")
 }
 
 func TestARunThatLeavesAGapIsRefused(t *testing.T) {
 	var m mirror.Mirror
-	require.False(t, m.Took(kind, mirror.Run{After: 1, At: 2}), "nothing was listed yet")
-	m.Listed(kind, protocol.Listing{At: 5})
-	require.False(t, m.Took(kind, mirror.Run{After: 6, At: 8}))
-	require.Equal(t, uint64(5), m.At(kind))
+	require.False(t, m.Apply(kind, mirror.Delta{After: 1, To: 2}), "nothing was listed yet")
+	m.ApplyList(kind, protocol.Listing{At: 5})
+	require.False(t, m.Apply(kind, mirror.Delta{After: 6, To: 8}))
+	require.Equal(t, uint64(5), m.Revision(kind))
 }
 
 func TestChangesThatWereForgottenAreNotMadeUp(t *testing.T) {
 	var m mirror.Mirror
-	m.Listed(kind, protocol.Listing{At: 1})
+	m.ApplyList(kind, protocol.Listing{At: 1})
 	for n := uint64(2); n < 1000; n++ {
 		o := protocol.Object{Kind: kind, Name: "o", Version: n}
-		require.True(t, m.Took(kind, mirror.Run{After: n - 1, At: n, Changes: []protocol.Change{{Object: o}}}))
+		require.True(t, m.Apply(kind, mirror.Delta{After: n - 1, To: n, Changes: []protocol.Change{{Object: o}}}))
 	}
 	_, ok := m.Since(kind, 2)
 	require.False(t, ok)
@@ -165,16 +165,16 @@
 	require.True(t, ok)
 	require.Equal(t, []protocol.Change{{Object: protocol.Object{Kind: kind, Name: "o", Version: 999}}}, run.Changes, "only the last of an object")
 	m.Forget(kind)
-	require.Zero(t, m.At(kind))
+	require.Zero(t, m.Revision(kind))
 }
 
 func TestLongValuesAreForgottenSooner(t *testing.T) {
 	var m mirror.Mirror
-	m.Listed(kind, protocol.Listing{At: 1})
+	m.ApplyList(kind, protocol.Listing{At: 1})
 	value := make([]byte, 1<<20)
 	for n := uint64(2); n < 12; n++ {
 		o := protocol.Object{Kind: kind, Name: "o", Version: n, Value: value}
-		require.True(t, m.Took(kind, mirror.Run{After: n - 1, At: n, Changes: []protocol.Change{{Object: o}}}))
+		require.True(t, m.Apply(kind, mirror.Delta{After: n - 1, To: n, Changes: []protocol.Change{{Object: o}}}))
 	}
 	_, ok := m.Since(kind, 3)
 	require.False(t, ok)
@@ -185,7 +185,7 @@
 func TestAChangeWakesThoseWhoWait(t *testing.T) {
 	var m mirror.Mirror
 	changed := m.Changed()
-	m.Listed(kind, protocol.Listing{At: 1})
+	m.ApplyList(kind, protocol.Listing{At: 1})
 	<-changed
 }
 
@@ -194,12 +194,12 @@
 // seen it come.
 func TestADifferenceServesOnlyWhoKnowsItsBeginning(t *testing.T) {
 	var source, follower mirror.Mirror
-	source.Listed(kind, protocol.Listing{At: 1})
-	source.Listed(kind, protocol.Listing{At: 9})
-	follower.Listed(kind, protocol.Listing{At: 5, Objects: []protocol.Object{{Kind: kind, Name: "o", Version: 4}}})
+	source.ApplyList(kind, protocol.Listing{At: 1})
+	source.ApplyList(kind, protocol.Listing{At: 9})
+	follower.ApplyList(kind, protocol.Listing{At: 5, Objects: []protocol.Object{{Kind: kind, Name: "o", Version: 4}}})
 	_, ok := source.Since(kind, 5)
 	require.False(t, ok)
 	run, ok := source.Since(kind, 1)
 	require.True(t, ok)
-	require.False(t, follower.Took(kind, run))
+	require.False(t, follower.Apply(kind, run))
 }
--- a/transport/relay/follower.go
+++ b/transport/relay/follower.go
@@ -163,7 +163,7 @@
 	switch {
 	case !ok:
 		return f.packer.whole(&f.source.mirror, mark.Kind, mark.At)
-	case run.At <= mark.At:
+	case run.To <= mark.At:
 		return protocol.RelayRun{At: mark.At}, nil
 	default:
 		return f.packer.encode(mark.Kind, run)
@@ -203,7 +203,7 @@
 	if o.Version != a.Version || o.Version <= max(held.Version, f.ahead) {
 		return nil
 	}
-	run, err := f.packer.encode(s.Kind, mirror.Run{After: held.Version, At: o.Version, Changes: []protocol.Change{{Object: o}}})
+	run, err := f.packer.encode(s.Kind, mirror.Delta{After: held.Version, To: o.Version, Changes: []protocol.Change{{Object: o}}})
 	if err != nil {
 		return err
 	}
--- a/transport/relay/link.go
+++ b/transport/relay/link.go
@@ -93,7 +93,7 @@
 	for _, k := range s.Kinds {
 		mark := protocol.RelayMark{Kind: k}
 		if !anew {
-			mark.At = s.mirror.At(k)
+			mark.At = s.mirror.Revision(k)
 		}
 		hello.Known = append(hello.Known, mark)
 	}
@@ -200,7 +200,7 @@
 	if err != nil {
 		return err
 	}
-	if !l.source.mirror.Took(r.Kind, run) {
+	if !l.source.mirror.Apply(r.Kind, run) {
 		return errGap
 	}
 	return nil
--- a/transport/relay/pack.go
+++ b/transport/relay/pack.go
@@ -42,7 +42,7 @@
 			return last, nil
 		}
 	}
-	out, bytes := unpacked(kind, m.Whole(kind))
+	out, bytes := unpacked(kind, m.Snapshot(kind))
 	if bytes >= packFrom {
 		if err := p.compress(&out); err != nil {
 			return out, err
@@ -56,7 +56,7 @@
 }
 
 // encode returns a run as it is sent.
-func (p *packer) encode(kind string, r mirror.Run) (protocol.RelayRun, error) {
+func (p *packer) encode(kind string, r mirror.Delta) (protocol.RelayRun, error) {
 	out, bytes := unpacked(kind, r)
 	if bytes < packFrom {
 		return out, nil
@@ -65,8 +65,8 @@
 }
 
 // unpacked returns a run as it is sent if it is short, and the length of its values.
-func unpacked(kind string, r mirror.Run) (out protocol.RelayRun, bytes int) {
-	out = protocol.RelayRun{Kind: kind, After: r.After, At: r.At, Difference: r.Difference, Whole: r.Whole}
+func unpacked(kind string, r mirror.Delta) (out protocol.RelayRun, bytes int) {
+	out = protocol.RelayRun{Kind: kind, After: r.After, At: r.To, Difference: r.ListDiff, Whole: r.Snapshot}
 	for _, c := range r.Changes {
 		change := protocol.RelayChange{Name: c.Object.Name, Version: c.Object.Version, Gone: c.Gone}
 		if !c.Gone {
@@ -140,8 +140,8 @@
 var errTooLong = errors.New("a packed run holds more than several of the platform's longest objects")
 
 // decode returns the run that was sent.
-func decode(r *protocol.RelayRun) (mirror.Run, error) {
-	run := mirror.Run{After: r.After, At: r.At, Difference: r.Difference, Whole: r.Whole}
+func decode(r *protocol.RelayRun) (mirror.Delta, error) {
+	run := mirror.Delta{After: r.After, To: r.At, ListDiff: r.Difference, Snapshot: r.Whole}
 	changes := r.Changes
 	if len(r.Packed) > 0 {
 		unpacked, err := unpack(r.Packed)
--- a/transport/relay/pack_test.go
+++ b/transport/relay/pack_test.go
@@ -17,7 +17,7 @@
 // TestARunComesAsItWasSent draws runs, short ones and such that are compressed.
 func TestARunComesAsItWasSent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		run := mirror.Run{After: 3, At: 9, Difference: rapid.Bool().Draw(t, "difference"), Whole: rapid.Bool().Draw(t, "whole")}
+		run := mirror.Delta{After: 3, To: 9, ListDiff: rapid.Bool().Draw(t, "difference"), Snapshot: rapid.Bool().Draw(t, "whole")}
 		for i := range rapid.IntRange(0, 5).Draw(t, "changes") {
 			o := protocol.Object{Kind: "k", Name: fmt.Sprint("o", i), Version: uint64(i + 4)}
 			gone := rapid.Bool().Draw(t, "gone")
@@ -42,10 +42,10 @@
 func TestADifferenceIsNotTakenForChanges(t *testing.T) {
 	var p packer
 	o := protocol.Object{Kind: "k", Name: "o", Version: 9, Value: make([]byte, packFrom)}
-	run := mirror.Run{After: 3, At: 9, Changes: []protocol.Change{{Object: o}}}
+	run := mirror.Delta{After: 3, To: 9, Changes: []protocol.Change{{Object: o}}}
 	_, err := p.encode("k", run)
 	require.NoError(t, err)
-	run.Difference = true
+	run.ListDiff = true
 	sent, err := p.encode("k", run)
 	require.NoError(t, err)
 	require.True(t, sent.Difference)
@@ -71,14 +71,14 @@
 	for i := range objects {
 		list.Objects = append(list.Objects, valued(i, 1))
 	}
-	s.mirror.Listed("k", list)
+	s.mirror.ApplyList("k", list)
 	return s
 }
 
 // change changes one object.
 func change(t testing.TB, s *Source) {
-	at := s.mirror.At("k")
-	took := s.mirror.Took("k", mirror.Run{After: at, At: at + 1, Changes: []protocol.Change{{Object: valued(int(at%100), at+1)}}})
+	at := s.mirror.Revision("k")
+	took := s.mirror.Apply("k", mirror.Delta{After: at, To: at + 1, Changes: []protocol.Change{{Object: valued(int(at%100), at+1)}}})
 	require.True(t, took)
 }
 
@@ -114,18 +114,18 @@
 		change(t, s)
 		f := &follower{source: s, packer: p, known: []protocol.RelayMark{{Kind: "k"}}}
 		var known mirror.Mirror
-		for known.At("k") < s.mirror.At("k") {
+		for known.Revision("k") < s.mirror.Revision("k") {
 			var frame protocol.RelayFrame
 			require.NoError(t, f.fill(&frame))
 			require.Len(t, frame.Runs, 1)
 			run, err := decode(&frame.Runs[0])
 			require.NoError(t, err)
-			require.True(t, known.Took("k", run))
-			if run.Whole {
+			require.True(t, known.Apply("k", run))
+			if run.Snapshot {
 				wholes = append(wholes, frame.Runs[0])
 			}
 		}
-		require.Equal(t, s.mirror.Whole("k"), known.Whole("k"))
+		require.Equal(t, s.mirror.Snapshot("k"), known.Snapshot("k"))
 	}
 	require.Len(t, wholes, followers)
 	for i := range wholes {
--- a/transport/relay/source.go
+++ b/transport/relay/source.go
@@ -115,13 +115,13 @@
 }
 
 // Objects returns what is known of a kind, and whether it ever was.
-func (s *Source) Objects(kind string) (protocol.Listing, bool) { return s.mirror.All(kind) }
+func (s *Source) Objects(kind string) (protocol.Listing, bool) { return s.mirror.List(kind) }
 
 // At returns the revision up to which a kind is known, 0 for none.
-func (s *Source) At(kind string) uint64 { return s.mirror.At(kind) }
+func (s *Source) At(kind string) uint64 { return s.mirror.Revision(kind) }
 
 // Hold takes a list of a kind that nobody watches, to be passed on.
-func (s *Source) Hold(kind string, l protocol.Listing) { s.mirror.Listed(kind, l) }
+func (s *Source) Hold(kind string, l protocol.Listing) { s.mirror.ApplyList(kind, l) }
 
 // Keep takes the key under which this entry was known before it started anew.
 func (s *Source) Keep(key string) {
@@ -209,7 +209,7 @@
 // listed reports whether every kind was listed: a peer passes on only changes.
 func (s *Source) listed() bool {
 	for _, k := range s.Kinds {
-		if s.mirror.At(k) == 0 {
+		if s.mirror.Revision(k) == 0 {
 			return false
 		}
 	}
@@ -226,7 +226,7 @@
 // List returns every object of a kind, as a peer passed it on or else from the platform.
 func (s *Source) List(ctx context.Context, kind string) (protocol.Listing, error) {
 	s.seeker.await(ctx)
-	if l, ok := s.mirror.All(kind); ok && s.Following() {
+	if l, ok := s.mirror.List(kind); ok && s.Following() {
 		l.Relayed = true
 		return l, nil
 	}
@@ -234,7 +234,7 @@
 	l, err := s.Platform.List(ctx, kind)
 	s.note(ctx, err)
 	if err == nil {
-		s.mirror.Listed(kind, l)
+		s.mirror.ApplyList(kind, l)
 		s.confirmListed(kind, l, asked)
 	}
 	return l, err
@@ -260,11 +260,11 @@
 	for {
 		changed := s.mirror.Changed()
 		run, ok := s.mirror.Since(kind, after)
-		if !ok || s.mirror.At(kind) == 0 {
+		if !ok || s.mirror.Revision(kind) == 0 {
 			return protocol.Changes{}, &platform.Forgotten{}
 		}
-		if run.At > after {
-			return protocol.Changes{Changes: run.Changes, At: run.At, Relayed: true}, nil
+		if run.To > after {
+			return protocol.Changes{Changes: run.Changes, At: run.To, Relayed: true}, nil
 		}
 		peer, relinked := s.changedLink()
 		if peer == nil && s.seeker.awaitLook(ctx) {
@@ -290,7 +290,7 @@
 func (s *Source) watchPlatform(ctx context.Context, kind string, after uint64, wait time.Duration) (protocol.Changes, error) {
 	c, err := s.Platform.Watch(ctx, kind, after, wait)
 	s.note(ctx, err)
-	if err == nil && len(c.Changes) > 0 && !s.mirror.Took(kind, mirror.Run{After: after, At: c.At, Changes: c.Changes}) {
+	if err == nil && len(c.Changes) > 0 && !s.mirror.Apply(kind, mirror.Delta{After: after, To: c.At, Changes: c.Changes}) {
 		return protocol.Changes{}, &platform.Forgotten{}
 	}
 	return c, err
--- a/transport/relay/unreadable_test.go
+++ b/transport/relay/unreadable_test.go
@@ -15,7 +15,7 @@
 // TestValuesThatCantBeReadArePassedOnAsTheyAre sends a run of them, short and packed.
 func TestValuesThatCantBeReadArePassedOnAsTheyAre(t *testing.T) {
 	for _, long := range []int{0, 4 * packFrom} {
-		sent := mirror.Run{After: 3, At: 9}
+		sent := mirror.Delta{After: 3, To: 9}
 		for i, value := range [][]byte{[]byte("too long"), []byte("\xff\xfe\x00"), []byte(`{"service":`), nil, bytes.Repeat([]byte{0xc3}, long)} {
 			o := protocol.Object{Kind: "servers", Name: string(rune('a' + i)), Version: 9, Value: value}
 			sent.Changes = append(sent.Changes, protocol.Change{Object: o})
