--- a/coordination/stream/stream_test.go
+++ b/coordination/stream/stream_test.go
@@ -31,7 +31,7 @@
 			})
 		}
 	}
-	c, err := config.Make(1, []protocol.Model{{Name: "m", Version: "1", Layers: layers, Open: 1, Context: 999}}, f)
+	c, err := config.NewFromModels(1, []protocol.Model{{Name: "m", Version: "1", Layers: layers, Open: 1, Context: 999}}, f)
 	require.NoError(t, err)
 	return fleet.NewViewFromConfig(nil, c, fleet.Entry{Name: "e1", DataCenter: "dc"})
 }
--- a/state/config/change.go
+++ b/state/config/change.go
@@ -10,9 +10,9 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// Since returns the change from an older configuration to c, or everything when
+// ChangeSince returns the change from an older configuration to c, or everything when
 // older is nil.
-func (c *Config) Since(older *Config) protocol.ConfigChange {
+func (c *Config) ChangeSince(older *Config) protocol.ConfigChange {
 	change := protocol.ConfigChange{
 		Version: c.manifest.Version, Plan: c.manifest.Plan, Author: c.manifest.Author,
 		Sum: sumOf(c.manifest), Contents: map[string][]byte{},
@@ -59,12 +59,12 @@
 	return protocol.HashPart(content)
 }
 
-// NeedsWhole is the error for a change that does not fit what is held: the whole
+// BaseMismatchError is the error for a change that does not fit what is held: the whole
 // configuration must be asked for.
-type NeedsWhole struct{ held, base uint64 }
+type BaseMismatchError struct{ held, base uint64 }
 
 // Error names both versions and the remedy.
-func (n *NeedsWhole) Error() string {
+func (n *BaseMismatchError) Error() string {
 	return fmt.Sprintf("the change is from version %d and version %d is held; ask for the whole configuration", n.base, n.held)
 }
 
@@ -75,7 +75,7 @@
 	contents := map[string][]byte{}
 	if change.Base != 0 {
 		if c == nil || c.Version() != change.Base {
-			return nil, &NeedsWhole{held: c.version(), base: change.Base}
+			return nil, &BaseMismatchError{held: c.version(), base: change.Base}
 		}
 		gone := refSet(change.Removed)
 		for _, ref := range c.manifest.Parts {
@@ -90,7 +90,7 @@
 		contents[hash] = content
 	}
 	if sumOf(m) != change.Sum {
-		return nil, &NeedsWhole{held: c.version(), base: change.Base}
+		return nil, &BaseMismatchError{held: c.version(), base: change.Base}
 	}
 	return Build(m, contents)
 }
--- a/state/config/config.go
+++ b/state/config/config.go
@@ -35,20 +35,20 @@
 	operators []protocol.Operator
 }
 
-// Invalid is the error for a manifest or part that can't be taken.
-type Invalid struct {
+// InvalidPartError is the error for a manifest or part that can't be taken.
+type InvalidPartError struct {
 	part  protocol.PartRef
 	cause error
 }
 
 // Error names the part and the remedy.
-func (i *Invalid) Error() string {
+func (i *InvalidPartError) Error() string {
 	return fmt.Sprintf("part %s/%s is not valid: %v; write the part anew and accept a higher manifest version",
 		i.part.Kind, i.part.Name, i.cause)
 }
 
 // Unwrap returns what was wrong with the part.
-func (i *Invalid) Unwrap() error { return i.cause }
+func (i *InvalidPartError) Unwrap() error { return i.cause }
 
 var validate = validator.New(validator.WithRequiredStructEnabled())
 
@@ -63,7 +63,7 @@
 	}
 	for _, ref := range m.Parts {
 		if err := c.add(ref, parts[ref.Hash]); err != nil {
-			return nil, &Invalid{part: ref, cause: err}
+			return nil, &InvalidPartError{part: ref, cause: err}
 		}
 	}
 	return c, c.checkRunners()
@@ -121,10 +121,10 @@
 		m, ok := c.models[r.Model]
 		ref := protocol.PartRef{Kind: protocol.FleetPart, Name: r.DataCenter}
 		if !ok {
-			return &Invalid{part: ref, cause: fmt.Errorf("runner %s serves the unknown model %q", r.Name, r.Model)}
+			return &InvalidPartError{part: ref, cause: fmt.Errorf("runner %s serves the unknown model %q", r.Name, r.Model)}
 		}
 		if r.To > m.Layers {
-			return &Invalid{part: ref, cause: fmt.Errorf("runner %s holds layers beyond the %d of %q", r.Name, m.Layers, r.Model)}
+			return &InvalidPartError{part: ref, cause: fmt.Errorf("runner %s holds layers beyond the %d of %q", r.Name, m.Layers, r.Model)}
 		}
 	}
 	return nil
@@ -226,9 +226,9 @@
 // Current returns the configuration in force, or nil before the first.
 func (s *Store) Current() *Config { return s.current.Load() }
 
-// Make builds a configuration of models and fleets alone, for tests and
+// NewFromModels builds a configuration of models and fleets alone, for tests and
 // measurements that need no platform.
-func Make(version uint64, models []protocol.Model, fleets ...protocol.Fleet) (*Config, error) {
+func NewFromModels(version uint64, models []protocol.Model, fleets ...protocol.Fleet) (*Config, error) {
 	m := protocol.Manifest{Version: version}
 	parts := map[string][]byte{}
 	add := func(k protocol.PartKind, name string, part any) error {
--- a/state/config/config_test.go
+++ b/state/config/config_test.go
@@ -42,14 +42,14 @@
 			return c
 		}
 		older, newer, other := build(1), build(2), build(3)
-		got, err := older.Apply(newer.Since(older))
+		got, err := older.Apply(newer.ChangeSince(older))
 		require.NoError(t, err)
 		require.ElementsMatch(t, newer.Teams(), got.Teams())
-		whole, err := (*config.Config)(nil).Apply(newer.Since(nil))
+		whole, err := (*config.Config)(nil).Apply(newer.ChangeSince(nil))
 		require.NoError(t, err)
 		require.ElementsMatch(t, newer.Teams(), whole.Teams())
-		_, err = older.Apply(other.Since(newer))
-		var misfit *config.NeedsWhole
+		_, err = older.Apply(other.ChangeSince(newer))
+		var misfit *config.BaseMismatchError
 		require.ErrorAs(t, err, &misfit)
 	})
 }
--- a/transport/entry/entry_test.go
+++ b/transport/entry/entry_test.go
@@ -326,7 +326,7 @@
 	for _, r := range d.Runners {
 		specs = append(specs, r.Spec)
 	}
-	c, err := config.Make(1, []protocol.Model{{Name: "fares", Version: "1", Layers: layers, Open: 1, Context: 9}},
+	c, err := config.NewFromModels(1, []protocol.Model{{Name: "fares", Version: "1", Layers: layers, Open: 1, Context: 9}},
 		protocol.Fleet{Name: "dc", Runners: specs})
 	require.NoError(b, err)
 	x := &direct{view: fleet.NewViewFromConfig(nil, c, fleet.Entry{Name: "e1", DataCenter: "dc"})}
--- a/transport/entry/suspects_test.go
+++ b/transport/entry/suspects_test.go
@@ -37,7 +37,7 @@
 			Name: name, VM: name, DataCenter: "dc", Accelerator: "x", Model: "m", To: 1, Speed: 1, Epoch: 1, Address: s.Listener.Addr().String(),
 		})
 	}
-	c, err := config.Make(1, []protocol.Model{{Name: "m", Version: "1", Layers: 1, Open: 1, Context: 9}}, protocol.Fleet{Name: "dc", Runners: specs})
+	c, err := config.NewFromModels(1, []protocol.Model{{Name: "m", Version: "1", Layers: 1, Open: 1, Context: 9}}, protocol.Fleet{Name: "dc", Runners: specs})
 	require.NoError(t, err)
 	e := &Entry{}
 	e.suspects.entry, e.suspects.book.Self = e, "e1"
--- a/transport/follow/follow.go
+++ b/transport/follow/follow.go
@@ -238,7 +238,7 @@
 	f.Counters.Add(metric.ConfigAccepted, 1)
 	event.ConfigInForce.Log(f.Logger, slog.Uint64("version", c.Version()))
 	if f.Mesh.IsRelay() {
-		change := c.Since(held)
+		change := c.ChangeSince(held)
 		f.Mesh.Broadcast(protocol.PeerFrame{Change: &change})
 		return
 	}
@@ -261,7 +261,7 @@
 		return
 	}
 	c, err := held.Apply(*change)
-	var whole *config.NeedsWhole
+	var whole *config.BaseMismatchError
 	switch {
 	case errors.As(err, &whole):
 		f.want(from)
@@ -293,7 +293,7 @@
 		if previous != nil && previous.Version() == theirs {
 			base = previous
 		}
-		change := c.Since(base)
+		change := c.ChangeSince(base)
 		f.Mesh.Send(from, protocol.PeerFrame{Change: &change})
 	}
 }
