--- a/state/routing/routing.go
+++ b/state/routing/routing.go
@@ -18,14 +18,14 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// Invalid is the error for a routing table that can't be taken.
-type Invalid struct {
+// InvalidTableError is the error for a routing table that can't be taken.
+type InvalidTableError struct {
 	version uint64
 	what    string
 }
 
 // Error names the version, what is wrong and the remedy.
-func (i *Invalid) Error() string {
+func (i *InvalidTableError) Error() string {
 	return fmt.Sprintf("routing version %d %s; accept a higher version without that", i.version, i.what)
 }
 
@@ -63,11 +63,11 @@
 
 func (t *Table) addRoute(r *protocol.Route) error {
 	if len(r.Targets) == 0 {
-		return &Invalid{version: t.content.Version, what: "has a route " + r.Name + " without a service"}
+		return &InvalidTableError{version: t.content.Version, what: "has a route " + r.Name + " without a service"}
 	}
 	for _, g := range r.Targets {
 		if t.services[g.Service] == nil {
-			return &Invalid{version: t.content.Version, what: "has a route " + r.Name + " to the unknown service " + g.Service}
+			return &InvalidTableError{version: t.content.Version, what: "has a route " + r.Name + " to the unknown service " + g.Service}
 		}
 	}
 	t.hosts[r.Host] = append(t.hosts[r.Host], r)
@@ -77,8 +77,8 @@
 // Version returns the table's version.
 func (t *Table) Version() uint64 { return t.content.Version }
 
-// Callers returns the limits on callers.
-func (t *Table) Callers() *protocol.CallerLimits { return &t.content.Callers }
+// CallerLimits returns the limits on callers.
+func (t *Table) CallerLimits() *protocol.CallerLimits { return &t.content.Callers }
 
 // Services returns every service. The caller must not change the slice.
 func (t *Table) Services() []protocol.RoutedService { return t.content.Services }
@@ -95,8 +95,8 @@
 	return best
 }
 
-// Keyed reports whether requests have to carry a key.
-func (t *Table) Keyed() bool { return len(t.content.Teams) > 0 }
+// RequiresKey reports whether requests have to carry a key.
+func (t *Table) RequiresKey() bool { return len(t.content.Teams) > 0 }
 
 // Team returns the team that holds a key, or nil.
 func (t *Table) Team(key string) *protocol.RoutedTeam { return t.keys[key] }
@@ -104,8 +104,8 @@
 // Service returns a service by name, or nil.
 func (t *Table) Service(name string) *protocol.RoutedService { return t.services[name] }
 
-// Pick returns the service of a route for a draw between 0 and 1, by weight.
-func Pick(r *protocol.Route, draw float64) string {
+// PickService returns the service of a route for a draw between 0 and 1, by weight.
+func PickService(r *protocol.Route, draw float64) string {
 	var sum float64
 	for _, g := range r.Targets {
 		sum += g.Weight
--- a/state/routing/routing_test.go
+++ b/state/routing/routing_test.go
@@ -35,7 +35,7 @@
 func TestATableWithoutItsServicesIsRefused(t *testing.T) {
 	for _, r := range []protocol.Route{{Name: "none"}, {Name: "unknown", Targets: []protocol.Target{{Service: "x"}}}} {
 		_, err := routing.Build(protocol.Routing{Version: 3, Routes: []protocol.Route{r}})
-		require.ErrorAs(t, err, new(*routing.Invalid))
+		require.ErrorAs(t, err, new(*routing.InvalidTableError))
 		require.Contains(t, err.Error(), "accept a higher version")
 	}
 }
@@ -64,8 +64,8 @@
 	r := &protocol.Route{Targets: []protocol.Target{{Service: "a", Weight: 0}, {Service: "b", Weight: 1}, {Service: "c", Weight: 3}}}
 	var got strings.Builder
 	for i := range 8 {
-		got.WriteString(routing.Pick(r, float64(i)/8))
+		got.WriteString(routing.PickService(r, float64(i)/8))
 	}
 	require.Equal(t, "bbcccccc", got.String(), "a service without weight gets nothing")
-	require.Equal(t, "c", routing.Pick(r, 0.999999))
+	require.Equal(t, "c", routing.PickService(r, 0.999999))
 }
--- a/transport/forward/admit.go
+++ b/transport/forward/admit.go
@@ -34,7 +34,7 @@
 		return protocol.Refuse(protocol.NoConfiguration, "no routing table was read yet").Again(x.begun.Add(againUnsure))
 	}
 	x.table = table
-	if most := table.Callers().HeaderBytes; most > 0 && headBytes(x.request) > most {
+	if most := table.CallerLimits().HeaderBytes; most > 0 && headBytes(x.request) > most {
 		return protocol.Refuse(protocol.HeadTooLarge, "the head is longer than "+strconv.Itoa(most)+" bytes")
 	}
 	unsure := x.begun.Sub(f.Routing.ConfirmedAt()) > unsureAfter
@@ -53,8 +53,8 @@
 	if !x.terms.Deadline.IsZero() && x.terms.Deadline.Before(x.deadline) {
 		x.deadline = x.terms.Deadline
 	}
-	x.service = table.Service(routing.Pick(x.route, rand.Float64()))
-	return x.readBody(table.Callers().BodyBytes)
+	x.service = table.Service(routing.PickService(x.route, rand.Float64()))
+	return x.readBody(table.CallerLimits().BodyBytes)
 }
 
 // headBytes returns how long a request's head was, as far as the library still tells:
@@ -74,7 +74,7 @@
 // admitTeam finds the team of the caller's key. A key is taken only while the
 // platform has lately confirmed that it was not withdrawn.
 func (x *exchange) admitTeam(unsure bool) *protocol.Refusal {
-	if !x.table.Keyed() || x.route.Public {
+	if !x.table.RequiresKey() || x.route.Public {
 		return nil
 	}
 	f := x.forwarder
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -237,7 +237,7 @@
 // callerLimits returns the limits in force, zero before the first table.
 func (f *Front) callerLimits() protocol.CallerLimits {
 	if t := f.routing.Current(); t != nil {
-		return *t.Callers()
+		return *t.CallerLimits()
 	}
 	return protocol.CallerLimits{}
 }
@@ -279,7 +279,7 @@
 // (logs of 54 s).
 func (f *Front) learned() {
 	t := f.routing.Current()
-	if t == nil || !f.roster.HasList() || !f.refusals.areRead() || t.Keyed() && f.routing.ConfirmedAt().IsZero() {
+	if t == nil || !f.roster.HasList() || !f.refusals.areRead() || t.RequiresKey() && f.routing.ConfirmedAt().IsZero() {
 		return
 	}
 	f.forwarder.Opened()
