--- a/state/story/story.go
+++ b/state/story/story.go
@@ -23,64 +23,64 @@
 	maxLines = 64
 )
 
-// What tells the sorts of lines apart.
-type What string
+// Kind tells the sorts of lines apart.
+type Kind string
 
 // The sorts of lines in a story.
 const (
-	Arrived   What = "arrived"
-	Queued    What = "queued"
-	Admitted  What = "admitted"
-	Claimed   What = "claimed"
-	Path      What = "path"
-	FirstByte What = "first token"
-	Retried   What = "retried"
-	Refused   What = "refused"
-	Answered  What = "answered"
+	Arrived    Kind = "arrived"
+	Queued     Kind = "queued"
+	Admitted   Kind = "admitted"
+	Claimed    Kind = "claimed"
+	Path       Kind = "path"
+	FirstToken Kind = "first token"
+	Retried    Kind = "retried"
+	Refused    Kind = "refused"
+	Answered   Kind = "answered"
 )
 
-// Line is one thing that happened.
-type Line struct {
+// Event is one thing that happened.
+type Event struct {
 	At     time.Time `json:"at"`
-	What   What      `json:"what"`
+	Kind   Kind      `json:"what"`
 	Detail string    `json:"detail"`
 }
 
-// Story is one request's lines. It is safe for use by many goroutines.
-type Story struct {
+// Trace is one request's lines. It is safe for use by many goroutines.
+type Trace struct {
 	mutex   sync.Mutex
 	id      protocol.RequestID
-	lines   []Line
+	lines   []Event
 	dropped int
 }
 
-// Note adds a line.
-func (s *Story) Note(at time.Time, w What, detail string) {
+// Add adds a line.
+func (s *Trace) Add(at time.Time, w Kind, detail string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.lines) >= maxLines {
 		s.dropped++
 		return
 	}
-	s.lines = append(s.lines, Line{At: at, What: w, Detail: detail})
+	s.lines = append(s.lines, Event{At: at, Kind: w, Detail: detail})
 }
 
-// Book holds the most recent stories. The zero value is empty.
-type Book struct {
+// Log holds the most recent stories. The zero value is empty.
+type Log struct {
 	mutex   sync.Mutex
-	stories map[protocol.RequestID]*Story
+	stories map[protocol.RequestID]*Trace
 	order   []protocol.RequestID
 	next    int
 }
 
-// Open begins a story and forgets the oldest when the book is full.
-func (b *Book) Open(id protocol.RequestID) *Story {
+// Start begins a story and forgets the oldest when the book is full.
+func (b *Log) Start(id protocol.RequestID) *Trace {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.stories == nil {
-		b.stories = map[protocol.RequestID]*Story{}
+		b.stories = map[protocol.RequestID]*Trace{}
 	}
-	s := &Story{id: id}
+	s := &Trace{id: id}
 	if len(b.order) < kept {
 		b.order = append(b.order, id)
 	} else {
@@ -93,7 +93,7 @@
 }
 
 // Read returns a copy of a story's lines and how many more were not kept.
-func (b *Book) Read(id protocol.RequestID) (lines []Line, dropped int, ok bool) {
+func (b *Log) Read(id protocol.RequestID) (lines []Event, dropped int, ok bool) {
 	b.mutex.Lock()
 	s := b.stories[id]
 	b.mutex.Unlock()
@@ -102,5 +102,5 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return append([]Line(nil), s.lines...), s.dropped, true
+	return append([]Event(nil), s.lines...), s.dropped, true
 }
--- a/state/story/story_test.go
+++ b/state/story/story_test.go
@@ -14,25 +14,25 @@
 	"pinerun.example/pinerun/state/story"
 )
 
-func fill(b *story.Book, stories, lines int) {
+func fill(b *story.Log, stories, lines int) {
 	for i := range stories {
-		s := b.Open(protocol.RequestID(i + 1))
+		s := b.Start(protocol.RequestID(i + 1))
 		for l := range lines {
-			s.Note(time.Unix(int64(l), 0), story.Path, fmt.Sprint("fast1-1 middle2-3 slow3-2 ", l))
+			s.Add(time.Unix(int64(l), 0), story.Path, fmt.Sprint("fast1-1 middle2-3 slow3-2 ", l))
 		}
 	}
 }
 
 func TestABookForgetsTheOldestAndCountsLongStories(t *testing.T) {
-	var b story.Book
+	var b story.Log
 	fill(&b, 5000, 1)
 	_, _, ok := b.Read(1)
 	require.False(t, ok)
 	_, _, ok = b.Read(5000)
 	require.True(t, ok)
-	s := b.Open(9999)
+	s := b.Start(9999)
 	for range 70 {
-		s.Note(time.Unix(1, 0), story.Retried, "x")
+		s.Add(time.Unix(1, 0), story.Retried, "x")
 	}
 	lines, dropped, ok := b.Read(9999)
 	require.True(t, ok)
@@ -45,12 +45,12 @@
 	for _, n := range []int{500, 2000, 4096} {
 		b.Run(fmt.Sprint("stories=", n), func(b *testing.B) {
 			var before, after runtime.MemStats
-			var book *story.Book
+			var book *story.Log
 			for b.Loop() {
 				book = nil //nolint:ineffassign // the older book must not count
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				book = &story.Book{}
+				book = &story.Log{}
 				fill(book, n, 6)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
--- a/transport/entry/caller.go
+++ b/transport/entry/caller.go
@@ -41,7 +41,7 @@
 	repeatable string    // "yes", "no" or "" when the caller does not say
 	key        string
 	body       []byte
-	story      *story.Story
+	story      *story.Trace
 }
 
 func (e *Entry) callerRoutes() http.Handler {
@@ -95,7 +95,7 @@
 		c.Response().Header().Set(headerRequest, id.String())
 		open := e.open.Add(1)
 		defer e.open.Add(-1)
-		k := &call{id: id, story: e.stories.Open(id)}
+		k := &call{id: id, story: e.stories.Start(id)}
 		err := e.check(c, k, int(open))
 		if err == nil {
 			ctx, cancel := e.deadlines.begin(c.Request().Context(), k)
@@ -112,7 +112,7 @@
 func (e *Entry) settle(c echo.Context, k *call, err error) error {
 	now := time.Now()
 	if err == nil {
-		k.story.Note(now, story.Answered, "")
+		k.story.Add(now, story.Answered, "")
 		name := metric.AnsweredInTime
 		if clock.Now().After(k.deadline) {
 			name = metric.AnsweredLate
@@ -121,7 +121,7 @@
 		return nil
 	}
 	r := protocol.AsRefusal(err)
-	k.story.Note(now, story.Refused, r.Error())
+	k.story.Add(now, story.Refused, r.Error())
 	return e.refuse(c, r)
 }
 
@@ -166,7 +166,7 @@
 func (e *Entry) check(c echo.Context, k *call, open int) error {
 	now := time.Now()
 	k.deadline = e.Settings.Limits.DefaultDeadline(clock.Now())
-	k.story.Note(now, story.Arrived, c.Request().Method+" "+c.Request().URL.Path)
+	k.story.Add(now, story.Arrived, c.Request().Method+" "+c.Request().URL.Path)
 	if e.stopping.Load() {
 		return protocol.Refuse(protocol.Stopping, "this entry is stopping")
 	}
--- a/transport/entry/entry.go
+++ b/transport/entry/entry.go
@@ -43,7 +43,7 @@
 	counters  metric.Set
 	detected  metric.Times // from a step's sending to its being given up
 	recovery  metric.Times // from there to the next token
-	stories   story.Book
+	stories   story.Log
 	view      atomic.Pointer[fleet.View]
 	pool      engine.Pool
 	platform  platform.Client
--- a/transport/entry/operator.go
+++ b/transport/entry/operator.go
@@ -128,8 +128,8 @@
 		return protocol.Refuse(protocol.UnknownRequest, "this entry has not run "+id.String()+" lately")
 	}
 	return c.JSON(http.StatusOK, struct {
-		Request string       `json:"request"`
-		Lines   []story.Line `json:"lines"`
-		Dropped int          `json:"dropped"`
+		Request string        `json:"request"`
+		Lines   []story.Event `json:"lines"`
+		Dropped int           `json:"dropped"`
 	}{id.String(), lines, dropped})
 }
--- a/transport/entry/recover.go
+++ b/transport/entry/recover.go
@@ -87,7 +87,7 @@
 		return m.stopped(d.(retry.Stop), reason)
 	}
 	m.entry.counters.Retried(reason)
-	m.story.Note(now, story.Retried, string(reason)+" at "+nameOf(failed))
+	m.story.Add(now, story.Retried, string(reason)+" at "+nameOf(failed))
 	event.RequestRetried.Log(m.entry.Logger, slog.String("request", m.id.String()),
 		slog.String("reason", string(reason)), slog.String("runner", nameOf(failed)))
 	if !m.rest(ctx, wait.Until()) {
--- a/wire_test.go
+++ b/wire_test.go
@@ -75,7 +75,7 @@
 		{"fleet-status", &protocol.FleetStatus{}},
 		{"lease", &lease.Record{}},
 		{"plan", &plan.Plan{}},
-		{"story-line", &story.Line{}},
+		{"story-line", &story.Event{}},
 	}
 	for _, m := range text {
 		t.Run(m.name, func(t *testing.T) {
