--- a/transport/forward/admit.go
+++ b/transport/forward/admit.go
@@ -25,7 +25,7 @@
 // admit finds the route, the team and the deadline, and reads the body.
 func (x *exchange) admit() *protocol.Refusal {
 	f := x.forwarder
-	x.terms = f.Headers.Terms(x.request.Header, x.begun)
+	x.terms = f.Headers.ParseRequest(x.request.Header, x.begun)
 	if f.refusing.Load() {
 		return protocol.Refuse(protocol.Stopping, "this entry is stopping").Again(x.begun)
 	}
@@ -78,7 +78,7 @@
 		return nil
 	}
 	f := x.forwarder
-	if x.begun.After(f.TrustKeys(f.Routing.ConfirmedAt())) {
+	if x.begun.After(f.KeysTrustedUntil(f.Routing.ConfirmedAt())) {
 		return protocol.Refuse(protocol.PlatformDown, "keys can't be confirmed").Again(x.begun.Add(againUnsure))
 	}
 	team := x.table.Team(x.terms.Key)
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -41,7 +41,7 @@
 	method      string
 	id          string // of the request, to recognise its answer
 	fresh       bool   // whether it needs a connection of its own
-	headers     Headers
+	headers     HeaderCodec
 	pool        *pool
 	out         chan<- message
 	reserved    *reservation // the room of the request
@@ -179,7 +179,7 @@
 		return
 	}
 	defer head.Body.Close()
-	terms := a.headers.Answer(head.StatusCode, head.Header)
+	terms := a.headers.ParseResponse(head.StatusCode, head.Header)
 	if terms.RequestID != "" && terms.RequestID != a.id {
 		a.drop()
 		a.post(attemptEnded{attempt: a, cause: errWrongAnswer, stale: c.reused})
--- a/transport/forward/body_test.go
+++ b/transport/forward/body_test.go
@@ -44,7 +44,7 @@
 	counters := &metric.Set{}
 	held := &backlog.Budget{Counters: counters}
 	held.Limit(512 << 10)
-	f := &Forwarder{Routing: &routing.Store{}, Roster: &roster.Roster{}, Headers: plainHeaders{}, Counters: counters, Held: held}
+	f := &Forwarder{Routing: &routing.Store{}, Roster: &roster.Roster{}, Headers: plainHeaders{}, Counters: counters, MemoryBudget: held}
 	f.Routing.Offer(table)
 	f.Routing.Confirm(time.Now())
 	f.Roster.Replace(nil, time.Now())
--- a/transport/forward/budget.go
+++ b/transport/forward/budget.go
@@ -17,18 +17,18 @@
 	firstPart = 0.15
 )
 
-// Retries is the platform's bound on further sends: of the requests for a service within
+// RetryBudget is the platform's bound on further sends: of the requests for a service within
 // some time, so large a share may be sent again and so many beside, by all entries
 // together. Ends returns the end of that time for its beginning.
-type Retries struct {
-	Share float64
-	Slack float64
-	Ends  func(begin time.Time) time.Time
+type RetryBudget struct {
+	Share     float64
+	Slack     float64
+	WindowEnd func(begin time.Time) time.Time
 }
 
 // budgets is this entry's part of the bound for each service.
 type budgets struct {
-	bound Retries
+	bound RetryBudget
 
 	mutex   sync.Mutex
 	entries float64
@@ -37,12 +37,12 @@
 }
 
 // open begins among that many entries.
-func (b *budgets) open(r Retries, entries int, now time.Time) {
+func (b *budgets) open(r RetryBudget, entries int, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.bound = r
 	b.entries = float64(max(1, entries))
-	b.fillAt = r.Ends(now)
+	b.fillAt = r.WindowEnd(now)
 }
 
 // setEntries tells how many entries there are now.
@@ -80,7 +80,7 @@
 		if b.windows == nil {
 			b.windows = make(map[string]*retry.WindowBudget)
 		}
-		w = &retry.WindowBudget{Share: b.bound.Share, SpanEnd: b.bound.Ends}
+		w = &retry.WindowBudget{Share: b.bound.Share, SpanEnd: b.bound.WindowEnd}
 		b.windows[service] = w
 	}
 	part := firstPart
@@ -91,17 +91,17 @@
 	return w
 }
 
-// OpenBudget begins the budget of further sends among that many entries.
-func (f *Forwarder) OpenBudget(r Retries, entries int, now time.Time) {
+// InitRetryBudget begins the budget of further sends among that many entries.
+func (f *Forwarder) InitRetryBudget(r RetryBudget, entries int, now time.Time) {
 	f.entries.Store(int64(entries))
 	f.budgets.open(r, entries, now)
 }
 
-// Entries returns how many entries there may be.
-func (f *Forwarder) Entries() int { return int(f.entries.Load()) }
+// EntryCount returns how many entries there may be.
+func (f *Forwarder) EntryCount() int { return int(f.entries.Load()) }
 
-// SetEntries tells how many entries there are now.
-func (f *Forwarder) SetEntries(entries int) {
+// SetEntryCount tells how many entries there are now.
+func (f *Forwarder) SetEntryCount(entries int) {
 	f.entries.Store(int64(entries))
 	f.budgets.setEntries(entries)
 }
--- a/transport/forward/budget_test.go
+++ b/transport/forward/budget_test.go
@@ -24,7 +24,7 @@
 	var b budgets
 	now := time.Unix(100, 0)
 	window := func(at time.Time) time.Time { return at.Add(10 * time.Second) }
-	b.open(Retries{Share: 0.2, Slack: 100, Ends: window}, 10, now)
+	b.open(RetryBudget{Share: 0.2, Slack: 100, WindowEnd: window}, 10, now)
 	now = window(now)
 	for range 50 {
 		b.first("plain", now)
@@ -39,7 +39,7 @@
 	var b budgets
 	now := time.Unix(100, 0)
 	window := func(at time.Time) time.Time { return at.Add(10 * time.Second) }
-	b.open(Retries{Share: 0.2, Slack: 100, Ends: window}, 10, now)
+	b.open(RetryBudget{Share: 0.2, Slack: 100, WindowEnd: window}, 10, now)
 	require.Equal(t, 1, spend(&b, "llm", now))
 	require.Equal(t, 6, spend(&b, "llm", window(now)), "the rest of seven, one spent meanwhile")
 	b.setEntries(5)
--- a/transport/forward/encode.go
+++ b/transport/forward/encode.go
@@ -30,7 +30,7 @@
 	h := x.request.Header.Clone()
 	stripHops(h)
 	h.Del("Content-Length")
-	x.forwarder.Headers.Mark(h, x.sendTerms(a), a.sentAt)
+	x.forwarder.Headers.SetAttemptHeaders(h, x.sendTerms(a), a.sentAt)
 	var b bytes.Buffer
 	b.Grow(1024 + len(x.body))
 	b.WriteString(x.request.Method)
--- a/transport/forward/forwarder.go
+++ b/transport/forward/forwarder.go
@@ -21,11 +21,11 @@
 	"pinerun.example/pinerun/transport/ending"
 )
 
-// Headers translates between headers and what they say.
-type Headers interface {
-	Terms(h http.Header, now time.Time) protocol.CallerTerms
-	Mark(h http.Header, s *protocol.AttemptTerms, now time.Time)
-	Answer(status int, h http.Header) protocol.AnswerTerms
+// HeaderCodec translates between headers and what they say.
+type HeaderCodec interface {
+	ParseRequest(h http.Header, now time.Time) protocol.CallerTerms
+	SetAttemptHeaders(h http.Header, s *protocol.AttemptTerms, now time.Time)
+	ParseResponse(status int, h http.Header) protocol.AnswerTerms
 }
 
 // Reporter asks an engine how it stands.
@@ -46,27 +46,27 @@
 	Home     fleet.Entry
 	Routing  *routing.Store
 	Roster   *roster.Roster
-	Headers  Headers
+	Headers  HeaderCodec
 	Reporter Reporter
-	// Changer changes the paths of running requests, nil to leave them as they are.
-	Changer  Changer
-	Counters *metric.Set
-	Logger   *slog.Logger
-	// TrustKeys returns until when keys confirmed then are accepted.
-	TrustKeys func(confirmed time.Time) time.Time
-	// Held bounds what is held for callers and of requests.
-	Held *backlog.Budget
-	// Tell tells the other entries that this one met a sign of an endpoint, nil for nobody.
-	Tell func(endpoint string, sign protocol.LossObservation, at time.Time)
-	// Locate tells them which process answers at an endpoint's address, nil for nobody: "" is
+	// PathChanger changes the paths of running requests, nil to leave them as they are.
+	PathChanger PathChanger
+	Counters    *metric.Set
+	Logger      *slog.Logger
+	// KeysTrustedUntil returns until when keys confirmed then are accepted.
+	KeysTrustedUntil func(confirmed time.Time) time.Time
+	// MemoryBudget bounds what is held for callers and of requests.
+	MemoryBudget *backlog.Budget
+	// ReportFailure tells the other entries that this one met a sign of an endpoint, nil for nobody.
+	ReportFailure func(endpoint string, sign protocol.LossObservation, at time.Time)
+	// ReportOccupant tells them which process answers at an endpoint's address, nil for nobody: "" is
 	// one that does not hold the layers of the endpoint's record.
-	Locate func(endpoint, occupant string, at time.Time)
+	ReportOccupant func(endpoint, occupant string, at time.Time)
 	// Quarantine knows which work may end what runs it, nil for nothing ever.
 	Quarantine Quarantine
-	// Woke is told that the VM was suspended, nil for nobody.
-	Woke func(now time.Time)
-	// TellPace tells them that this one met a sign of an endpoint's pace, nil for nobody.
-	TellPace func(news protocol.RelaySlow, at time.Time)
+	// OnResume is told that the VM was suspended, nil for nobody.
+	OnResume func(now time.Time)
+	// ReportPace tells them that this one met a sign of an endpoint's pace, nil for nobody.
+	ReportPace func(news protocol.RelaySlow, at time.Time)
 
 	done     part.Done
 	budgets  budgets
@@ -106,8 +106,8 @@
 	f.endings.Close()
 }
 
-// Open returns how many requests are being served.
-func (f *Forwarder) Open() int64 { return f.open.Load() }
+// OpenRequests returns how many requests are being served.
+func (f *Forwarder) OpenRequests() int64 { return f.open.Load() }
 
 // RefuseNew makes the forwarder refuse every further request, because the entry
 // stops and the request would not be finished in time.
@@ -165,7 +165,7 @@
 	f.Counters.Add(metric.Requests, 1)
 	x := &exchange{forwarder: f, writer: w, request: r, begun: clock.Now(), caller: backlog.FromContext(r.Context())}
 	f.opening.wait(r.Context())
-	x.reserved.budget = f.Held
+	x.reserved.budget = f.MemoryBudget
 	defer x.reserved.close()
 	refusal := x.admit()
 	if refusal == nil {
--- a/transport/forward/hold.go
+++ b/transport/forward/hold.go
@@ -133,8 +133,8 @@
 	})
 }
 
-// Waiting returns who waits for room at engines, in order of service, priority and team.
-func (f *Forwarder) Waiting(now time.Time) []protocol.WaitingStatus {
+// QueueStatus returns who waits for room at engines, in order of service, priority and team.
+func (f *Forwarder) QueueStatus(now time.Time) []protocol.WaitingStatus {
 	var all []protocol.WaitingStatus
 	f.lines.byService.Range(func(service, found any) bool {
 		groups := found.(*line).groups()
--- a/transport/forward/misplaced.go
+++ b/transport/forward/misplaced.go
@@ -39,8 +39,8 @@
 // question, so that a record written later stands.
 func (f *Forwarder) locate(r *fleet.Runner, occupant string, at time.Time) {
 	f.Counters.Add(metric.RecordsDisproved, 1)
-	if f.Locate != nil {
-		f.Locate(r.Name(), occupant, at)
+	if f.ReportOccupant != nil {
+		f.ReportOccupant(r.Name(), occupant, at)
 	}
 }
 
--- a/transport/forward/news.go
+++ b/transport/forward/news.go
@@ -63,14 +63,14 @@
 }
 
 func (f *Forwarder) tell(r *fleet.Runner, sign protocol.LossObservation, now time.Time) {
-	if f.Tell != nil {
-		f.Tell(r.Name(), sign, now)
+	if f.ReportFailure != nil {
+		f.ReportFailure(r.Name(), sign, now)
 	}
 }
 
-// Judged takes what a report of an endpoint changes, and reports whether it may matter to
+// ApplyFailureReport takes what a report of an endpoint changes, and reports whether it may matter to
 // who gives orders.
-func (f *Forwarder) Judged(report loss.Report, v loss.Change) bool {
+func (f *Forwarder) ApplyFailureReport(report loss.Report, v loss.Change) bool {
 	if _, ok := v.(loss.OccupantObserved); ok {
 		return f.located(&report)
 	}
--- a/transport/forward/news_test.go
+++ b/transport/forward/news_test.go
@@ -27,9 +27,11 @@
 // plainHeaders says nothing on the wire.
 type plainHeaders struct{}
 
-func (plainHeaders) Terms(http.Header, time.Time) protocol.CallerTerms    { return protocol.CallerTerms{} }
-func (plainHeaders) Mark(http.Header, *protocol.AttemptTerms, time.Time)  {}
-func (plainHeaders) Answer(int, http.Header) (terms protocol.AnswerTerms) { return terms }
+func (plainHeaders) ParseRequest(http.Header, time.Time) protocol.CallerTerms {
+	return protocol.CallerTerms{}
+}
+func (plainHeaders) SetAttemptHeaders(http.Header, *protocol.AttemptTerms, time.Time) {}
+func (plainHeaders) ParseResponse(int, http.Header) (terms protocol.AnswerTerms)      { return terms }
 
 // told is a report as the forwarder tells it.
 type told struct {
@@ -50,11 +52,11 @@
 	}
 	f.suspects.forwarder = f
 	if tells != nil {
-		f.Tell = func(endpoint string, sign protocol.LossObservation, _ time.Time) {
+		f.ReportFailure = func(endpoint string, sign protocol.LossObservation, _ time.Time) {
 			*tells = append(*tells, told{endpoint, sign})
 		}
 	}
-	f.OpenBudget(Retries{Share: 0.2, Slack: 1000, Ends: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
+	f.InitRetryBudget(RetryBudget{Share: 0.2, Slack: 1000, WindowEnd: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
 	f.Roster.SetServices([]protocol.RoutedService{s})
 	var list []protocol.Endpoint
 	for i := range n {
@@ -83,7 +85,7 @@
 	var b loss.Tracker
 	now := time.Now()
 	report := loss.NewReport(r.Name(), "another", protocol.LossRefused, now)
-	f.Judged(report, b.Apply(report, 10, now))
+	f.ApplyFailureReport(report, b.Apply(report, 10, now))
 }
 
 // TestAStreamGoesOnAtOnceWhenItsEngineIsToldLost: it need not fall silent first.
--- a/transport/forward/opening.go
+++ b/transport/forward/opening.go
@@ -60,6 +60,6 @@
 	}
 }
 
-// Opened ends the waiting of requests that came right after the start: there is all that is
+// EndStartupWait ends the waiting of requests that came right after the start: there is all that is
 // needed to serve them, or it is known that it won't come soon.
-func (f *Forwarder) Opened() { f.opening.end() }
+func (f *Forwarder) EndStartupWait() { f.opening.end() }
--- a/transport/forward/pace.go
+++ b/transport/forward/pace.go
@@ -112,10 +112,10 @@
 // told tells the other entries the pace that an engine reported when it was asked.
 func (p *paces) takeReport(r *fleet.Runner, report *protocol.EngineReport, asked time.Time) {
 	f := p.forwarder
-	if report.Pace <= 0 || f.TellPace == nil {
+	if report.Pace <= 0 || f.ReportPace == nil {
 		return
 	}
-	f.TellPace(protocol.RelaySlow{
+	f.ReportPace(protocol.RelaySlow{
 		Endpoint: r.Name(), Incarnation: report.Incarnation, Observation: protocol.SlowTold, Pace: report.Pace,
 	}, asked.Add(-f.reportDelay()))
 }
@@ -136,9 +136,9 @@
 	return time.Duration(most * float64(time.Millisecond))
 }
 
-// Paced takes what a report of an endpoint's pace changes, and reports whether it may
+// ApplySlownessReport takes what a report of an endpoint's pace changes, and reports whether it may
 // matter to who gives orders.
-func (f *Forwarder) Paced(report slow.Report, v slow.Change) bool {
+func (f *Forwarder) ApplySlownessReport(report slow.Report, v slow.Change) bool {
 	r := f.Roster.View().Runner(report.Endpoint())
 	if r == nil {
 		return false
--- a/transport/forward/pace_world_test.go
+++ b/transport/forward/pace_world_test.go
@@ -70,7 +70,7 @@
 	v := j.book.Apply(r, time.Now())
 	j.mutex.Unlock()
 	if _, nothing := v.(slow.NoChange); !nothing {
-		f.Paced(r, v)
+		f.ApplySlownessReport(r, v)
 	}
 }
 
@@ -78,7 +78,7 @@
 func judged(f *Forwarder) {
 	j := &judge{}
 	f.paces.forwarder = f
-	f.TellPace = func(news protocol.RelaySlow, at time.Time) { j.hear(f, news, at) }
+	f.ReportPace = func(news protocol.RelaySlow, at time.Time) { j.hear(f, news, at) }
 }
 
 // slowed has everybody take a runner as slow by a factor of twelve.
@@ -87,7 +87,7 @@
 	f.paces.forwarder = f
 	var b slow.Tracker
 	report := slow.NewReport(protocol.RelaySlow{Endpoint: r.Name(), Observer: "another", Number: 1, Observation: protocol.SlowTold, Pace: 12}, now)
-	f.Paced(report, b.Apply(report, now))
+	f.ApplySlownessReport(report, b.Apply(report, now))
 }
 
 // staged returns a forwarder before three stages of an engine service, each held by that
@@ -103,7 +103,7 @@
 		Routing: &routing.Store{}, Headers: plainHeaders{}, Counters: &metric.Set{}, Reporter: asks,
 	}
 	f.suspects.forwarder, f.poller.forwarder, f.paces.forwarder = f, f, f
-	f.OpenBudget(Retries{Share: 0.2, Slack: 1000, Ends: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
+	f.InitRetryBudget(RetryBudget{Share: 0.2, Slack: 1000, WindowEnd: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
 	f.Roster.SetServices([]protocol.RoutedService{s})
 	var list []protocol.Endpoint
 	for stage := range 3 {
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -30,7 +30,7 @@
 type Quarantine interface {
 	// Empty reports whether nothing is known against any work.
 	Empty() bool
-	Standing(work protocol.Fingerprint, now time.Time) quarantine.Status
+	Status(work protocol.Fingerprint, now time.Time) quarantine.Status
 	// Knows reports whether anything was met of some work that running well would clear.
 	Knows(work protocol.Fingerprint) bool
 	// Taken returns the endpoints at which other such work is on trial.
@@ -59,7 +59,7 @@
 	if q == nil || q.Empty() {
 		return quarantine.Unrestricted{}
 	}
-	return q.Standing(x.work(), now)
+	return q.Status(x.work(), now)
 }
 
 // endsEndpoints refuses a request whose work is known to end what runs it, and returns nil for
@@ -345,13 +345,13 @@
 	return errors.Is(cause, io.EOF) || errors.Is(cause, io.ErrUnexpectedEOF) || errors.Is(cause, syscall.ECONNRESET) || errors.Is(cause, syscall.EPIPE)
 }
 
-// Refused tells requests under way that some work is refused from now on.
-func (f *Forwarder) Refused(r *quarantine.Refusal) {
+// ApplyRefusal tells requests under way that some work is refused from now on.
+func (f *Forwarder) ApplyRefusal(r *quarantine.Refusal) {
 	f.Counters.Add(metric.WorkRefused, 1)
 	f.log(event.WorkRefused, slog.String("fingerprint", r.Work().String()), slog.Int("ends", len(r.Crashes())),
 		slog.Int64("till_ms", clock.Until(r.Until()).Milliseconds()))
-	f.RefusalsChanged()
+	f.RecheckRefusals()
 }
 
-// RefusalsChanged has requests under way look whether their work is refused.
-func (f *Forwarder) RefusalsChanged() { f.refusals.Tell() }
+// RecheckRefusals has requests under way look whether their work is refused.
+func (f *Forwarder) RecheckRefusals() { f.refusals.Tell() }
--- a/transport/forward/repath.go
+++ b/transport/forward/repath.go
@@ -31,8 +31,8 @@
 	quietMost = 3
 )
 
-// Changer orders engines to run a request over another path.
-type Changer interface {
+// PathChanger orders engines to run a request over another path.
+type PathChanger interface {
 	ChangePath(ctx context.Context, o protocol.PathOrder) protocol.PathAnswer
 }
 
@@ -61,7 +61,7 @@
 }
 
 func (c *changing) run() {
-	answer := c.forwarder.Changer.ChangePath(c.attempt.cancelled, c.order)
+	answer := c.forwarder.PathChanger.ChangePath(c.attempt.cancelled, c.order)
 	c.attempt.post(pathAnswered{attempt: c.attempt, answer: answer})
 }
 
@@ -119,7 +119,7 @@
 // one, whose engine is to be ordered, nor while another attempt may speak first, nor where the
 // work may have ended them.
 func (x *exchange) mayReplace(a *attempt, stages []*fleet.Runner, now time.Time) bool {
-	return x.forwarder.Changer != nil && len(x.live) == 1 && a.course.CanStart() && len(stages) > 0 &&
+	return x.forwarder.PathChanger != nil && len(x.live) == 1 && a.course.CanStart() && len(stages) > 0 &&
 		!slices.Contains(stages, a.endpoint) && x.mayMove(now)
 }
 
--- a/transport/forward/repath_test.go
+++ b/transport/forward/repath_test.go
@@ -169,7 +169,7 @@
 	require.False(t, s.ordered)
 	require.Equal(t, 2, s.exchange.tries)
 	f, x := engines(t, 3, nil)
-	f.Changer = s.engine
+	f.PathChanger = s.engine
 	lose(f, x.live[0].endpoint)
 	x.lossTold(time.Now())
 	require.Equal(t, 2, x.tries)
--- a/transport/forward/repath_world_test.go
+++ b/transport/forward/repath_world_test.go
@@ -81,9 +81,9 @@
 	}}
 	home := fleet.Entry{Name: "one", DataCenter: "a"}
 	s := &replacing{t: t, engine: &firstEngine{orders: make(chan protocol.PathOrder, 10), answers: make(chan protocol.PathAnswer, 10)}}
-	f := &Forwarder{Home: home, Roster: &roster.Roster{Entry: home}, Headers: plainHeaders{}, Counters: &metric.Set{}, Changer: s.engine, Reporter: s.engine}
+	f := &Forwarder{Home: home, Roster: &roster.Roster{Entry: home}, Headers: plainHeaders{}, Counters: &metric.Set{}, PathChanger: s.engine, Reporter: s.engine}
 	f.suspects.forwarder, f.poller.forwarder, f.paces.forwarder = f, f, f // as Start does
-	f.OpenBudget(Retries{Share: 0.2, Slack: 1000, Ends: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
+	f.InitRetryBudget(RetryBudget{Share: 0.2, Slack: 1000, WindowEnd: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
 	f.Roster.SetServices([]protocol.RoutedService{service})
 	var list []protocol.Endpoint
 	for i, address := range addresses {
--- a/transport/forward/sleep.go
+++ b/transport/forward/sleep.go
@@ -17,8 +17,8 @@
 	}
 	f.slept = slept
 	f.woke.Tell()
-	if f.Woke != nil {
-		f.Woke(now)
+	if f.OnResume != nil {
+		f.OnResume(now)
 	}
 }
 
--- a/transport/forward/usual.go
+++ b/transport/forward/usual.go
@@ -53,10 +53,10 @@
 
 // tellSeen tells the pace that an answer, or the wait for one, showed.
 func (f *Forwarder) tellSeen(a *attempt, pace float64, now time.Time) {
-	if f.TellPace == nil || pace <= 0 {
+	if f.ReportPace == nil || pace <= 0 {
 		return
 	}
-	f.TellPace(protocol.RelaySlow{Endpoint: a.endpoint.Name(), Observation: protocol.SlowSeen, Pace: min(pace, protocol.MaxPace)}, now)
+	f.ReportPace(protocol.RelaySlow{Endpoint: a.endpoint.Name(), Observation: protocol.SlowSeen, Pace: min(pace, protocol.MaxPace)}, now)
 }
 
 // usualOf returns how long an answer on a route to a plain service usually takes. Routes to one service
--- a/transport/forward/usual_test.go
+++ b/transport/forward/usual_test.go
@@ -115,7 +115,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, call := plain(t)
 		var paces []float64
-		f.TellPace = func(news protocol.RelaySlow, _ time.Time) { paces = append(paces, news.Pace) }
+		f.ReportPace = func(news protocol.RelaySlow, _ time.Time) { paces = append(paces, news.Pace) }
 		for i := range 12 {
 			x := call()
 			x.route.Name = "quick"
--- a/transport/front/fleet.go
+++ b/transport/front/fleet.go
@@ -32,7 +32,7 @@
 			ID: n.Endpoint(), Address: n.Address(), Occupant: n.Owner(), State: protocol.EndpointSuperseded,
 		})
 	}
-	s.Waiting = f.forwarder.Waiting(now)
+	s.Waiting = f.forwarder.QueueStatus(now)
 	slices.SortFunc(s.Endpoints, func(a, b protocol.EndpointStatus) int { return strings.Compare(a.ID, b.ID) })
 	return s
 }
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -104,13 +104,13 @@
 	f.forwarder = forward.Forwarder{
 		Home: home, Routing: &f.routing, Roster: &f.roster, Headers: f.Outside.Headers, Reporter: f.Outside.Engines,
 		Counters: f.Counters, Logger: f.Logger,
-		TrustKeys: s.KeyTrust, Tell: f.source.Tell, Locate: f.source.Locate, Held: &f.held, TellPace: f.source.TellPace,
-		Quarantine: f.source.Quarantine(), Woke: f.woke,
+		KeysTrustedUntil: s.KeyTrust, ReportFailure: f.source.Tell, ReportOccupant: f.source.Locate, MemoryBudget: &f.held, ReportPace: f.source.TellPace,
+		Quarantine: f.source.Quarantine(), OnResume: f.woke,
 	}
 	if s.ChangePaths {
-		f.forwarder.Changer = f.Outside.Engines
+		f.forwarder.PathChanger = f.Outside.Engines
 	}
-	f.forwarder.OpenBudget(forward.Retries{Share: s.RetryShare * shareKept, Slack: s.RetrySlack, Ends: s.RetryWindow}, census.DefaultCount, clock.Now())
+	f.forwarder.InitRetryBudget(forward.RetryBudget{Share: s.RetryShare * shareKept, Slack: s.RetrySlack, WindowEnd: s.RetryWindow}, census.DefaultCount, clock.Now())
 	f.director = director.Director{
 		Self: s.Name, LeaseKind: ownKind, Routing: &f.routing, Roster: &f.roster, Engines: f.Outside.Engines,
 		Objects: f.Outside.Objects, Entries: f.watching, Following: f.source.Following, Followed: f.source.Followed, Counters: f.Counters, Logger: f.Logger,
@@ -127,14 +127,14 @@
 
 // judged takes what a report of an endpoint changes.
 func (f *Front) judged(r loss.Report, v loss.Change) {
-	if f.forwarder.Judged(r, v) {
+	if f.forwarder.ApplyFailureReport(r, v) {
 		f.director.Wake()
 	}
 }
 
 // paced takes what a report of an endpoint's pace changes.
 func (f *Front) paced(r slow.Report, v slow.Change) {
-	if f.forwarder.Paced(r, v) {
+	if f.forwarder.ApplySlownessReport(r, v) {
 		f.director.Wake()
 	}
 }
@@ -163,7 +163,7 @@
 func (f *Front) watching() int {
 	switch n := f.register.centers.Load(); {
 	case !f.source.Followed():
-		return f.forwarder.Entries()
+		return f.forwarder.EntryCount()
 	case !f.source.Following():
 		return 1
 	default:
@@ -282,7 +282,7 @@
 	if t == nil || !f.roster.HasList() || !f.refusals.areRead() || t.RequiresKey() && f.routing.ConfirmedAt().IsZero() {
 		return
 	}
-	f.forwarder.Opened()
+	f.forwarder.EndStartupWait()
 }
 
 // watchFailed notes that the platform did not answer a watcher or a confirmer. Endpoints'
@@ -296,7 +296,7 @@
 // platformFailed tells once that the platform does not answer.
 func (f *Front) platformFailed(what string, err error) {
 	f.Counters.Add(metric.PlatformFaults, 1)
-	f.forwarder.Opened() // what is needed to serve may not come soon
+	f.forwarder.EndStartupWait() // what is needed to serve may not come soon
 	if f.reached.Swap(false) {
 		event.PlatformUnreached.Log(f.Logger, slog.String("for", what), slog.String("cause", err.Error()))
 	}
--- a/transport/front/opening_test.go
+++ b/transport/front/opening_test.go
@@ -19,11 +19,11 @@
 // silentHeaders tell nothing of requests and answers.
 type silentHeaders struct{}
 
-func (silentHeaders) Terms(http.Header, time.Time) protocol.CallerTerms {
+func (silentHeaders) ParseRequest(http.Header, time.Time) protocol.CallerTerms {
 	return protocol.CallerTerms{}
 }
-func (silentHeaders) Mark(http.Header, *protocol.AttemptTerms, time.Time)  {}
-func (silentHeaders) Answer(int, http.Header) (terms protocol.AnswerTerms) { return terms }
+func (silentHeaders) SetAttemptHeaders(http.Header, *protocol.AttemptTerms, time.Time) {}
+func (silentHeaders) ParseResponse(int, http.Header) (terms protocol.AnswerTerms)      { return terms }
 
 // caller is a request that comes right after the start of a front.
 type caller struct {
--- a/transport/front/outside.go
+++ b/transport/front/outside.go
@@ -15,7 +15,7 @@
 type Outside struct {
 	Objects      Objects
 	Engines      Engines
-	Headers      forward.Headers
+	Headers      forward.HeaderCodec
 	Decoder      Decoder
 	RoutingKind  string
 	RoutingName  string
@@ -37,7 +37,7 @@
 // Engines is the way to model engines.
 type Engines interface {
 	forward.Reporter
-	forward.Changer
+	forward.PathChanger
 	director.Engines
 	// Identify asks which endpoint has an address, at the path of its service for that, and
 	// returns "" if what answers does not tell.
--- a/transport/front/refusals.go
+++ b/transport/front/refusals.go
@@ -91,7 +91,7 @@
 	q := r.front.source.Quarantine()
 	newly := q.Newly(now, time.Now())
 	for i := range newly {
-		r.front.forwarder.Refused(&newly[i])
+		r.front.forwarder.ApplyRefusal(&newly[i])
 		r.plan(newly[i], now)
 	}
 	for _, k := range r.due(now) {
@@ -122,7 +122,7 @@
 
 // spread returns over how long all entries spread what one of them has to do.
 func (r *refusals) spread() time.Duration {
-	return keepSpread * time.Duration(r.front.forwarder.Entries())
+	return keepSpread * time.Duration(r.front.forwarder.EntryCount())
 }
 
 // due returns what has to be written now.
@@ -239,7 +239,7 @@
 	r.mutex.Unlock()
 	r.learned.Tell()
 	if counts {
-		r.front.forwarder.RefusalsChanged()
+		r.front.forwarder.RecheckRefusals()
 	}
 }
 
--- a/transport/front/register.go
+++ b/transport/front/register.go
@@ -144,7 +144,7 @@
 		return
 	}
 	r.counted = n
-	r.front.forwarder.SetEntries(n)
+	r.front.forwarder.SetEntryCount(n)
 	event.EntriesCounted.Log(r.front.Logger, slog.Int("entries", n), slog.Uint64("revision", r.at))
 }
 
--- a/transport/front/stop.go
+++ b/transport/front/stop.go
@@ -27,14 +27,14 @@
 // breaks off what is left shortly before it would be killed.
 func (f *Front) Stop(now time.Time) {
 	f.stopping.Store(true)
-	event.EntryStopping.Log(f.Logger, slog.Int64("open", f.forwarder.Open()))
+	event.EntryStopping.Log(f.Logger, slog.Int64("open", f.forwarder.OpenRequests()))
 	f.callers.server.SetKeepAlivesEnabled(false)
 	last := now.Add(lastTaken)
 	end := f.Settings.StopBy(now).Add(-stopMargin)
 	for now.Before(end) {
 		if now.After(last) {
 			f.forwarder.RefuseNew()
-			if f.forwarder.Open() == 0 && f.held.Held() == 0 {
+			if f.forwarder.OpenRequests() == 0 && f.held.Held() == 0 {
 				break
 			}
 		}
@@ -42,7 +42,7 @@
 		now = clock.Now()
 	}
 	f.finish(end)
-	event.EntryStopped.Log(f.Logger, slog.Int64("cut_off", f.forwarder.Open()))
+	event.EntryStopped.Log(f.Logger, slog.Int64("cut_off", f.forwarder.OpenRequests()))
 	f.close()
 }
 
