--- a/coordination/repath/course_test.go
+++ b/coordination/reroute/course_test.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package repath_test
+package reroute_test
 
 import (
 	"errors"
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"pinerun.example/pinerun/coordination/path"
-	"pinerun.example/pinerun/coordination/repath"
+	"pinerun.example/pinerun/coordination/reroute"
 	"pinerun.example/pinerun/protocol"
 )
 
@@ -19,7 +19,7 @@
 
 // life is one request as its first engine and its entry see it.
 type life struct {
-	course   repath.Tracker
+	course   reroute.Tracker
 	now      time.Time
 	path     path.Path
 	waiting  bool // an order whose answer the entry waits for
@@ -139,41 +139,41 @@
 }
 
 func TestAnOrderThatFindsNoRequestIsTheLast(t *testing.T) {
-	var c repath.Tracker
+	var c reroute.Tracker
 	c.Start(&path.Path{})
-	require.Equal(t, repath.Abandoned, c.HandleAnswer(protocol.PathUnknown{}, now))
+	require.Equal(t, reroute.Abandoned, c.HandleAnswer(protocol.PathUnknown{}, now))
 	require.False(t, c.CanStart())
 	require.False(t, c.Pending())
 	require.False(t, c.MayApplyLate())
 }
 
 func TestAnUnfitStageIsReplacedOnce(t *testing.T) {
-	var c repath.Tracker
+	var c reroute.Tracker
 	c.Start(&path.Path{})
-	require.Equal(t, repath.RetryChange, c.HandleAnswer(protocol.PathUnfit{}, now))
+	require.Equal(t, reroute.RetryChange, c.HandleAnswer(protocol.PathUnfit{}, now))
 	require.True(t, c.CanStart())
 	c.Start(&path.Path{})
-	require.Equal(t, repath.Abandoned, c.HandleAnswer(protocol.PathUnfit{}, now))
+	require.Equal(t, reroute.Abandoned, c.HandleAnswer(protocol.PathUnfit{}, now))
 	require.False(t, c.CanStart())
 }
 
 // TestAnOrderInDoubtEndsByTheEnginesWord, or by the next event.
 func TestAnOrderInDoubtEndsByTheEnginesWord(t *testing.T) {
-	var c repath.Tracker
+	var c reroute.Tracker
 	c.Start(&path.Path{})
-	require.Equal(t, repath.Unresolved, c.HandleAnswer(protocol.PathUnanswered{}, now))
+	require.Equal(t, reroute.Unresolved, c.HandleAnswer(protocol.PathUnanswered{}, now))
 	require.False(t, c.StartQuery(now), "it is left to show")
 	later := now.Add(time.Second)
 	require.True(t, c.StartQuery(later))
 	require.False(t, c.StartQuery(later), "it is asked already")
-	require.Equal(t, repath.Unresolved, c.HandleReport(false, later), "it does not wait: it may have been moved")
+	require.Equal(t, reroute.Unresolved, c.HandleReport(false, later), "it does not wait: it may have been moved")
 	require.True(t, c.Pending())
 	later = later.Add(time.Second)
 	require.True(t, c.StartQuery(later))
-	require.Equal(t, repath.Abandoned, c.HandleReport(true, later))
+	require.Equal(t, reroute.Abandoned, c.HandleReport(true, later))
 	require.True(t, c.MayApplyLate())
 
-	c = repath.Tracker{}
+	c = reroute.Tracker{}
 	c.Start(&path.Path{})
 	c.HandleAnswer(protocol.PathUnanswered{}, now)
 	c.HandleProgress()
--- a/coordination/repath/repath.go
+++ b/coordination/reroute/repath.go
@@ -14,7 +14,7 @@
 //	case repath.Wait:
 //		// neither helps now
 //	}
-package repath
+package reroute
 
 import (
 	"slices"
--- a/coordination/repath/repath_test.go
+++ b/coordination/reroute/repath_test.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package repath_test
+package reroute_test
 
 import (
 	"fmt"
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	"pinerun.example/pinerun/coordination/path"
-	"pinerun.example/pinerun/coordination/repath"
+	"pinerun.example/pinerun/coordination/reroute"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
 )
@@ -47,19 +47,19 @@
 	return p
 }
 
-func choose(v *fleet.View, q *repath.Query) repath.Decision {
+func choose(v *fleet.View, q *reroute.Query) reroute.Decision {
 	q.Search = search()
-	return repath.Choose([]*fleet.Model{v.Model(model)}, q)
+	return reroute.Choose([]*fleet.Model{v.Model(model)}, q)
 }
 
 func TestOnlyTheLostStageIsReplaced(t *testing.T) {
 	v := gather(9, protocol.Span{From: 0, To: 3}, protocol.Span{From: 3, To: 6}, protocol.Span{From: 6, To: 9})
 	p := whole(t, v)
-	require.Equal(t, repath.Wait{}, choose(v, &repath.Query{Path: p, Lost: []*fleet.Runner{v.Runner("r1")}}), "nobody else holds its layers")
+	require.Equal(t, reroute.Wait{}, choose(v, &reroute.Query{Path: p, Lost: []*fleet.Runner{v.Runner("r1")}}), "nobody else holds its layers")
 
 	v = gather(9, protocol.Span{From: 0, To: 3}, protocol.Span{From: 3, To: 6}, protocol.Span{From: 6, To: 9}, protocol.Span{From: 2, To: 7})
 	p = whole(t, v, v.Runner("r3"))
-	d, ok := choose(v, &repath.Query{Path: p, Lost: []*fleet.Runner{v.Runner("r1")}, Tokens: 900, RemainingTokens: 100}).(*repath.Change)
+	d, ok := choose(v, &reroute.Query{Path: p, Lost: []*fleet.Runner{v.Runner("r1")}, Tokens: 900, RemainingTokens: 100}).(*reroute.Change)
 	require.True(t, ok)
 	require.Equal(t, 3, d.Path().Len())
 	require.True(t, d.Path().HasStage(v.Runner("r0"), protocol.Span{From: 0, To: 3}))
@@ -71,9 +71,9 @@
 	v := gather(4, protocol.Span{From: 0, To: 2}, protocol.Span{From: 2, To: 4}, protocol.Span{From: 0, To: 2})
 	p := whole(t, v, v.Runner("r2"))
 	lost := []*fleet.Runner{v.Runner("r0")}
-	require.Equal(t, repath.Wait{}, choose(v, &repath.Query{Path: p, Lost: lost}))
+	require.Equal(t, reroute.Wait{}, choose(v, &reroute.Query{Path: p, Lost: lost}))
 	other := whole(t, v, lost...)
-	require.Equal(t, repath.Resend{}, choose(v, &repath.Query{Path: p, Lost: lost, Alternative: &other}))
+	require.Equal(t, reroute.Resend{}, choose(v, &reroute.Query{Path: p, Lost: lost, Alternative: &other}))
 }
 
 // TestAllAfterTheFirstStageIsReplacedWhereNoEngineFitsTheHole: the only other holder of the
@@ -87,7 +87,7 @@
 	require.True(t, path.ReplaceStages(v.Model(model), &q, &three, q.Avoid, &p))
 	require.True(t, p.HasStage(v.Runner("r2"), protocol.Span{From: 4, To: 6}))
 	v.Runner("r3").MarkLeaving()
-	d, ok := choose(v, &repath.Query{Path: p, Lost: []*fleet.Runner{v.Runner("r1")}}).(*repath.Change)
+	d, ok := choose(v, &reroute.Query{Path: p, Lost: []*fleet.Runner{v.Runner("r1")}}).(*reroute.Change)
 	require.True(t, ok)
 	require.Equal(t, 2, d.Path().Len())
 	require.True(t, d.Path().HasStage(v.Runner("r2"), protocol.Span{From: 2, To: 6}))
@@ -99,15 +99,15 @@
 	p := whole(t, v, v.Runner("r2"), v.Runner("r3"))
 	lost := []*fleet.Runner{v.Runner("r1")}
 	other := whole(t, v, v.Runner("r0"), v.Runner("r1"), v.Runner("r2"))
-	query := func() *repath.Query {
-		return &repath.Query{Path: p, Lost: lost, Tokens: 800, RemainingTokens: 200, Alternative: &other}
+	query := func() *reroute.Query {
+		return &reroute.Query{Path: p, Lost: lost, Tokens: 800, RemainingTokens: 200, Alternative: &other}
 	}
-	require.IsType(t, &repath.Change{}, choose(v, query()))
+	require.IsType(t, &reroute.Change{}, choose(v, query()))
 	for range 40 {
 		v.Runner("r2").ObserveStep(time.Second, 0.01, now)
 	}
 	v.Runner("r3").Suspect(now.Add(time.Second)) // not for the hole either
-	require.Equal(t, repath.Resend{}, choose(v, query()))
+	require.Equal(t, reroute.Resend{}, choose(v, query()))
 }
 
 // TestAFullRunnerIsNoReplacement, since an order that finds no room was in vain.
@@ -115,7 +115,7 @@
 	v := gather(4, protocol.Span{From: 0, To: 2}, protocol.Span{From: 2, To: 4}, protocol.Span{From: 2, To: 4})
 	p := whole(t, v, v.Runner("r2"))
 	v.Runner("r2").ReportUtilization(0.95, now)
-	require.Equal(t, repath.Wait{}, choose(v, &repath.Query{Path: p, Lost: []*fleet.Runner{v.Runner("r1")}, Tokens: 800}))
+	require.Equal(t, reroute.Wait{}, choose(v, &reroute.Query{Path: p, Lost: []*fleet.Runner{v.Runner("r1")}, Tokens: 800}))
 }
 
 // TestAChangedPathIsWhole draws holders and losses: a changed path runs every layer once
@@ -133,7 +133,7 @@
 		v.Runner("r0").Exclude(now.Add(time.Second)) // it would be the whole path
 		p := whole(t, v)
 		v.Runner("r0").MarkWorking()
-		q := &repath.Query{Path: p, Tokens: 800, RemainingTokens: 100}
+		q := &reroute.Query{Path: p, Tokens: 800, RemainingTokens: 100}
 		for i := range p.Len() {
 			if rapid.Bool().Draw(t, "lost") {
 				q.Lost = append(q.Lost, p.Runner(i))
@@ -145,7 +145,7 @@
 				v.Runner(name(i)).MarkLeaving()
 			}
 		}
-		d, ok := choose(v, q).(*repath.Change)
+		d, ok := choose(v, q).(*reroute.Change)
 		if !ok {
 			return
 		}
@@ -178,12 +178,12 @@
 		v := gather(80, spans...)
 		p := whole(b, v)
 		other := whole(b, v, p.Runner(0))
-		q := &repath.Query{Path: p, Lost: []*fleet.Runner{p.Runner(3)}, Tokens: 900, RemainingTokens: 100, Alternative: &other, Search: search()}
+		q := &reroute.Query{Path: p, Lost: []*fleet.Runner{p.Runner(3)}, Tokens: 900, RemainingTokens: 100, Alternative: &other, Search: search()}
 		models := []*fleet.Model{v.Model(model)}
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				repath.Choose(models, q)
+				reroute.Choose(models, q)
 			}
 		})
 	}
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"pinerun.example/pinerun/coordination/path"
-	"pinerun.example/pinerun/coordination/repath"
+	"pinerun.example/pinerun/coordination/reroute"
 	"pinerun.example/pinerun/internal/clock"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
@@ -50,7 +50,7 @@
 	spoke       bool                 // an event came; the exchange's
 	fell        bool                 // the endpoint broke the connection off; the exchange's
 	overdue     bool                 // it was told that its endpoint is slow; the exchange's
-	course      repath.Tracker       // orders to change its path; the exchange's
+	course      reroute.Tracker      // orders to change its path; the exchange's
 	quietTill   time.Time            // until when a change of path may hold it up; the exchange's
 	movedAt     time.Time            // when its path changed, until an event comes; the exchange's
 	life        protocol.Incarnation // of the endpoint when it was sent; the exchange's
--- a/transport/forward/repath.go
+++ b/transport/forward/repath.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"pinerun.example/pinerun/coordination/path"
-	"pinerun.example/pinerun/coordination/repath"
+	"pinerun.example/pinerun/coordination/reroute"
 	"pinerun.example/pinerun/internal/event"
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
@@ -124,8 +124,8 @@
 }
 
 // change orders the change of path that the query allows, and returns "" if there is none.
-func (x *exchange) change(a *attempt, q *repath.Query, now time.Time) silenceAction {
-	change, ok := repath.Choose(x.models(a), q).(*repath.Change)
+func (x *exchange) change(a *attempt, q *reroute.Query, now time.Time) silenceAction {
+	change, ok := reroute.Choose(x.models(a), q).(*reroute.Change)
 	if !ok {
 		return ""
 	}
@@ -135,9 +135,9 @@
 
 // changeQuery is what the decision on a change of path depends on, without a path
 // elsewhere.
-func (x *exchange) changeQuery(a *attempt, lost []*fleet.Runner, now time.Time) *repath.Query {
+func (x *exchange) changeQuery(a *attempt, lost []*fleet.Runner, now time.Time) *reroute.Query {
 	written := x.events * max(1, x.service.Engine.EventTokens)
-	q := &repath.Query{
+	q := &reroute.Query{
 		Path: a.path, Lost: lost, Tokens: x.terms.PromptTokens + written, RemainingTokens: max(0, x.terms.AnswerTokens-written), Search: x.query(now),
 	}
 	q.Search.Avoid = append(slices.Clip(x.avoid), lost...)
@@ -159,7 +159,7 @@
 }
 
 // order sends the order. From now on the work counts at the stages of both paths.
-func (x *exchange) order(a *attempt, c *repath.Change, now time.Time) {
+func (x *exchange) order(a *attempt, c *reroute.Change, now time.Time) {
 	f := x.forwarder
 	a.course.Start(c.Path())
 	a.quietTill = now.Add(max(changeLeast, time.Duration(changeSlack*c.Seconds()*float64(time.Second))))
--- a/transport/forward/repath_answer.go
+++ b/transport/forward/repath_answer.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"pinerun.example/pinerun/coordination/path"
-	"pinerun.example/pinerun/coordination/repath"
+	"pinerun.example/pinerun/coordination/reroute"
 	"pinerun.example/pinerun/internal/event"
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
@@ -30,15 +30,15 @@
 	x.forwarder.log(event.PathAnswered, x.id(), slog.Int("attempt", a.number), slog.String("answer", metric.AnswerName(m.answer)),
 		slog.String("cause", causeOf(m.answer)))
 	switch outcome {
-	case repath.PathChanged:
+	case reroute.PathChanged:
 		x.move(a, next, now)
-	case repath.RetryChange, repath.Abandoned:
+	case reroute.RetryChange, reroute.Abandoned:
 		a.loadNextOf(next, -1)
 		if unfit, ok := m.answer.(protocol.PathUnfit); ok {
 			x.avoidUnfit(a, next, unfit.Address, now)
 		}
 		x.actOnLost(a, now)
-	case repath.Unresolved:
+	case reroute.Unresolved:
 		x.avoid = append(x.avoid, a.endpoint)
 	}
 }
@@ -48,7 +48,7 @@
 func (x *exchange) takeWaitReport(m waitReported, now time.Time) {
 	a := m.attempt
 	next, _ := a.course.OrderedPath()
-	if a.course.HandleReport(m.waits, now) == repath.Abandoned {
+	if a.course.HandleReport(m.waits, now) == reroute.Abandoned {
 		a.loadNextOf(next, -1)
 		x.actOnLost(a, now)
 	}
