--- a/command/bound.go
+++ b/command/bound.go
@@ -11,7 +11,7 @@
 	"github.com/integrii/flaggy"
 
 	"pinerun.example/pinerun/coordination/bound"
-	"pinerun.example/pinerun/coordination/place"
+	"pinerun.example/pinerun/coordination/placement"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/settings"
 )
@@ -61,14 +61,14 @@
 
 // enginesOf returns each engine by itself, or an error that names an accelerator that
 // is not described.
-func enginesOf(f *settings.Fleet, facts *protocol.EngineFacts) ([]place.Engine, error) {
-	var all []place.Engine
+func enginesOf(f *settings.Fleet, facts *protocol.EngineFacts) ([]placement.Engine, error) {
+	var all []placement.Engine
 	for i, e := range f.Engines {
 		if _, known := facts.Accelerator(e.Accelerator); !known {
 			return nil, fmt.Errorf("the accelerator %q of %s is not described; add it to \"accelerators\"", e.Accelerator, e.DataCenter)
 		}
 		for n := range e.Count {
-			all = append(all, place.Engine{ID: fmt.Sprintf("%s-%d-%d", e.DataCenter, i, n), DataCenter: e.DataCenter, Accelerator: e.Accelerator})
+			all = append(all, placement.Engine{ID: fmt.Sprintf("%s-%d-%d", e.DataCenter, i, n), DataCenter: e.DataCenter, Accelerator: e.Accelerator})
 		}
 	}
 	return all, nil
--- a/coordination/bound/fleet.go
+++ b/coordination/bound/fleet.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"pinerun.example/pinerun/coordination/place"
+	"pinerun.example/pinerun/coordination/placement"
 	"pinerun.example/pinerun/protocol"
 )
 
@@ -63,8 +63,8 @@
 
 // DataCenters returns what each data center allows, in order of name. Layers that a data
 // center can't hold leave it with nothing.
-func DataCenters(f *protocol.EngineFacts, engines []place.Engine) []DataCenter {
-	byCenter := map[string][]place.Engine{}
+func DataCenters(f *protocol.EngineFacts, engines []placement.Engine) []DataCenter {
+	byCenter := map[string][]placement.Engine{}
 	var names []string
 	for _, e := range engines {
 		if byCenter[e.DataCenter] == nil {
@@ -80,7 +80,7 @@
 	return all
 }
 
-func centerOf(f *protocol.EngineFacts, name string, engines []place.Engine) DataCenter {
+func centerOf(f *protocol.EngineFacts, name string, engines []placement.Engine) DataCenter {
 	laid := layOut(f, slices.Clone(engines))
 	c := DataCenter{name: name, room: room(f, laid), lossRoom: math.Inf(1)}
 	for _, e := range laid {
@@ -100,14 +100,14 @@
 }
 
 // layOut gives engines their layers, as if each order had taken effect.
-func layOut(f *protocol.EngineFacts, engines []place.Engine) []place.Engine {
+func layOut(f *protocol.EngineFacts, engines []placement.Engine) []placement.Engine {
 	for range plansMost {
-		moves := place.Plan(place.Query{Facts: f, Engines: engines})
+		moves := placement.Plan(placement.Query{Facts: f, Engines: engines})
 		if len(moves) == 0 {
 			break
 		}
 		for _, m := range moves {
-			i := slices.IndexFunc(engines, func(e place.Engine) bool { return e.ID == m.Engine() })
+			i := slices.IndexFunc(engines, func(e placement.Engine) bool { return e.ID == m.Engine() })
 			engines[i].Held, engines[i].Serving = m.Span(), m.Span()
 		}
 	}
@@ -116,7 +116,7 @@
 
 // room returns how many requests of usual size fit beside the weights, by the layer
 // whose holders have the least memory for it together.
-func room(f *protocol.EngineFacts, engines []place.Engine) float64 {
+func room(f *protocol.EngineFacts, engines []placement.Engine) float64 {
 	tokens := make([]float64, f.Layers)
 	for _, e := range engines {
 		a, ok := f.Accelerator(e.Accelerator)
@@ -133,7 +133,7 @@
 }
 
 // readers returns the engines as runners whose speed is that of reading prompts.
-func readers(f *protocol.EngineFacts, engines []place.Engine) []protocol.Runner {
+func readers(f *protocol.EngineFacts, engines []placement.Engine) []protocol.Runner {
 	var all []protocol.Runner
 	for _, e := range engines {
 		if a, ok := f.Accelerator(e.Accelerator); ok && e.Held.Layers() > 0 {
@@ -147,7 +147,7 @@
 
 // secondsPerToken returns how many stages the fastest path has and how long a token
 // takes over it while that many requests are open.
-func secondsPerToken(f *protocol.EngineFacts, engines []place.Engine, open float64) (stages int, seconds float64) {
+func secondsPerToken(f *protocol.EngineFacts, engines []placement.Engine, open float64) (stages int, seconds float64) {
 	best := make([]float64, f.Layers+1)
 	count := make([]int, f.Layers+1)
 	for l := 1; l <= f.Layers; l++ {
--- a/coordination/bound/fleet_test.go
+++ b/coordination/bound/fleet_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"pinerun.example/pinerun/coordination/bound"
-	"pinerun.example/pinerun/coordination/place"
+	"pinerun.example/pinerun/coordination/placement"
 	"pinerun.example/pinerun/protocol"
 )
 
@@ -22,10 +22,10 @@
 	}
 }
 
-func engines(accelerator string, n int) []place.Engine {
-	var all []place.Engine
+func engines(accelerator string, n int) []placement.Engine {
+	var all []placement.Engine
 	for i := range n {
-		all = append(all, place.Engine{ID: fmt.Sprint(accelerator, "-", i), DataCenter: "a", Accelerator: accelerator})
+		all = append(all, placement.Engine{ID: fmt.Sprint(accelerator, "-", i), DataCenter: "a", Accelerator: accelerator})
 	}
 	return all
 }
--- a/coordination/place/place.go
+++ b/coordination/placement/place.go
@@ -15,7 +15,7 @@
 //
 // Only what is missing is moved: an engine that holds layers keeps them unless
 // every one of them is held by another and a hole can't be filled otherwise.
-package place
+package placement
 
 import (
 	"cmp"
--- a/coordination/place/place_test.go
+++ b/coordination/placement/place_test.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package place_test
+package placement_test
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"pinerun.example/pinerun/coordination/place"
+	"pinerun.example/pinerun/coordination/placement"
 	"pinerun.example/pinerun/protocol"
 )
 
@@ -30,28 +30,28 @@
 	}
 }
 
-func fleet(counts map[string][4]int) []place.Engine {
+func fleet(counts map[string][4]int) []placement.Engine {
 	kinds := [4]string{"h100", "a100s", "l4", "t4"}
-	var all []place.Engine
+	var all []placement.Engine
 	for center, c := range counts {
 		for k, n := range c {
 			for i := range n {
-				all = append(all, place.Engine{ID: fmt.Sprintf("%s-%s-%d", center, kinds[k], i), DataCenter: center, Accelerator: kinds[k]})
+				all = append(all, placement.Engine{ID: fmt.Sprintf("%s-%s-%d", center, kinds[k], i), DataCenter: center, Accelerator: kinds[k]})
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b place.Engine) int { return strings.Compare(a.ID, b.ID) })
+	slices.SortFunc(all, func(a, b placement.Engine) int { return strings.Compare(a.ID, b.ID) })
 	return all
 }
 
 // holdsACopy reports whether a data center's engines can hold the whole model with
 // the least room, as place itself asks before it gives it a copy of its own.
-func holdsACopy(f *protocol.EngineFacts, engines []place.Engine, center string) bool {
+func holdsACopy(f *protocol.EngineFacts, engines []placement.Engine, center string) bool {
 	const leastRequests = 4
 	sum := 0
 	for _, e := range engines {
 		if a, ok := f.Accelerator(e.Accelerator); ok && e.DataCenter == center && !e.Leaving {
-			sum += place.LayerCapacity(f, a.MemoryMB, float64((f.UsualPrompt+f.UsualAnswer)*leastRequests))
+			sum += placement.LayerCapacity(f, a.MemoryMB, float64((f.UsualPrompt+f.UsualAnswer)*leastRequests))
 		}
 	}
 	return sum >= f.Layers
@@ -59,7 +59,7 @@
 
 // held returns how many engines hold each layer of each copy: in data centers that
 // are both too small for a copy, a copy's layers may be held in either.
-func held(f *protocol.EngineFacts, engines []place.Engine) []int {
+func held(f *protocol.EngineFacts, engines []placement.Engine) []int {
 	a, b := holders(f, engines, "a"), holders(f, engines, "b")
 	if holdsACopy(f, engines, "a") || holdsACopy(f, engines, "b") {
 		return append(a, b...)
@@ -77,8 +77,8 @@
 }
 
 // in returns the engines of a data center.
-func in(engines []place.Engine, center string) []place.Engine {
-	var all []place.Engine
+func in(engines []placement.Engine, center string) []placement.Engine {
+	var all []placement.Engine
 	for _, e := range engines {
 		if e.DataCenter == center {
 			all = append(all, e)
@@ -87,12 +87,12 @@
 	return all
 }
 
-func today() []place.Engine {
+func today() []placement.Engine {
 	return fleet(map[string][4]int{"a": {0, 2, 4, 7}, "b": {1, 1, 5, 7}, "c": {0, 1, 8, 3}})
 }
 
 // apply carries the moves out.
-func apply(engines []place.Engine, moves []place.Reassignment) {
+func apply(engines []placement.Engine, moves []placement.Reassignment) {
 	for _, m := range moves {
 		for i := range engines {
 			if engines[i].ID == m.Engine() {
@@ -104,7 +104,7 @@
 }
 
 // holders returns how many engines of a data center hold each layer.
-func holders(f *protocol.EngineFacts, engines []place.Engine, center string) []int {
+func holders(f *protocol.EngineFacts, engines []placement.Engine, center string) []int {
 	cover := make([]int, f.Layers)
 	for _, e := range engines {
 		if e.DataCenter != center || e.Leaving {
@@ -117,7 +117,7 @@
 	return cover
 }
 
-func requireFits(t require.TestingT, f *protocol.EngineFacts, engines []place.Engine) {
+func requireFits(t require.TestingT, f *protocol.EngineFacts, engines []placement.Engine) {
 	for _, e := range engines {
 		a, ok := f.Accelerator(e.Accelerator)
 		require.True(t, ok)
@@ -128,7 +128,7 @@
 
 func TestEveryDataCenterOfTodayGetsAWholeCopy(t *testing.T) {
 	f, engines := facts(), today()
-	apply(engines, place.Plan(place.Query{Facts: f, Engines: engines}))
+	apply(engines, placement.Plan(placement.Query{Facts: f, Engines: engines}))
 	requireFits(t, f, engines)
 	for _, c := range []string{"a", "b", "c"} {
 		for l, n := range holders(f, engines, c) {
@@ -138,21 +138,21 @@
 	// Layouts of 1.3 copies with the largest engines first, weighed alike: 34.5, 58.3 and
 	// 28.7 requests a second.
 	for c, least := range map[string]float64{"a": 34.5, "b": 58.3, "c": 28.7} {
-		w := place.Evaluate(f, in(engines, c))
+		w := placement.Evaluate(f, in(engines, c))
 		require.Greater(t, w.RequestsPerSecond(), least, "%s: room for %.0f requests of %.1f s", c, w.Capacity(), w.RequestSeconds())
 	}
-	require.Empty(t, place.Plan(place.Query{Facts: f, Engines: engines}), "nothing is left to do")
+	require.Empty(t, placement.Plan(placement.Query{Facts: f, Engines: engines}), "nothing is left to do")
 }
 
 func TestALossIsMendedWithFewMovesAndWithoutMovingWhatIsNeeded(t *testing.T) {
 	f := facts()
 	for lost := range today() {
 		engines := today()
-		apply(engines, place.Plan(place.Query{Facts: f, Engines: engines}))
+		apply(engines, placement.Plan(placement.Query{Facts: f, Engines: engines}))
 		center := engines[lost].DataCenter
 		engines = append(engines[:lost:lost], engines[lost+1:]...)
 		before := holders(f, engines, center)
-		moves := place.Plan(place.Query{Facts: f, Engines: engines})
+		moves := placement.Plan(placement.Query{Facts: f, Engines: engines})
 		hole := slices.Contains(before, 0)
 		if !hole {
 			require.LessOrEqual(t, len(moves), 1, "without a hole only what makes the layout better")
@@ -181,9 +181,9 @@
 
 func TestARestartedEngineIsGivenLayersAgain(t *testing.T) {
 	f, engines := facts(), today()
-	apply(engines, place.Plan(place.Query{Facts: f, Engines: engines}))
+	apply(engines, placement.Plan(placement.Query{Facts: f, Engines: engines}))
 	engines[3].Held, engines[3].Serving = protocol.Span{}, protocol.Span{}
-	moves := place.Plan(place.Query{Facts: f, Engines: engines})
+	moves := placement.Plan(placement.Query{Facts: f, Engines: engines})
 	require.NotEmpty(t, moves)
 	apply(engines, moves)
 	require.Positive(t, engines[3].Held.Layers())
@@ -195,20 +195,20 @@
 	f := facts()
 	f.Layers = 12
 	span := func(from, to int) protocol.Span { return protocol.Span{From: from, To: to} }
-	engines := []place.Engine{
+	engines := []placement.Engine{
 		{ID: "serves", DataCenter: "a", Accelerator: "t4", Held: span(0, 8), Serving: span(0, 8)},
 		{ID: "loads", DataCenter: "a", Accelerator: "t4", Held: span(0, 8)},
 	}
-	require.Empty(t, place.Plan(place.Query{Facts: f, Engines: engines}), "the layers would have no holder until the other has loaded them")
+	require.Empty(t, placement.Plan(placement.Query{Facts: f, Engines: engines}), "the layers would have no holder until the other has loaded them")
 	engines[1].Serving = span(0, 8)
-	moves := place.Plan(place.Query{Facts: f, Engines: engines})
+	moves := placement.Plan(placement.Query{Facts: f, Engines: engines})
 	require.NotEmpty(t, moves)
 	apply(engines, moves)
 	for l, n := range holders(f, engines, "a") {
 		require.Positive(t, n, "layer %d", l)
 	}
 	for _, m := range moves {
-		require.Equal(t, place.ReasonShift, m.Reason())
+		require.Equal(t, placement.ReasonShift, m.Reason())
 	}
 }
 
@@ -217,20 +217,20 @@
 // layer or two, although others held only what another held too.
 func TestASpareEngineFillsAHoleWhole(t *testing.T) {
 	f := facts()
-	span := func(id, kind string, from, to int) place.Engine {
+	span := func(id, kind string, from, to int) placement.Engine {
 		s := protocol.Span{From: from, To: to}
-		return place.Engine{ID: id, DataCenter: "c", Accelerator: kind, Held: s, Serving: s}
+		return placement.Engine{ID: id, DataCenter: "c", Accelerator: kind, Held: s, Serving: s}
 	}
-	engines := []place.Engine{
+	engines := []placement.Engine{
 		span("a", "a100s", 0, 15), span("b", "t4", 0, 6), span("c", "t4", 6, 12), span("d", "l4", 15, 24), span("e", "l4", 15, 24),
 		span("g", "l4", 33, 42), span("h", "l4", 42, 51), span("i", "l4", 51, 60), span("j", "l4", 60, 69), span("k", "l4", 69, 78),
 		span("l", "t4", 78, 80),
 	}
-	moves := place.Plan(place.Query{Facts: f, Engines: engines})
+	moves := placement.Plan(placement.Query{Facts: f, Engines: engines})
 	filled := 0
 	for _, m := range moves {
 		require.Contains(t, []string{"b", "c", "d", "e"}, m.Engine(), "only engines whose layers others hold too")
-		require.Equal(t, place.ReasonShift, m.Reason())
+		require.Equal(t, placement.ReasonShift, m.Reason())
 		require.True(t, m.Interrupts(), "waiting for what passes takes as long as the longest stream")
 		require.True(t, m.Span().From >= 24 && m.Span().To <= 33)
 		filled += m.Span().Layers()
@@ -241,7 +241,7 @@
 func TestSmallDataCentersHoldACopyTogether(t *testing.T) {
 	f := facts()
 	engines := fleet(map[string][4]int{"a": {0, 0, 4, 0}, "b": {0, 0, 5, 0}})
-	apply(engines, place.Plan(place.Query{Facts: f, Engines: engines}))
+	apply(engines, placement.Plan(placement.Query{Facts: f, Engines: engines}))
 	a, b := holders(f, engines, "a"), holders(f, engines, "b")
 	for l := range a {
 		require.Positive(t, a[l]+b[l])
@@ -268,7 +268,7 @@
 		}
 		for range 200 { // an improvement a plan
 			before := held(f, engines)
-			moves := place.Plan(place.Query{Facts: f, Engines: engines})
+			moves := placement.Plan(placement.Query{Facts: f, Engines: engines})
 			if len(moves) == 0 {
 				return
 			}
@@ -278,7 +278,7 @@
 				require.False(t, before[l] > 0 && n == 0 && !holed(f, before, l), "layer %d of %d lost its last holder", l%f.Layers, f.Layers)
 			}
 		}
-		t.Fatalf("plans never end: %v", place.Plan(place.Query{Facts: f, Engines: engines}))
+		t.Fatalf("plans never end: %v", placement.Plan(placement.Query{Facts: f, Engines: engines}))
 	})
 }
 
@@ -287,7 +287,7 @@
 func TestTheSameQueryHasTheSameAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := facts()
-		draw := func() []place.Engine {
+		draw := func() []placement.Engine {
 			engines := fleet(map[string][4]int{"a": {0, 1, 3, 3}, "b": {0, 2, 2, 2}})
 			for i := range engines {
 				engines[i].Held = protocol.Span{To: rapid.IntRange(0, 2).Draw(t, "held")}
@@ -295,14 +295,14 @@
 			}
 			return engines
 		}
-		one := place.Query{Facts: f, Engines: draw(), Urgent: rapid.Bool().Draw(t, "urgent")}
-		two := place.Query{Facts: f, Engines: draw(), Urgent: rapid.Bool().Draw(t, "urgent")}
+		one := placement.Query{Facts: f, Engines: draw(), Urgent: rapid.Bool().Draw(t, "urgent")}
+		two := placement.Query{Facts: f, Engines: draw(), Urgent: rapid.Bool().Draw(t, "urgent")}
 		kept := slices.Clone(one.Engines)
-		answer := place.Plan(one)
+		answer := placement.Plan(one)
 		require.Equal(t, kept, one.Engines, "a plan changes nothing of its query")
-		require.Equal(t, answer, place.Plan(one))
+		require.Equal(t, answer, placement.Plan(one))
 		if one.Equal(&two) {
-			require.Equal(t, answer, place.Plan(two))
+			require.Equal(t, answer, placement.Plan(two))
 		}
 		other := one
 		other.Facts = facts()
@@ -324,7 +324,7 @@
 func BenchmarkReplan(b *testing.B) {
 	for _, n := range []int{4, 15, 46} {
 		engines := fleet(map[string][4]int{"a": {0, 2 * n, 4 * n, 7 * n}})
-		one := place.Query{Facts: facts(), Engines: engines, Urgent: true}
+		one := placement.Query{Facts: facts(), Engines: engines, Urgent: true}
 		two := one
 		two.Engines = slices.Clone(engines)
 		b.Run(fmt.Sprintf("engines=%d", len(engines)), func(b *testing.B) {
@@ -349,7 +349,7 @@
 		b.Run(fmt.Sprintf("engines=%d", len(engines)), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				place.Plan(place.Query{Facts: facts(), Engines: engines})
+				placement.Plan(placement.Query{Facts: facts(), Engines: engines})
 			}
 		})
 	}
@@ -362,13 +362,13 @@
 	for _, n := range []int{1, 2, 4, 15, 46} {
 		engines := fleet(map[string][4]int{"a": {0, 2 * n, 4 * n, 7 * n}})
 		for range 50 {
-			apply(engines, place.Plan(place.Query{Facts: facts(), Engines: engines}))
+			apply(engines, placement.Plan(placement.Query{Facts: facts(), Engines: engines}))
 		}
 		for _, urgent := range []bool{false, true} {
 			b.Run(fmt.Sprintf("engines=%d/urgent=%v", len(engines), urgent), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					place.Plan(place.Query{Facts: facts(), Engines: engines, Urgent: urgent})
+					placement.Plan(placement.Query{Facts: facts(), Engines: engines, Urgent: urgent})
 				}
 			})
 		}
--- a/coordination/place/worth_test.go
+++ b/coordination/placement/worth_test.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package place_test
+package placement_test
 
 import (
 	"math"
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"pinerun.example/pinerun/coordination/place"
+	"pinerun.example/pinerun/coordination/placement"
 	"pinerun.example/pinerun/protocol"
 )
 
@@ -28,9 +28,9 @@
 }
 
 // settle carries plans out until nothing is left to do.
-func settle(t require.TestingT, f *protocol.EngineFacts, engines []place.Engine) {
+func settle(t require.TestingT, f *protocol.EngineFacts, engines []placement.Engine) {
 	for range 100 {
-		moves := place.Plan(place.Query{Facts: f, Engines: engines})
+		moves := placement.Plan(placement.Query{Facts: f, Engines: engines})
 		if len(moves) == 0 {
 			return
 		}
@@ -50,7 +50,7 @@
 		engines := fleet(map[string][4]int{"a": c.counts})
 		settle(t, f, engines)
 		requireFits(t, f, engines)
-		require.Greater(t, place.Evaluate(f, engines).RequestsPerSecond(), c.perSecond, "%v", c.counts)
+		require.Greater(t, placement.Evaluate(f, engines).RequestsPerSecond(), c.perSecond, "%v", c.counts)
 	}
 }
 
@@ -60,32 +60,32 @@
 	f := slowLarge()
 	engines := fleet(map[string][4]int{"a": {2, 4, 4}})
 	settle(t, f, engines)
-	whole := place.Evaluate(f, engines).RequestsPerSecond()
-	lost := slices.IndexFunc(engines, func(e place.Engine) bool { return e.Accelerator == "h100" })
+	whole := placement.Evaluate(f, engines).RequestsPerSecond()
+	lost := slices.IndexFunc(engines, func(e placement.Engine) bool { return e.Accelerator == "h100" })
 	back := engines[lost]
 	rest := slices.Delete(slices.Clone(engines), lost, lost+1)
 	settle(t, f, rest)
-	require.Greater(t, place.Evaluate(f, rest).RequestsPerSecond(), whole/4, "the others take its layers over")
+	require.Greater(t, placement.Evaluate(f, rest).RequestsPerSecond(), whole/4, "the others take its layers over")
 	back.Held, back.Serving = protocol.Span{}, protocol.Span{}
 	rest = append(rest, back)
 	settle(t, f, rest)
 	requireFits(t, f, rest)
 	require.Greater(t, rest[len(rest)-1].Held.Layers(), 15, "it holds a good part of the model")
-	require.Greater(t, place.Evaluate(f, rest).RequestsPerSecond(), whole/2)
+	require.Greater(t, placement.Evaluate(f, rest).RequestsPerSecond(), whole/2)
 }
 
 // TestALayoutIsWorthMoreWithAFurtherHolder and nothing with a hole.
 func TestALayoutIsWorthMoreWithAFurtherHolder(t *testing.T) {
 	f := slowLarge()
 	f.Layers = 8
-	holds := func(id string, from, to int) place.Engine {
+	holds := func(id string, from, to int) placement.Engine {
 		s := protocol.Span{From: from, To: to}
-		return place.Engine{ID: id, DataCenter: "a", Accelerator: "a100s", Held: s, Serving: s}
+		return placement.Engine{ID: id, DataCenter: "a", Accelerator: "a100s", Held: s, Serving: s}
 	}
-	single := []place.Engine{holds("a", 0, 4), holds("b", 4, 8)}
+	single := []placement.Engine{holds("a", 0, 4), holds("b", 4, 8)}
 	double := append(slices.Clone(single), holds("c", 0, 4))
-	require.Greater(t, place.Evaluate(f, double).Score(), place.Evaluate(f, single).Score())
-	hole := place.Evaluate(f, single[:1])
+	require.Greater(t, placement.Evaluate(f, double).Score(), placement.Evaluate(f, single).Score())
+	hole := placement.Evaluate(f, single[:1])
 	require.True(t, math.IsInf(hole.Score(), -1))
 	require.Zero(t, hole.RequestsPerSecond())
 }
@@ -103,18 +103,18 @@
 			engines[i].Serving = engines[i].Held
 		}
 		for range 100 {
-			moves := place.Plan(place.Query{Facts: f, Engines: engines})
+			moves := placement.Plan(placement.Query{Facts: f, Engines: engines})
 			if len(moves) == 0 {
 				return
 			}
-			before := place.Evaluate(f, engines).Score()
-			improves := moves[0].Reason() == place.ReasonImprove
+			before := placement.Evaluate(f, engines).Score()
+			improves := moves[0].Reason() == placement.ReasonImprove
 			if improves {
-				require.Empty(t, place.Plan(place.Query{Facts: f, Engines: engines, Urgent: true}))
+				require.Empty(t, placement.Plan(placement.Query{Facts: f, Engines: engines, Urgent: true}))
 			}
 			apply(engines, moves)
 			if improves {
-				require.Greater(t, place.Evaluate(f, engines).Score(), before)
+				require.Greater(t, placement.Evaluate(f, engines).Score(), before)
 			}
 		}
 		t.Fatalf("plans never end")
--- a/docs_test.go
+++ b/docs_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"pinerun.example/pinerun/coordination/place"
+	"pinerun.example/pinerun/coordination/placement"
 	"pinerun.example/pinerun/internal/event"
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
@@ -58,7 +58,7 @@
 	for _, e := range metric.Ejections() {
 		require.Contains(t, page, "`runners_ejected_by."+string(e)+"`")
 	}
-	for _, r := range place.Reasons() {
+	for _, r := range placement.Reasons() {
 		require.Contains(t, page, "`orders_given_by."+string(r)+"`")
 	}
 	for _, f := range protocol.RecordFaults() {
--- a/transport/director/moves.go
+++ b/transport/director/moves.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"pinerun.example/pinerun/coordination/place"
+	"pinerun.example/pinerun/coordination/placement"
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
@@ -28,7 +28,7 @@
 
 // move is a wanted move with the engine's address.
 type move struct {
-	place.Reassignment
+	placement.Reassignment
 
 	address    string
 	unrecorded bool   // the engine has no record yet
@@ -81,7 +81,7 @@
 
 // movesOf returns the wanted moves of one service, but none of engines that rest.
 func (d *Director) movesOf(s *protocol.RoutedService, endpoints, unrecorded []protocol.Endpoint, now time.Time, improving bool) []move {
-	q := place.Query{Facts: s.Engine, Urgent: !improving}
+	q := placement.Query{Facts: s.Engine, Urgent: !improving}
 	addresses := make(map[string]string)
 	kinds := make(map[string]string) // accelerators of the unrecorded
 	for _, e := range unrecorded {
@@ -118,8 +118,8 @@
 
 // engineOf describes an endpoint that holds layers, with its runner or nil, to the decision on
 // where layers go.
-func engineOf(e *protocol.Endpoint, r *fleet.Runner, f *protocol.EngineFacts, held protocol.Span, now time.Time) place.Engine {
-	return place.Engine{
+func engineOf(e *protocol.Endpoint, r *fleet.Runner, f *protocol.EngineFacts, held protocol.Span, now time.Time) placement.Engine {
+	return placement.Engine{
 		ID: e.ID, DataCenter: e.DataCenter, Accelerator: e.Accelerator, Held: held, Serving: e.Layers,
 		Leaving: e.Leaving || r != nil && r.Lost(now),
 		Slow:    slowForLong(f, r, held, now),
@@ -139,11 +139,11 @@
 
 // incomplete reports whether engines that live may be missing from the list. In an empty
 // fleet, which is only starting, nothing can go wrong by it.
-func (d *Director) incomplete(engines []place.Engine, now time.Time) bool {
+func (d *Director) incomplete(engines []placement.Engine, now time.Time) bool {
 	if d.listTrusted(now) {
 		return false
 	}
-	return slices.ContainsFunc(engines, func(e place.Engine) bool { return e.Serving.Layers() > 0 })
+	return slices.ContainsFunc(engines, func(e placement.Engine) bool { return e.Serving.Layers() > 0 })
 }
 
 // listTrusted reports whether every live engine is in the list by now.
@@ -161,7 +161,7 @@
 
 // starting reports whether the engines of a service hold nothing yet and more of
 // them are still coming.
-func (d *Director) starting(service string, engines []place.Engine, now time.Time) bool {
+func (d *Director) starting(service string, engines []placement.Engine, now time.Time) bool {
 	for _, e := range engines {
 		if e.Held.Layers() > 0 {
 			delete(d.starts, service)
@@ -182,19 +182,19 @@
 
 // planned is what was asked of placement last for a service, and its answer.
 type planned struct {
-	query place.Query
-	moves []place.Reassignment
+	query placement.Query
+	moves []placement.Reassignment
 }
 
 // plan returns the moves that are wanted, without working them out again where nothing has
 // changed: the answer depends on the query alone. Each entry asks twice a second, since an
 // engine may have been found lost, and with 195 engines of a data center, some of them
 // empty, an answer takes 2.3 ms; comparing the queries takes 1.2 us.
-func (d *Director) plan(service string, q place.Query) []place.Reassignment {
+func (d *Director) plan(service string, q placement.Query) []placement.Reassignment {
 	if last, ok := d.plans[service]; ok && last.query.Equal(&q) {
 		return last.moves
 	}
-	moves := place.Plan(q)
+	moves := placement.Plan(q)
 	d.Counters.Add(metric.PlansWorkedOut, 1)
 	if d.plans == nil {
 		d.plans = make(map[string]planned)
