--- a/coordination/quarantine/doc.go
+++ b/coordination/quarantine/doc.go
@@ -7,7 +7,7 @@
 // everything that ran beside it breaks as well. So each entry reports which work broke at which
 // endpoint, and a Book, fed with the reports of all entries, judges:
 //
-//	switch s := book.Standing(work, now).(type) {
+//	switch s := book.Status(work, now).(type) {
 //	case quarantine.Free:    // nothing is known against it
 //	case quarantine.Apart:   // it was at one end: not where other such work is, if possible
 //	case quarantine.Alone:   // at two or more: only where no other such work is
--- a/transport/entry/restrain.go
+++ b/transport/entry/restrain.go
@@ -22,7 +22,7 @@
 	if m.entry.suspects.book.Empty() {
 		return quarantine.Unrestricted{}
 	}
-	return m.entry.suspects.book.Standing(m.fingerprint(), now)
+	return m.entry.suspects.book.Status(m.fingerprint(), now)
 }
 
 // fingerprint tells the request's work from other work. It is worked out only while any work is
--- a/transport/entry/suspects_test.go
+++ b/transport/entry/suspects_test.go
@@ -61,7 +61,7 @@
 func settled(t *testing.T, s *suspects, work protocol.Fingerprint) quarantine.Status {
 	t.Helper()
 	require.Eventually(t, func() bool { return s.endings.Open() == 0 }, time.Minute, time.Millisecond)
-	return s.book.Standing(work, clock.Now())
+	return s.book.Status(work, clock.Now())
 }
 
 // TestAPeersWordAloneRefusesNobody tells of ends of runners that are in the same life, which they say.
--- a/transport/relay/quarantine.go
+++ b/transport/relay/quarantine.go
@@ -120,7 +120,7 @@
 func (q *Quarantine) Empty() bool { return !q.known.Load() }
 
 // Standing returns what some work may do now.
-func (q *Quarantine) Standing(work protocol.Fingerprint, now time.Time) quarantine.Status {
+func (q *Quarantine) Status(work protocol.Fingerprint, now time.Time) quarantine.Status {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.book.Status(work, now)
--- a/transport/relay/quarantine_test.go
+++ b/transport/relay/quarantine_test.go
@@ -38,7 +38,7 @@
 func refusing(all []*entry) int {
 	n := 0
 	for _, e := range all {
-		if _, refused := e.source.Quarantine().Standing(deadly, time.Now()).(quarantine.Refused); refused {
+		if _, refused := e.source.Quarantine().Status(deadly, time.Now()).(quarantine.Refused); refused {
 			n++
 		}
 	}
