--- a/state/roster/belief.go
+++ b/state/registry/belief.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package roster
+package registry
 
 import (
 	"time"
@@ -38,7 +38,7 @@
 }
 
 // put takes one record. The mutex is held.
-func (r *Roster) put(e protocol.Endpoint, now time.Time) UpdateResult {
+func (r *Registry) put(e protocol.Endpoint, now time.Time) UpdateResult {
 	if e.Incarnation.Before(r.occupants.Incarnation(e.ID)) {
 		r.noteLate(e, now)
 		return Stale // written by an earlier life, and done late
@@ -68,7 +68,7 @@
 }
 
 // claim enters an endpoint, which holds a span, as one that claims its address.
-func (r *Roster) claim(e *protocol.Endpoint, held protocol.Span, now time.Time) {
+func (r *Registry) claim(e *protocol.Endpoint, held protocol.Span, now time.Time) {
 	r.occupants.Record(occupant.Claim{
 		Endpoint: e.ID, Address: e.Address, Incarnation: e.Incarnation, HoldsLayers: held.Layers() > 0,
 	}, now)
@@ -84,20 +84,20 @@
 }
 
 // restart forgets what is believed and measured of an endpoint's earlier life.
-func (r *Roster) restart(id string, now time.Time) {
+func (r *Registry) restart(id string, now time.Time) {
 	r.believe(id, belief{restarts: r.beliefs[id].restarts + 1})
 	r.noteChange(id, now)
 }
 
 // trust believes the record of an endpoint again.
-func (r *Roster) trust(id string) {
+func (r *Registry) trust(id string) {
 	if b, there := r.beliefs[id]; there {
 		r.believe(id, belief{restarts: b.restarts, orders: b.orders})
 	}
 }
 
 // believe replaces what is believed of an endpoint.
-func (r *Roster) believe(id string, b belief) {
+func (r *Registry) believe(id string, b belief) {
 	if r.beliefs == nil {
 		r.beliefs = make(map[string]belief)
 	}
@@ -105,7 +105,7 @@
 }
 
 // noteChange notes when a record told something new: older reports say nothing against it.
-func (r *Roster) noteChange(id string, now time.Time) {
+func (r *Registry) noteChange(id string, now time.Time) {
 	if r.changedAt == nil {
 		r.changedAt = make(map[string]time.Time)
 	}
@@ -113,7 +113,7 @@
 }
 
 // forget forgets what is believed of an endpoint whose record is gone.
-func (r *Roster) forget(id string, now time.Time) {
+func (r *Registry) forget(id string, now time.Time) {
 	r.occupants.RecordRemoved(id, now)
 	delete(r.beliefs, id)
 	delete(r.changedAt, id)
@@ -121,7 +121,7 @@
 }
 
 // believed returns an endpoint with the layers that it is believed to hold.
-func (r *Roster) believed(e protocol.Endpoint) protocol.Endpoint {
+func (r *Registry) believed(e protocol.Endpoint) protocol.Endpoint {
 	if b := r.beliefs[e.ID]; b.denied {
 		e.Layers = b.held
 	}
@@ -129,7 +129,7 @@
 }
 
 // Incarnation returns the latest life of an endpoint that is known.
-func (r *Roster) Incarnation(id string) protocol.Incarnation {
+func (r *Registry) Incarnation(id string) protocol.Incarnation {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.occupants.Incarnation(id)
@@ -137,7 +137,7 @@
 
 // LayersDenied notes that an engine said that it does not hold the layers of its record, and
 // reports whether that was news. A record that has changed since stands.
-func (r *Roster) LayersDenied(id string, life protocol.Incarnation, at time.Time) bool {
+func (r *Registry) LayersDenied(id string, life protocol.Incarnation, at time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	e, there := r.endpoints[id]
@@ -148,7 +148,7 @@
 }
 
 // deny believes that an engine holds a span, whatever its record says.
-func (r *Roster) deny(id string, held protocol.Span, now time.Time) bool {
+func (r *Registry) deny(id string, held protocol.Span, now time.Time) bool {
 	b := r.beliefs[id]
 	if b.denied && b.held == held {
 		return false
@@ -164,7 +164,7 @@
 
 // LayersConfirmed notes that an engine held what its record says after all when it was asked, and
 // reports whether that was news.
-func (r *Roster) LayersConfirmed(id string, at time.Time) bool {
+func (r *Registry) LayersConfirmed(id string, at time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if b := r.beliefs[id]; !b.denied || at.Before(b.since) {
@@ -190,7 +190,7 @@
 )
 
 // Report takes an engine's own report.
-func (r *Roster) Report(id string, p *protocol.EngineReport, now time.Time) ReportResult {
+func (r *Registry) Report(id string, p *protocol.EngineReport, now time.Time) ReportResult {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	e, there := r.endpoints[id]
@@ -226,7 +226,7 @@
 }
 
 // startedAgain notes that an engine has started again since it wrote its record.
-func (r *Roster) startedAgain(e protocol.Endpoint, p *protocol.EngineReport, now time.Time) ReportResult {
+func (r *Registry) startedAgain(e protocol.Endpoint, p *protocol.EngineReport, now time.Time) ReportResult {
 	if p.Incarnation.Known() {
 		e.Incarnation = p.Incarnation
 	}
@@ -244,7 +244,7 @@
 
 // TakeRestarted returns the endpoints of which a report or a list showed since the last call that
 // they have started again.
-func (r *Roster) TakeRestarted() []protocol.Endpoint {
+func (r *Registry) TakeRestarted() []protocol.Endpoint {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	all := r.anew
--- a/state/roster/late.go
+++ b/state/registry/late.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package roster
+package registry
 
 import (
 	"maps"
@@ -19,7 +19,7 @@
 // noteLate notes a record that looks like one of a life that is over. A living process writes
 // over it at its next heartbeat. One that stands for longer is of a process whose clock was set
 // back, or the later start that was told was not that of this endpoint.
-func (r *Roster) noteLate(e protocol.Endpoint, now time.Time) {
+func (r *Registry) noteLate(e protocol.Endpoint, now time.Time) {
 	if r.late == nil {
 		r.late = make(map[string]lateRecord)
 	}
@@ -32,7 +32,7 @@
 }
 
 // keepLate forgets the late records that are not in a list.
-func (r *Roster) keepLate(list []protocol.Endpoint) {
+func (r *Registry) keepLate(list []protocol.Endpoint) {
 	if len(r.late) == 0 {
 		return
 	}
@@ -45,7 +45,7 @@
 
 // believeLate believes the late records that have stood for long enough. While the platform does
 // not answer nobody can write over them.
-func (r *Roster) believeLate(now time.Time) {
+func (r *Registry) believeLate(now time.Time) {
 	if r.unsettled(now) {
 		return
 	}
--- a/state/roster/lives_test.go
+++ b/state/registry/lives_test.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package roster_test
+package registry_test
 
 import (
 	"fmt"
@@ -14,7 +14,7 @@
 
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/occupant"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 )
 
 // process is one life of an engine.
@@ -52,7 +52,7 @@
 // reader is an entry: what it believes, how far it has read the changes, and what it will
 // be told.
 type reader struct {
-	roster *roster.Roster
+	roster *registry.Registry
 	read   int
 	words  []word
 }
@@ -285,7 +285,7 @@
 		}
 		if p.id == q.Endpoint() && q.AsksLayers() {
 			report := protocol.EngineReport{Layers: p.layers, LayersKnown: true, Incarnation: p.life, Orders: p.orders}
-			if r.roster.Report(p.id, &report, w.now) != roster.ReportMatches {
+			if r.roster.Report(p.id, &report, w.now) != registry.ReportMatches {
 				continue
 			}
 		}
@@ -341,7 +341,7 @@
 
 // leftOut bounds how long an engine that lives, and whose record stands, may be left out or
 // taken for an earlier life.
-const leftOut = roster.ProbeGrace + occupant.ProbeInterval
+const leftOut = registry.ProbeGrace + occupant.ProbeInterval
 
 // TestEnginesThatLiveAreUsedAndOnlyThose lets engines start, crash and start again, records
 // come late, lapse and come back, and entries see parts of it and hear news in any order.
@@ -356,7 +356,7 @@
 			"": w.check,
 		})
 		if w.setBack {
-			w.calm(roster.ProbeGrace) // until a record that stands is believed
+			w.calm(registry.ProbeGrace) // until a record that stands is believed
 		}
 		w.calm(leftOut)
 		var living []string
--- a/state/roster/notice.go
+++ b/state/registry/notice.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package roster
+package registry
 
 import (
 	"slices"
@@ -31,7 +31,7 @@
 func (n RecordUse) Used() bool { return n.used }
 
 // inUse reports whether an endpoint has its address, and notes when that has changed.
-func (r *Roster) inUse(e protocol.Endpoint) bool {
+func (r *Registry) inUse(e protocol.Endpoint) bool {
 	used := r.occupants.InUse(e.ID)
 	if used == r.unused[e.ID] {
 		r.notices = append(r.notices, RecordUse{endpoint: e.ID, address: e.Address, occupant: r.occupants.Owner(e.ID), used: used})
@@ -48,7 +48,7 @@
 }
 
 // TakeUseChanges returns which records went out of use or came back into it since the last call.
-func (r *Roster) TakeUseChanges() []RecordUse {
+func (r *Registry) TakeUseChanges() []RecordUse {
 	r.derive()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -59,7 +59,7 @@
 
 // SupersededRecords returns the records out of use because another endpoint has their address, in
 // order of ID.
-func (r *Roster) SupersededRecords() []RecordUse {
+func (r *Registry) SupersededRecords() []RecordUse {
 	r.derive()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -75,7 +75,7 @@
 
 // OwnerAnswered notes that an endpoint, the occupant, answered at the address of an endpoint's
 // record. It reports whether that changes which record is in use.
-func (r *Roster) OwnerAnswered(id, occupant string, life protocol.Incarnation, at time.Time) bool {
+func (r *Registry) OwnerAnswered(id, occupant string, life protocol.Incarnation, at time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	e, there := r.endpoints[id]
--- a/state/roster/question.go
+++ b/state/registry/question.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package roster
+package registry
 
 import (
 	"time"
@@ -20,7 +20,7 @@
 }
 
 // ProbeOf returns the question who has the address of an endpoint's record, if there is one.
-func (r *Roster) ProbeOf(id string) (Probe, bool) {
+func (r *Registry) ProbeOf(id string) (Probe, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	_, there := r.endpoints[id]
@@ -28,7 +28,7 @@
 }
 
 // ask returns the question about an endpoint. The mutex is held.
-func (r *Roster) ask(id string) Probe {
+func (r *Registry) ask(id string) Probe {
 	e := r.endpoints[id]
 	return Probe{endpoint: id, address: e.Address, service: e.Service, layers: r.beliefs[id].denied}
 }
@@ -48,7 +48,7 @@
 // DueProbes returns what should be asked now: who has an address that several records name,
 // or whose record is out of use, and what engines hold that deny their records. If another
 // entry asks for all, this one asks only what is still unclear after Patience.
-func (r *Roster) DueProbes(others bool, now time.Time) []Probe {
+func (r *Registry) DueProbes(others bool, now time.Time) []Probe {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	patience := time.Duration(0)
@@ -71,7 +71,7 @@
 
 // ProbeIfDue returns the question who has the address of an endpoint that may be lost, if it was
 // not asked lately.
-func (r *Roster) ProbeIfDue(id string, now time.Time) (Probe, bool) {
+func (r *Registry) ProbeIfDue(id string, now time.Time) (Probe, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if _, there := r.endpoints[id]; !there || !r.occupants.MayProbe(id, 0, now) {
--- a/state/roster/roster.go
+++ b/state/registry/roster.go
@@ -11,7 +11,7 @@
 //	r.Services(table.Services())
 //	gone := r.Replace(endpoints, now)
 //	m := r.View().Model(roster.ModelName("fares-llm", "jhb-a"))
-package roster
+package registry
 
 import (
 	"slices"
@@ -40,8 +40,8 @@
 // in a data center. Plain services have one model for all data centers, "".
 func ModelName(service, dataCenter string) string { return service + "@" + dataCenter }
 
-// Roster holds the live endpoints. Set the exported fields before use.
-type Roster struct {
+// Registry holds the live endpoints. Set the exported fields before use.
+type Registry struct {
 	Entry fleet.Entry
 	// DataCenters are those in which an endpoint may be; empty when they are not known.
 	DataCenters []string
@@ -70,23 +70,23 @@
 }
 
 // View returns the runners of all models, or nil before the first list.
-func (r *Roster) View() *fleet.View {
+func (r *Registry) View() *fleet.View {
 	r.derive()
 	return r.view.Load()
 }
 
 // Revision returns a number that rises with each change of the endpoints.
-func (r *Roster) Revision() uint64 { return r.changes.Load() }
+func (r *Registry) Revision() uint64 { return r.changes.Load() }
 
 // Rebuilds returns how often what follows from the changes was worked out.
-func (r *Roster) Rebuilds() uint64 { return r.derived.Load() }
+func (r *Registry) Rebuilds() uint64 { return r.derived.Load() }
 
 // HasList reports whether a list was ever taken.
-func (r *Roster) HasList() bool { return r.known.Load() }
+func (r *Registry) HasList() bool { return r.known.Load() }
 
 // EngineDataCenters returns the data centers in which engines of a service hold layers, in
 // order of name. The caller must not change the slice.
-func (r *Roster) EngineDataCenters(service string) []string {
+func (r *Registry) EngineDataCenters(service string) []string {
 	r.derive()
 	if c := r.centers.Load(); c != nil {
 		return (*c)[service]
@@ -96,7 +96,7 @@
 
 // Endpoints returns every endpoint that can be used, in order of ID, with the layers that it is
 // believed to hold: one an address. The caller must not change the slice.
-func (r *Roster) Endpoints() []protocol.Endpoint {
+func (r *Registry) Endpoints() []protocol.Endpoint {
 	r.derive()
 	if l := r.list.Load(); l != nil {
 		return *l
@@ -105,7 +105,7 @@
 }
 
 // SetServices takes the services that routes name.
-func (r *Roster) SetServices(services []protocol.RoutedService) {
+func (r *Registry) SetServices(services []protocol.RoutedService) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.services = services
@@ -113,7 +113,7 @@
 }
 
 // MarkOutage notes that the platform did not answer at that time.
-func (r *Roster) MarkOutage(at time.Time) {
+func (r *Registry) MarkOutage(at time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if at.After(r.outage) {
@@ -123,7 +123,7 @@
 
 // Count returns how many endpoints could be used when somebody last looked. It derives nothing:
 // of 4,900 endpoints that takes 8 ms, and news comes many at a time (a benchmark).
-func (r *Roster) Count() int {
+func (r *Registry) Count() int {
 	if l := r.list.Load(); l != nil {
 		return len(*l)
 	}
@@ -131,7 +131,7 @@
 }
 
 // Replace takes a whole list. It returns the endpoints that are gone.
-func (r *Roster) Replace(list []protocol.Endpoint, now time.Time) []protocol.Endpoint {
+func (r *Registry) Replace(list []protocol.Endpoint, now time.Time) []protocol.Endpoint {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	before := r.endpoints
@@ -160,10 +160,10 @@
 }
 
 // Add takes one new or changed endpoint, and reports whether it was unknown.
-func (r *Roster) Add(e protocol.Endpoint) bool { return r.Update(e, clock.Now()) == Joined }
+func (r *Registry) Add(e protocol.Endpoint) bool { return r.Update(e, clock.Now()) == Joined }
 
 // Update takes one new or changed endpoint.
-func (r *Roster) Update(e protocol.Endpoint, now time.Time) UpdateResult {
+func (r *Registry) Update(e protocol.Endpoint, now time.Time) UpdateResult {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.occupants.NextBatch()
@@ -175,7 +175,7 @@
 }
 
 // Has reports whether the record of an endpoint is known, in use or not.
-func (r *Roster) Has(id string) bool {
+func (r *Registry) Has(id string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	_, there := r.endpoints[id]
@@ -184,7 +184,7 @@
 
 // Remove takes the news that an endpoint's record is gone. It reports whether
 // the endpoint is now taken as gone.
-func (r *Roster) Remove(id string, now time.Time) bool {
+func (r *Registry) Remove(id string, now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.late, id)
@@ -200,7 +200,7 @@
 
 // Sweep drops endpoints that vanished in an outage and did not come back in
 // time, and returns them.
-func (r *Roster) Sweep(now time.Time) []protocol.Endpoint {
+func (r *Registry) Sweep(now time.Time) []protocol.Endpoint {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var gone []protocol.Endpoint
@@ -224,7 +224,7 @@
 
 // keep decides whether a vanished endpoint is still believed in, and holds on to
 // it. One that said that it is leaving is not.
-func (r *Roster) keep(e protocol.Endpoint, now time.Time) bool {
+func (r *Registry) keep(e protocol.Endpoint, now time.Time) bool {
 	if e.Leaving || !r.unsettled(now) {
 		return false
 	}
@@ -239,20 +239,20 @@
 }
 
 // unsettled reports whether the platform did not answer lately.
-func (r *Roster) unsettled(now time.Time) bool {
+func (r *Registry) unsettled(now time.Time) bool {
 	return !r.outage.IsZero() && now.Sub(r.outage) <= settle
 }
 
 // changed notes that what is derived is stale. Changes come many at a time, with the
 // start of a fleet thousands of them, and deriving takes as long as there are
 // endpoints: so it waits until somebody looks. The mutex is held.
-func (r *Roster) changed() {
+func (r *Registry) changed() {
 	r.changes.Add(1)
 	r.stale.Store(true)
 }
 
 // derive brings what is derived up to date.
-func (r *Roster) derive() {
+func (r *Registry) derive() {
 	if !r.stale.Load() {
 		return
 	}
@@ -267,7 +267,7 @@
 
 // rebuild derives the view and the list anew. Measurements of runners that did
 // not change are kept.
-func (r *Roster) rebuild() {
+func (r *Registry) rebuild() {
 	list, misfits := r.usable()
 	slices.SortFunc(list, func(a, b protocol.Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	r.list.Store(&list)
--- a/state/roster/roster_test.go
+++ b/state/registry/roster_test.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package roster_test
+package registry_test
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 )
 
 var services = []protocol.RoutedService{
@@ -22,8 +22,8 @@
 	}},
 }
 
-func newRoster() *roster.Roster {
-	r := &roster.Roster{Entry: fleet.Entry{Name: "e1", DataCenter: "a"}}
+func newRoster() *registry.Registry {
+	r := &registry.Registry{Entry: fleet.Entry{Name: "e1", DataCenter: "a"}}
 	r.SetServices(services)
 	return r
 }
@@ -51,7 +51,7 @@
 	require.Equal(t, []string{"a", "b"}, r.EngineDataCenters("llm"))
 	require.NotNil(t, r.View().Runner("x"))
 	require.Nil(t, r.View().Runner("empty"), "an engine without layers can't serve")
-	require.Len(t, r.View().Model(roster.ModelName("plain", "")).Groups(), 1)
+	require.Len(t, r.View().Model(registry.ModelName("plain", "")).Groups(), 1)
 	require.InDelta(t, 1000.0, r.View().Runner("y").Spec().Room, 1e-9)
 }
 
@@ -138,11 +138,11 @@
 		{"a start told for the first time", atX("x", 0, 3, 5), atX("x", 10, 3, 5), false},
 	} {
 		r := newRoster()
-		require.Equal(t, roster.Joined, r.Update(c.before, now), c.name)
+		require.Equal(t, registry.Joined, r.Update(c.before, now), c.name)
 		runner := r.View().Runner("x")
 		runner.Failed(now)
 		runner.MarkLost(now, now.Add(time.Hour))
-		require.Equal(t, c.restarted, r.Update(c.after, now) == roster.Restarted, c.name)
+		require.Equal(t, c.restarted, r.Update(c.after, now) == registry.Restarted, c.name)
 		require.Equal(t, c.restarted, r.View().Runner("x") != runner, c.name)
 		require.Equal(t, c.restarted, r.View().Runner("x").Usable(now), c.name)
 	}
@@ -153,15 +153,15 @@
 	now := time.Unix(100, 0)
 	r.Update(atX("x", 20, 1, 3), now)
 	x := r.View().Runner("x")
-	require.Equal(t, roster.Stale, r.Update(atX("x", 10, 9, 10), now))
+	require.Equal(t, registry.Stale, r.Update(atX("x", 10, 9, 10), now))
 	r.Replace([]protocol.Endpoint{atX("x", 10, 9, 10)}, now)
 	require.Same(t, x, r.View().Runner("x"))
 	require.True(t, r.Remove("x", now))
-	require.Equal(t, roster.Stale, r.Update(atX("x", 10, 9, 10), now), "nor after the later one's has gone")
+	require.Equal(t, registry.Stale, r.Update(atX("x", 10, 9, 10), now), "nor after the later one's has gone")
 	require.Empty(t, r.Endpoints())
 	report := protocol.EngineReport{Incarnation: 10, LayersKnown: true}
 	r.Update(atX("x", 20, 1, 3), now)
-	require.Equal(t, roster.ReportIgnored, r.Report("x", &report, now.Add(time.Minute)), "nor does a report of that life")
+	require.Equal(t, registry.ReportIgnored, r.Report("x", &report, now.Add(time.Minute)), "nor does a report of that life")
 	require.False(t, r.LayersDenied("x", 10, now.Add(time.Minute)), "nor an answer")
 	require.Len(t, r.EngineDataCenters("llm"), 1)
 }
@@ -171,21 +171,21 @@
 // start, looks like an earlier life and is not.
 func TestALifeWhoseRecordStandsIsNotOver(t *testing.T) {
 	now := time.Unix(100, 0)
-	stands := now.Add(roster.ProbeGrace)
+	stands := now.Add(registry.ProbeGrace)
 	later, earlier := atX("x", 20, 1, 3), atX("x", 10, 1, 10)
 	for _, c := range []struct {
 		name     string
-		meantime func(r *roster.Roster)
+		meantime func(r *registry.Registry)
 		life     protocol.Incarnation
 	}{
-		{"it stands", func(*roster.Roster) {}, 10},
-		{"it is listed again", func(r *roster.Roster) { r.Replace([]protocol.Endpoint{earlier}, stands.Add(-1)) }, 10},
-		{"the later one's record has gone before", func(r *roster.Roster) { r.Update(earlier, now) }, 10},
-		{"it is written over", func(r *roster.Roster) { r.Update(later, now) }, 20},
-		{"it is not in a list", func(r *roster.Roster) { r.Replace([]protocol.Endpoint{later}, now) }, 20},
-		{"it goes", func(r *roster.Roster) { r.Remove("x", now) }, 0},
-		{"it is replaced by one that can't be used", func(r *roster.Roster) { r.Discard("x") }, 0},
-		{"who lives can't write", func(r *roster.Roster) { r.MarkOutage(stands) }, 20},
+		{"it stands", func(*registry.Registry) {}, 10},
+		{"it is listed again", func(r *registry.Registry) { r.Replace([]protocol.Endpoint{earlier}, stands.Add(-1)) }, 10},
+		{"the later one's record has gone before", func(r *registry.Registry) { r.Update(earlier, now) }, 10},
+		{"it is written over", func(r *registry.Registry) { r.Update(later, now) }, 20},
+		{"it is not in a list", func(r *registry.Registry) { r.Replace([]protocol.Endpoint{later}, now) }, 20},
+		{"it goes", func(r *registry.Registry) { r.Remove("x", now) }, 0},
+		{"it is replaced by one that can't be used", func(r *registry.Registry) { r.Discard("x") }, 0},
+		{"who lives can't write", func(r *registry.Registry) { r.MarkOutage(stands) }, 20},
 	} {
 		r := newRoster()
 		r.Update(later, now)
@@ -193,7 +193,7 @@
 		if c.name == "the later one's record has gone before" {
 			r.Remove("x", now)
 		}
-		require.Equal(t, roster.Stale, r.Update(earlier, now), c.name)
+		require.Equal(t, registry.Stale, r.Update(earlier, now), c.name)
 		c.meantime(r)
 		r.Sweep(stands.Add(-time.Millisecond))
 		require.Empty(t, r.TakeRestarted(), c.name)
@@ -206,7 +206,7 @@
 		require.Equal(t, c.life, r.Endpoints()[0].Incarnation, c.name)
 		require.Equal(t, c.life == 10, r.View().Runner("x") != runner, c.name)
 		require.Equal(t, c.life == 10, len(r.TakeRestarted()) == 1, c.name)
-		require.Equal(t, c.life == 10, r.Report("x", &protocol.EngineReport{Incarnation: 10, LayersKnown: true}, stands.Add(time.Minute)) == roster.ReportDiffers, c.name)
+		require.Equal(t, c.life == 10, r.Report("x", &protocol.EngineReport{Incarnation: 10, LayersKnown: true}, stands.Add(time.Minute)) == registry.ReportDiffers, c.name)
 	}
 }
 
@@ -232,17 +232,17 @@
 		name   string
 		report protocol.EngineReport
 		after  time.Duration
-		says   roster.ReportResult
+		says   registry.ReportResult
 		layers protocol.Span
 		anew   bool
 	}{
-		{"the same", protocol.EngineReport{Layers: span, LayersKnown: true, Orders: 2}, time.Second, roster.ReportMatches, span, false},
-		{"nothing of layers", protocol.EngineReport{Orders: 2}, time.Second, roster.ReportIgnored, span, false},
-		{"none", protocol.EngineReport{LayersKnown: true, Orders: 2}, time.Second, roster.ReportDiffers, protocol.Span{}, false},
-		{"none, from before the record changed", protocol.EngineReport{LayersKnown: true, Orders: 2}, 100 * time.Millisecond, roster.ReportIgnored, span, false},
-		{"orders counted anew", protocol.EngineReport{LayersKnown: true, Orders: 1}, 100 * time.Millisecond, roster.ReportDiffers, protocol.Span{}, true},
-		{"fewer orders of the same life, which is late", protocol.EngineReport{LayersKnown: true, Orders: 1, Incarnation: 10}, time.Second, roster.ReportIgnored, span, false},
-		{"a later start", protocol.EngineReport{LayersKnown: true, Orders: 2, Incarnation: 20}, 100 * time.Millisecond, roster.ReportDiffers, protocol.Span{}, true},
+		{"the same", protocol.EngineReport{Layers: span, LayersKnown: true, Orders: 2}, time.Second, registry.ReportMatches, span, false},
+		{"nothing of layers", protocol.EngineReport{Orders: 2}, time.Second, registry.ReportIgnored, span, false},
+		{"none", protocol.EngineReport{LayersKnown: true, Orders: 2}, time.Second, registry.ReportDiffers, protocol.Span{}, false},
+		{"none, from before the record changed", protocol.EngineReport{LayersKnown: true, Orders: 2}, 100 * time.Millisecond, registry.ReportIgnored, span, false},
+		{"orders counted anew", protocol.EngineReport{LayersKnown: true, Orders: 1}, 100 * time.Millisecond, registry.ReportDiffers, protocol.Span{}, true},
+		{"fewer orders of the same life, which is late", protocol.EngineReport{LayersKnown: true, Orders: 1, Incarnation: 10}, time.Second, registry.ReportIgnored, span, false},
+		{"a later start", protocol.EngineReport{LayersKnown: true, Orders: 2, Incarnation: 20}, 100 * time.Millisecond, registry.ReportDiffers, protocol.Span{}, true},
 	} {
 		r := newRoster()
 		r.Update(atX("x", 10, 7, 5), now)
--- a/state/roster/unrecorded.go
+++ b/state/registry/unrecorded.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package roster
+package registry
 
 import (
 	"maps"
@@ -25,7 +25,7 @@
 // none yet. They are given layers, so that they hold them when their records come, but serve
 // nothing before. Their service, accelerator and so on are guessed from the other's record, and
 // are checked before an order.
-func (r *Roster) Unrecorded(now time.Time) []protocol.Endpoint {
+func (r *Registry) Unrecorded(now time.Time) []protocol.Endpoint {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.sweepUnrecorded(now)
@@ -38,12 +38,12 @@
 }
 
 // sweepUnrecorded forgets who has not answered for long.
-func (r *Roster) sweepUnrecorded(now time.Time) {
+func (r *Registry) sweepUnrecorded(now time.Time) {
 	maps.DeleteFunc(r.unrecorded, func(_ string, u unrecorded) bool { return now.After(u.till) })
 }
 
 // noteUnrecorded notes an endpoint that answered at the address of another one's record.
-func (r *Roster) noteUnrecorded(id string, in protocol.Endpoint, at time.Time) {
+func (r *Registry) noteUnrecorded(id string, in protocol.Endpoint, at time.Time) {
 	if _, there := r.endpoints[id]; there {
 		return
 	}
--- a/state/roster/usable.go
+++ b/state/registry/usable.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package roster
+package registry
 
 import (
 	"slices"
@@ -23,7 +23,7 @@
 func (m UnusableEndpoint) Fault() protocol.RecordFault { return m.fault }
 
 // Unusable returns the endpoints that are left out. The caller must not change the slice.
-func (r *Roster) Unusable() []UnusableEndpoint {
+func (r *Registry) Unusable() []UnusableEndpoint {
 	r.derive()
 	if m := r.misfits.Load(); m != nil {
 		return *m
@@ -33,7 +33,7 @@
 
 // Discard takes an endpoint out at once, also in an outage: its record is there, and
 // names no endpoint to use. It reports whether the endpoint was known.
-func (r *Roster) Discard(id string) bool {
+func (r *Registry) Discard(id string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	delete(r.late, id)
@@ -48,7 +48,7 @@
 }
 
 // usable divides the endpoints into those to use and those that don't fit.
-func (r *Roster) usable() ([]protocol.Endpoint, []UnusableEndpoint) {
+func (r *Registry) usable() ([]protocol.Endpoint, []UnusableEndpoint) {
 	services := make(map[string]*protocol.RoutedService, len(r.services))
 	for i := range r.services {
 		services[r.services[i].Name] = &r.services[i]
@@ -69,7 +69,7 @@
 
 // fault returns what of an endpoint does not fit. Records may come before the table that
 // names their services: nothing is judged by services before the first one.
-func (r *Roster) fault(services map[string]*protocol.RoutedService, e protocol.Endpoint) protocol.RecordFault {
+func (r *Registry) fault(services map[string]*protocol.RoutedService, e protocol.Endpoint) protocol.RecordFault {
 	if len(r.DataCenters) > 0 && e.DataCenter != r.Entry.DataCenter && !slices.Contains(r.DataCenters, e.DataCenter) {
 		return protocol.RecordDataCenterUnknown
 	}
--- a/state/roster/usable_test.go
+++ b/state/registry/usable_test.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package roster_test
+package registry_test
 
 import (
 	"testing"
@@ -11,7 +11,7 @@
 
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 )
 
 // TestAnEndpointThatDoesNotFitIsLeftOut has records name what the table and the settings
@@ -50,7 +50,7 @@
 // table, a data center that there is, and layers of its model; and whoever fits is used.
 func TestWhoeverIsUsedFits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := &roster.Roster{Entry: fleet.Entry{Name: "e1", DataCenter: "a"}, DataCenters: []string{"a", "b"}}
+		r := &registry.Registry{Entry: fleet.Entry{Name: "e1", DataCenter: "a"}, DataCenters: []string{"a", "b"}}
 		r.SetServices(services)
 		id := rapid.SampledFrom([]string{"e1", "e2", "e3"})
 		t.Repeat(map[string]func(*rapid.T){
--- a/transport/director/director.go
+++ b/transport/director/director.go
@@ -23,7 +23,7 @@
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/internal/part"
 	"pinerun.example/pinerun/protocol"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 	"pinerun.example/pinerun/state/routing"
 )
 
@@ -66,7 +66,7 @@
 	Self      string
 	LeaseKind string
 	Routing   *routing.Store
-	Roster    *roster.Roster
+	Roster    *registry.Registry
 	Engines   Engines
 	Objects   Objects
 	Entries   func() int  // how many entries may try alike
--- a/transport/director/order.go
+++ b/transport/director/order.go
@@ -12,7 +12,7 @@
 	"pinerun.example/pinerun/internal/clock"
 	"pinerun.example/pinerun/internal/event"
 	"pinerun.example/pinerun/protocol"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 )
 
 const (
@@ -90,7 +90,7 @@
 // notes why not.
 func (g *giving) mayOrder(report *protocol.EngineReport) bool {
 	d := g.director
-	if d.Roster.Report(g.move.Engine(), report, clock.Now()) == roster.ReportDiffers {
+	if d.Roster.Report(g.move.Engine(), report, clock.Now()) == registry.ReportDiffers {
 		g.differs() // the plan rests on layers that it does not hold
 		return false
 	}
--- a/transport/director/world_test.go
+++ b/transport/director/world_test.go
@@ -18,7 +18,7 @@
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 	"pinerun.example/pinerun/state/routing"
 	"pinerun.example/pinerun/transport/director"
 	"pinerun.example/pinerun/transport/platform"
@@ -32,7 +32,7 @@
 	down    bool
 	lose    bool // writes take effect and the answer is lost
 	engines map[string]*engine
-	rosters []*roster.Roster
+	rosters []*registry.Registry
 	hearing []*director.Director // who are told of each change of the lease
 }
 
@@ -179,7 +179,7 @@
 	table, err := routing.Build(protocol.Routing{Version: 1, Services: []protocol.RoutedService{{Name: "llm", Engine: facts}}})
 	require.NoError(t, err)
 	d := &director.Director{
-		Self: name, LeaseKind: "k", Routing: &routing.Store{}, Roster: &roster.Roster{Entry: fleet.Entry{Name: name, DataCenter: "a"}},
+		Self: name, LeaseKind: "k", Routing: &routing.Store{}, Roster: &registry.Registry{Entry: fleet.Entry{Name: name, DataCenter: "a"}},
 		Engines: w, Objects: w, Entries: func() int { return 3 }, Counters: &metric.Set{},
 	}
 	d.Routing.Offer(table)
--- a/transport/forward/body_test.go
+++ b/transport/forward/body_test.go
@@ -13,7 +13,7 @@
 
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 	"pinerun.example/pinerun/state/routing"
 	"pinerun.example/pinerun/transport/backlog"
 )
@@ -44,7 +44,7 @@
 	counters := &metric.Set{}
 	held := &backlog.Budget{Counters: counters}
 	held.Limit(512 << 10)
-	f := &Forwarder{Routing: &routing.Store{}, Roster: &roster.Roster{}, Headers: plainHeaders{}, Counters: counters, MemoryBudget: held}
+	f := &Forwarder{Routing: &routing.Store{}, Roster: &registry.Registry{}, Headers: plainHeaders{}, Counters: counters, MemoryBudget: held}
 	f.Routing.Offer(table)
 	f.Routing.Confirm(time.Now())
 	f.Roster.Replace(nil, time.Now())
--- a/transport/forward/candidate.go
+++ b/transport/forward/candidate.go
@@ -9,7 +9,7 @@
 	"pinerun.example/pinerun/coordination/path"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 )
 
 const (
@@ -38,7 +38,7 @@
 func (f *Forwarder) choose(s *protocol.RoutedService, q *path.Query, first string, into *path.Path) bool {
 	view := f.Roster.View()
 	if s.Engine == nil {
-		return path.ChooseInto(view.Model(roster.ModelName(s.Name, "")), q, into) < 0
+		return path.ChooseInto(view.Model(registry.ModelName(s.Name, "")), q, into) < 0
 	}
 	best, found := candidateIn(view, s.Name, first, q)
 	if found && best.ready && best.sound && best.fill < homeFull {
@@ -60,7 +60,7 @@
 
 func candidateIn(view *fleet.View, service, center string, q *path.Query) (candidate, bool) {
 	var c candidate
-	m := view.Model(roster.ModelName(service, center))
+	m := view.Model(registry.ModelName(service, center))
 	if path.ChooseSubspans(m, q, &c.path) >= 0 {
 		return c, false
 	}
--- a/transport/forward/forwarder.go
+++ b/transport/forward/forwarder.go
@@ -15,7 +15,7 @@
 	"pinerun.example/pinerun/internal/part"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 	"pinerun.example/pinerun/state/routing"
 	"pinerun.example/pinerun/transport/backlog"
 	"pinerun.example/pinerun/transport/ending"
@@ -45,7 +45,7 @@
 type Forwarder struct {
 	Home     fleet.Entry
 	Routing  *routing.Store
-	Roster   *roster.Roster
+	Roster   *registry.Registry
 	Headers  HeaderCodec
 	Reporter Reporter
 	// PathChanger changes the paths of running requests, nil to leave them as they are.
--- a/transport/forward/idle_test.go
+++ b/transport/forward/idle_test.go
@@ -15,7 +15,7 @@
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 	"pinerun.example/pinerun/state/routing"
 )
 
@@ -25,7 +25,7 @@
 	derived := func(busy bool) (n uint64) {
 		synctest.Test(t, func(t *testing.T) {
 			home := fleet.Entry{Name: "one", DataCenter: "a"}
-			endpoints := &roster.Roster{Entry: home}
+			endpoints := &registry.Registry{Entry: home}
 			f := &Forwarder{Home: home, Roster: endpoints, Routing: &routing.Store{}, Headers: plainHeaders{}, Counters: &metric.Set{}}
 			table, err := routing.Build(protocol.Routing{Version: 1, Services: []protocol.RoutedService{{Name: "llm", Engine: &protocol.EngineFacts{Layers: 10}}}})
 			require.NoError(t, err)
--- a/transport/forward/inflight.go
+++ b/transport/forward/inflight.go
@@ -7,7 +7,7 @@
 
 	"pinerun.example/pinerun/coordination/path"
 	"pinerun.example/pinerun/coordination/pressure"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 )
 
 // inflight is the bytes of large requests at each endpoint, by ID. Requests up to smallBytes
@@ -57,7 +57,7 @@
 }
 
 // sweep forgets endpoints that are gone.
-func (f *inflight) sweep(endpoints *roster.Roster) {
+func (f *inflight) sweep(endpoints *registry.Registry) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if len(f.at) == 0 {
--- a/transport/forward/news_test.go
+++ b/transport/forward/news_test.go
@@ -20,7 +20,7 @@
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 	"pinerun.example/pinerun/state/routing"
 )
 
@@ -47,7 +47,7 @@
 		Accelerators: []protocol.AcceleratorFacts{{Name: "t4", MemoryMB: 2000, StepFactor: 1, ReadFactor: 1}},
 	}}
 	f := &Forwarder{
-		Home: fleet.Entry{Name: "one", DataCenter: "a"}, Roster: &roster.Roster{Entry: fleet.Entry{Name: "one", DataCenter: "a"}},
+		Home: fleet.Entry{Name: "one", DataCenter: "a"}, Roster: &registry.Registry{Entry: fleet.Entry{Name: "one", DataCenter: "a"}},
 		Headers: plainHeaders{}, Counters: &metric.Set{},
 	}
 	f.suspects.forwarder = f
--- a/transport/forward/pace_world_test.go
+++ b/transport/forward/pace_world_test.go
@@ -17,7 +17,7 @@
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 	"pinerun.example/pinerun/state/routing"
 )
 
@@ -99,7 +99,7 @@
 	}}
 	asks := &reporter{paces: map[string]float64{}}
 	f := &Forwarder{
-		Home: fleet.Entry{Name: "one", DataCenter: "a"}, Roster: &roster.Roster{Entry: fleet.Entry{Name: "one", DataCenter: "a"}},
+		Home: fleet.Entry{Name: "one", DataCenter: "a"}, Roster: &registry.Registry{Entry: fleet.Entry{Name: "one", DataCenter: "a"}},
 		Routing: &routing.Store{}, Headers: plainHeaders{}, Counters: &metric.Set{}, Reporter: asks,
 	}
 	f.suspects.forwarder, f.poller.forwarder, f.paces.forwarder = f, f, f
--- a/transport/forward/poll.go
+++ b/transport/forward/poll.go
@@ -12,7 +12,7 @@
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 )
 
 const (
@@ -49,7 +49,7 @@
 			continue
 		}
 		for _, center := range f.Roster.EngineDataCenters(services[i].Name) {
-			p.lookAt(view.Model(roster.ModelName(services[i].Name, center)), services[i].Name, now)
+			p.lookAt(view.Model(registry.ModelName(services[i].Name, center)), services[i].Name, now)
 		}
 	}
 }
--- a/transport/forward/repath.go
+++ b/transport/forward/repath.go
@@ -14,7 +14,7 @@
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 )
 
 const (
@@ -151,7 +151,7 @@
 	home := a.endpoint.Spec().Model
 	list := []*fleet.Model{view.Model(home)}
 	for _, center := range x.forwarder.Roster.EngineDataCenters(x.service.Name) {
-		if name := roster.ModelName(x.service.Name, center); name != home {
+		if name := registry.ModelName(x.service.Name, center); name != home {
 			list = append(list, view.Model(name))
 		}
 	}
--- a/transport/forward/repath_world_test.go
+++ b/transport/forward/repath_world_test.go
@@ -18,7 +18,7 @@
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 	"pinerun.example/pinerun/state/routing"
 )
 
@@ -81,7 +81,7 @@
 	}}
 	home := fleet.Entry{Name: "one", DataCenter: "a"}
 	s := &replacing{t: t, engine: &firstEngine{orders: make(chan protocol.PathOrder, 10), answers: make(chan protocol.PathAnswer, 10)}}
-	f := &Forwarder{Home: home, Roster: &roster.Roster{Entry: home}, Headers: plainHeaders{}, Counters: &metric.Set{}, PathChanger: s.engine, Reporter: s.engine}
+	f := &Forwarder{Home: home, Roster: &registry.Registry{Entry: home}, Headers: plainHeaders{}, Counters: &metric.Set{}, PathChanger: s.engine, Reporter: s.engine}
 	f.suspects.forwarder, f.poller.forwarder, f.paces.forwarder = f, f, f // as Start does
 	f.InitRetryBudget(RetryBudget{Share: 0.2, Slack: 1000, WindowEnd: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
 	f.Roster.SetServices([]protocol.RoutedService{service})
--- a/transport/front/endpoint_sink.go
+++ b/transport/front/endpoint_sink.go
@@ -8,7 +8,7 @@
 
 	"pinerun.example/pinerun/internal/event"
 	"pinerun.example/pinerun/protocol"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 )
 
 // endpointSink keeps the roster of endpoints.
@@ -53,13 +53,13 @@
 		return
 	}
 	switch f.roster.Update(e, now) {
-	case roster.Joined:
+	case registry.Joined:
 		s.joined(e, c.Object.Version)
 		return
-	case roster.Restarted:
+	case registry.Restarted:
 		f.restarted(e, c.Object.Version)
 		return
-	case roster.Stale:
+	case registry.Stale:
 		return
 	}
 	if e.Leaving {
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -19,7 +19,7 @@
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/settings"
 	"pinerun.example/pinerun/state/fleet"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 	"pinerun.example/pinerun/state/routing"
 	"pinerun.example/pinerun/transport/backlog"
 	"pinerun.example/pinerun/transport/director"
@@ -51,7 +51,7 @@
 
 	done      part.Done
 	routing   routing.Store
-	roster    roster.Roster
+	roster    registry.Registry
 	records   records
 	forwarder forward.Forwarder
 	director  director.Director
--- a/transport/front/occupants.go
+++ b/transport/front/occupants.go
@@ -11,7 +11,7 @@
 	"pinerun.example/pinerun/internal/event"
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 	"pinerun.example/pinerun/transport/director"
 )
 
@@ -80,11 +80,11 @@
 // inquiry asks an address who has it, and an engine whose layers are in doubt what it holds.
 type inquiry struct {
 	front    *Front
-	question roster.Probe
+	question registry.Probe
 }
 
 // inquire begins to ask a question.
-func (f *Front) inquire(q roster.Probe) { go (&inquiry{front: f, question: q}).run() }
+func (f *Front) inquire(q registry.Probe) { go (&inquiry{front: f, question: q}).run() }
 
 func (i *inquiry) run() {
 	f, q := i.front, i.question
@@ -129,5 +129,5 @@
 	if err != nil {
 		return false
 	}
-	return f.roster.Report(q.Endpoint(), &report, clock.Now()) == roster.ReportMatches || !report.LayersKnown
+	return f.roster.Report(q.Endpoint(), &report, clock.Now()) == registry.ReportMatches || !report.LayersKnown
 }
--- a/transport/front/records.go
+++ b/transport/front/records.go
@@ -10,7 +10,7 @@
 	"pinerun.example/pinerun/internal/event"
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 )
 
 // recordsKept bounds the unusable records whose fault is remembered, so that a writer of ever
@@ -105,7 +105,7 @@
 }
 
 // judge logs which records no longer fit the table in force, and which fit again.
-func (r *records) judge(endpoints *roster.Roster) {
+func (r *records) judge(endpoints *registry.Registry) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	at := endpoints.Revision()
@@ -135,7 +135,7 @@
 
 // fitting logs the records that fit again, and forgets those that are gone. The mutex is
 // held.
-func (r *records) fitting(endpoints *roster.Roster, misfits map[string]bool) {
+func (r *records) fitting(endpoints *registry.Registry, misfits map[string]bool) {
 	used := make(map[string]bool)
 	for _, e := range endpoints.Endpoints() {
 		used[e.ID] = true
--- a/transport/front/sinks_test.go
+++ b/transport/front/sinks_test.go
@@ -13,7 +13,7 @@
 
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
-	"pinerun.example/pinerun/state/roster"
+	"pinerun.example/pinerun/state/registry"
 )
 
 // fixed decodes every object to the same table.
@@ -44,7 +44,7 @@
 		for f.routing.Current() == nil {
 			runtime.Gosched()
 		}
-		found <- f.roster.View().Model(roster.ModelName("plain", "")) != nil
+		found <- f.roster.View().Model(registry.ModelName("plain", "")) != nil
 	}()
 	(&routingSink{front: f}).Listed([]protocol.Object{{Name: "main", Version: 9000}}, time.Now())
 	require.True(t, <-found)
