--- a/state/occupant/occupant.go
+++ b/state/addrowner/occupant.go
@@ -17,7 +17,7 @@
 //
 // What counts, the later before the earlier: an answer from the address that names its
 // process; the starts that two claims tell; which of them was seen first.
-package occupant
+package addrowner
 
 import (
 	"slices"
--- a/state/occupant/occupant_test.go
+++ b/state/addrowner/occupant_test.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package occupant_test
+package addrowner_test
 
 import (
 	"fmt"
@@ -10,17 +10,17 @@
 	"github.com/stretchr/testify/require"
 
 	"pinerun.example/pinerun/protocol"
-	"pinerun.example/pinerun/state/occupant"
+	"pinerun.example/pinerun/state/addrowner"
 )
 
 func at(ms int) time.Time { return time.Unix(1000, 0).Add(time.Duration(ms) * time.Millisecond) }
 
 // ledger is a ledger whose records all name one address.
-type ledger struct{ occupant.Tracker }
+type ledger struct{ addrowner.Tracker }
 
 func (l *ledger) record(id string, life protocol.Incarnation, ms int) {
 	l.NextBatch()
-	l.Record(occupant.Claim{Endpoint: id, Address: "x", Incarnation: life, HoldsLayers: true}, at(ms))
+	l.Record(addrowner.Claim{Endpoint: id, Address: "x", Incarnation: life, HoldsLayers: true}, at(ms))
 }
 
 // used returns which of the endpoints x and y is in use.
@@ -104,14 +104,14 @@
 		}, "new"},
 		{"of one list that which promises nothing", func(l *ledger) {
 			l.NextBatch()
-			l.Record(occupant.Claim{Endpoint: "old", Address: "x", HoldsLayers: true}, at(0))
-			l.Record(occupant.Claim{Endpoint: "new", Address: "x"}, at(0))
+			l.Record(addrowner.Claim{Endpoint: "old", Address: "x", HoldsLayers: true}, at(0))
+			l.Record(addrowner.Claim{Endpoint: "new", Address: "x"}, at(0))
 		}, "new"},
 		{"one that has moved leaves its address to others", func(l *ledger) {
 			l.record("old", 0, 0)
 			l.record("new", 0, 1)
 			l.NextBatch()
-			l.Record(occupant.Claim{Endpoint: "new", Address: "y"}, at(2))
+			l.Record(addrowner.Claim{Endpoint: "new", Address: "y"}, at(2))
 			l.Answered("x", "old", 0, at(3))
 		}, "oldnew"},
 	} {
@@ -124,9 +124,9 @@
 func TestRecordsWithoutAnAddressDontContend(t *testing.T) {
 	var l ledger
 	l.NextBatch()
-	l.Record(occupant.Claim{Endpoint: "old"}, at(0))
+	l.Record(addrowner.Claim{Endpoint: "old"}, at(0))
 	l.NextBatch()
-	l.Record(occupant.Claim{Endpoint: "new"}, at(1))
+	l.Record(addrowner.Claim{Endpoint: "new"}, at(1))
 	require.Equal(t, "oldnew", l.used())
 }
 
@@ -143,7 +143,7 @@
 	l.RecordRemoved("new", at(9000))
 	require.True(t, l.ProbeDue("old", 0, at(9001)), "no record is in use")
 	require.False(t, l.ProbeDue("old", 0, at(9002)))
-	require.True(t, l.ProbeDue("old", 0, at(9001).Add(occupant.ProbeInterval)))
+	require.True(t, l.ProbeDue("old", 0, at(9001).Add(addrowner.ProbeInterval)))
 	l.Answered("x", "old", 0, at(11000))
 	require.False(t, l.ProbeDue("old", 0, at(20000)), "it answered itself")
 }
@@ -154,7 +154,7 @@
 	l.RecordRemoved("old", at(1))
 	l.record("new", 0, 2)
 	l.RecordRemoved("new", at(3))
-	l.Sweep(at(3).Add(occupant.Retention))
+	l.Sweep(at(3).Add(addrowner.Retention))
 	require.Empty(t, l.Owner("old"))
 	l.record("old", 0, 100000)
 	require.Equal(t, "old", l.used())
@@ -163,12 +163,12 @@
 // BenchmarkInUse asks for each of so many endpoints whether it is in use. With 4,900 the
 // rebuilding of a roster spends 0.24 ms on it.
 func BenchmarkInUse(b *testing.B) {
-	var l occupant.Tracker
+	var l addrowner.Tracker
 	l.NextBatch()
 	var ids []string
 	for i := range 4900 {
 		ids = append(ids, fmt.Sprint("e-", i))
-		l.Record(occupant.Claim{Endpoint: fmt.Sprint("e-", i), Address: fmt.Sprint("a-", i)}, at(0))
+		l.Record(addrowner.Claim{Endpoint: fmt.Sprint("e-", i), Address: fmt.Sprint("a-", i)}, at(0))
 	}
 	for b.Loop() {
 		for _, id := range ids {
--- a/state/registry/belief.go
+++ b/state/registry/belief.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"pinerun.example/pinerun/protocol"
-	"pinerun.example/pinerun/state/occupant"
+	"pinerun.example/pinerun/state/addrowner"
 )
 
 // recordFresh is how long after a record has changed an engine's report says nothing against
@@ -69,7 +69,7 @@
 
 // claim enters an endpoint, which holds a span, as one that claims its address.
 func (r *Registry) claim(e *protocol.Endpoint, held protocol.Span, now time.Time) {
-	r.occupants.Record(occupant.Claim{
+	r.occupants.Record(addrowner.Claim{
 		Endpoint: e.ID, Address: e.Address, Incarnation: e.Incarnation, HoldsLayers: held.Layers() > 0,
 	}, now)
 }
--- a/state/registry/roster.go
+++ b/state/registry/roster.go
@@ -22,8 +22,8 @@
 
 	"pinerun.example/pinerun/internal/clock"
 	"pinerun.example/pinerun/protocol"
+	"pinerun.example/pinerun/state/addrowner"
 	"pinerun.example/pinerun/state/fleet"
-	"pinerun.example/pinerun/state/occupant"
 )
 
 // settle is how long endpoints that vanish right after an outage of the platform
@@ -53,7 +53,7 @@
 	services   []protocol.RoutedService
 	known      atomic.Bool
 	stale      atomic.Bool // what is derived does not hold the latest changes yet
-	occupants  occupant.Tracker
+	occupants  addrowner.Tracker
 	beliefs    map[string]belief     // of endpoints whose record is not believed as it stands
 	changedAt  map[string]time.Time  // when a record last told something new
 	unused     map[string]bool       // records out of use when it was last derived
