--- a/state/story/story.go
+++ b/state/trace/story.go
@@ -7,7 +7,7 @@
 //	s := book.Open(id, now)
 //	s.Note(now, story.Path, "a1 b2 c3")
 //	lines, ok := book.Read(id)
-package story
+package trace
 
 import (
 	"sync"
--- a/transport/entry/caller.go
+++ b/transport/entry/caller.go
@@ -18,7 +18,7 @@
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/config"
-	"pinerun.example/pinerun/state/story"
+	"pinerun.example/pinerun/state/trace"
 )
 
 // The headers between callers and an entry.
@@ -41,7 +41,7 @@
 	repeatable string    // "yes", "no" or "" when the caller does not say
 	key        string
 	body       []byte
-	story      *story.Trace
+	story      *trace.Trace
 }
 
 func (e *Entry) callerRoutes() http.Handler {
@@ -112,7 +112,7 @@
 func (e *Entry) settle(c echo.Context, k *call, err error) error {
 	now := time.Now()
 	if err == nil {
-		k.story.Add(now, story.Answered, "")
+		k.story.Add(now, trace.Answered, "")
 		name := metric.AnsweredInTime
 		if clock.Now().After(k.deadline) {
 			name = metric.AnsweredLate
@@ -121,7 +121,7 @@
 		return nil
 	}
 	r := protocol.AsRefusal(err)
-	k.story.Add(now, story.Refused, r.Error())
+	k.story.Add(now, trace.Refused, r.Error())
 	return e.refuse(c, r)
 }
 
@@ -166,7 +166,7 @@
 func (e *Entry) check(c echo.Context, k *call, open int) error {
 	now := time.Now()
 	k.deadline = e.Settings.Limits.DefaultDeadline(clock.Now())
-	k.story.Add(now, story.Arrived, c.Request().Method+" "+c.Request().URL.Path)
+	k.story.Add(now, trace.Arrived, c.Request().Method+" "+c.Request().URL.Path)
 	if e.stopping.Load() {
 		return protocol.Refuse(protocol.Stopping, "this entry is stopping")
 	}
--- a/transport/entry/chat.go
+++ b/transport/entry/chat.go
@@ -12,7 +12,7 @@
 	"pinerun.example/pinerun/coordination/admit"
 	"pinerun.example/pinerun/internal/clock"
 	"pinerun.example/pinerun/protocol"
-	"pinerun.example/pinerun/state/story"
+	"pinerun.example/pinerun/state/trace"
 )
 
 // serveChat answers POST /v1/chat/completions, whole or streamed.
@@ -29,7 +29,7 @@
 	if len(prompt)+r.Limit() > m.Context {
 		return protocol.Refuse(protocol.MalformedRequest, "prompt and answer together exceed the model's "+itoa(m.Context)+" tokens")
 	}
-	k.story.Add(time.Now(), story.Queued, "")
+	k.story.Add(time.Now(), trace.Queued, "")
 	place, err := e.gate.enter(c.Request().Context(), m, e.shareOf(m.Open), admit.Request{
 		Team: k.team.Name, Share: k.team.Share, Priority: k.team.Priority,
 		Deadline: clock.Timer(k.deadline), OpenLimit: e.shareOf(k.team.Open),
@@ -38,7 +38,7 @@
 		return err
 	}
 	defer place.leave()
-	k.story.Add(time.Now(), story.Admitted, "")
+	k.story.Add(time.Now(), trace.Admitted, "")
 	answer := newAnswer(c, e, k, r)
 	run := &modelRun{
 		entry: e, id: k.id, model: m, repeatable: k.repeatable != "no",
--- a/transport/entry/claimed.go
+++ b/transport/entry/claimed.go
@@ -14,7 +14,7 @@
 	"pinerun.example/pinerun/internal/clock"
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
-	"pinerun.example/pinerun/state/story"
+	"pinerun.example/pinerun/state/trace"
 )
 
 const (
@@ -39,7 +39,7 @@
 		return serviceAnswer{}, protocol.Refuse(protocol.ClaimUnavailable,
 			"the claim could not be made durable in time").Because(err).Again(time.Now().Add(time.Second))
 	}
-	s.call.story.Add(time.Now(), story.Claimed, result.Verdict().String())
+	s.call.story.Add(time.Now(), trace.Claimed, result.Verdict().String())
 	if result.Verdict() != claim.Granted {
 		return s.replay(result)
 	}
--- a/transport/entry/entry.go
+++ b/transport/entry/entry.go
@@ -27,7 +27,7 @@
 	"pinerun.example/pinerun/settings"
 	"pinerun.example/pinerun/state/config"
 	"pinerun.example/pinerun/state/fleet"
-	"pinerun.example/pinerun/state/story"
+	"pinerun.example/pinerun/state/trace"
 	"pinerun.example/pinerun/transport/claims"
 	"pinerun.example/pinerun/transport/engine"
 	"pinerun.example/pinerun/transport/follow"
@@ -43,7 +43,7 @@
 	counters  metric.Set
 	detected  metric.Times // from a step's sending to its being given up
 	recovery  metric.Times // from there to the next token
-	stories   story.Log
+	stories   trace.Log
 	view      atomic.Pointer[fleet.View]
 	pool      engine.Pool
 	platform  platform.Client
--- a/transport/entry/model_run.go
+++ b/transport/entry/model_run.go
@@ -15,7 +15,7 @@
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
-	"pinerun.example/pinerun/state/story"
+	"pinerun.example/pinerun/state/trace"
 	"pinerun.example/pinerun/transport/engine"
 )
 
@@ -30,7 +30,7 @@
 	model      protocol.Model
 	repeatable bool
 	deadline   time.Time // of clock.Now
-	story      *story.Trace
+	story      *trace.Trace
 	sink       tokenSink
 	place      *pass
 
@@ -83,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	m.story.Add(time.Now(), story.Path, describe(&p))
+	m.story.Add(time.Now(), trace.Path, describe(&p))
 	m.enrol(&p)
 	first := m.machine.Begin(&p)
 	m.pledge(&p)
@@ -198,7 +198,7 @@
 func (m *modelRun) emit(t int32) error {
 	now := time.Now()
 	if len(m.machine.Emitted()) == 1 {
-		m.story.Add(now, story.FirstToken, "")
+		m.story.Add(now, trace.FirstToken, "")
 	} else if !m.tokenAt.IsZero() && m.lostAt.IsZero() {
 		m.place.observe(now.Sub(m.tokenAt), m.model.Gap())
 	}
--- a/transport/entry/operator.go
+++ b/transport/entry/operator.go
@@ -14,7 +14,7 @@
 
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
-	"pinerun.example/pinerun/state/story"
+	"pinerun.example/pinerun/state/trace"
 )
 
 func (e *Entry) operatorRoutes() http.Handler {
@@ -129,7 +129,7 @@
 	}
 	return c.JSON(http.StatusOK, struct {
 		Request string        `json:"request"`
-		Lines   []story.Event `json:"lines"`
+		Lines   []trace.Event `json:"lines"`
 		Dropped int           `json:"dropped"`
 	}{id.String(), lines, dropped})
 }
--- a/transport/entry/recover.go
+++ b/transport/entry/recover.go
@@ -14,7 +14,7 @@
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
-	"pinerun.example/pinerun/state/story"
+	"pinerun.example/pinerun/state/trace"
 )
 
 // silent judges the steps that should have been answered by now.
@@ -87,7 +87,7 @@
 		return m.stopped(d.(retry.Stop), reason)
 	}
 	m.entry.counters.Retried(reason)
-	m.story.Add(now, story.Retried, string(reason)+" at "+nameOf(failed))
+	m.story.Add(now, trace.Retried, string(reason)+" at "+nameOf(failed))
 	event.RequestRetried.Log(m.entry.Logger, slog.String("request", m.id.String()),
 		slog.String("reason", string(reason)), slog.String("runner", nameOf(failed)))
 	if !m.rest(ctx, wait.Until()) {
--- a/transport/entry/service.go
+++ b/transport/entry/service.go
@@ -23,7 +23,7 @@
 	"pinerun.example/pinerun/internal/event"
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
-	"pinerun.example/pinerun/state/story"
+	"pinerun.example/pinerun/state/trace"
 )
 
 // maxAnswerBytes bounds the answer of a plain service.
@@ -153,7 +153,7 @@
 	for {
 		s.tries++
 		endpoint := s.endpoint()
-		s.call.story.Add(time.Now(), story.Path, endpoint.Name)
+		s.call.story.Add(time.Now(), trace.Path, endpoint.Name)
 		answer, err := s.send(ctx, endpoint)
 		if err == nil {
 			return answer, nil
@@ -228,7 +228,7 @@
 		reason = metric.StreamError
 	}
 	s.entry.counters.Retried(reason)
-	s.call.story.Add(time.Now(), story.Retried, string(reason)+" at "+endpoint.Name)
+	s.call.story.Add(time.Now(), trace.Retried, string(reason)+" at "+endpoint.Name)
 	event.RequestRetried.Log(s.entry.Logger, slog.String("request", s.call.id.String()), slog.String("reason", string(reason)))
 	t := time.NewTimer(time.Until(wait.Until()))
 	defer t.Stop()
--- a/wire_test.go
+++ b/wire_test.go
@@ -18,7 +18,7 @@
 	"pinerun.example/pinerun/coordination/plan"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/settings"
-	"pinerun.example/pinerun/state/story"
+	"pinerun.example/pinerun/state/trace"
 )
 
 // updateWire writes the files under testdata/wire instead of comparing with them. Entries of two
@@ -75,7 +75,7 @@
 		{"fleet-status", &protocol.FleetStatus{}},
 		{"lease", &lease.Record{}},
 		{"plan", &plan.Plan{}},
-		{"story-line", &story.Event{}},
+		{"story-line", &trace.Event{}},
 	}
 	for _, m := range text {
 		t.Run(m.name, func(t *testing.T) {
