--- a/state/registry/lives_test.go
+++ b/state/registry/lives_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 
 	"pinerun.example/pinerun/protocol"
-	"pinerun.example/pinerun/state/occupant"
+	"pinerun.example/pinerun/state/addrowner"
 	"pinerun.example/pinerun/state/registry"
 )
 
@@ -341,7 +341,7 @@
 
 // leftOut bounds how long an engine that lives, and whose record stands, may be left out or
 // taken for an earlier life.
-const leftOut = registry.ProbeGrace + occupant.ProbeInterval
+const leftOut = registry.ProbeGrace + addrowner.ProbeInterval
 
 // TestEnginesThatLiveAreUsedAndOnlyThose lets engines start, crash and start again, records
 // come late, lapse and come back, and entries see parts of it and hear news in any order.
