--- a/transport/entry/restrain.go
+++ b/transport/entry/restrain.go
@@ -66,14 +66,14 @@
 	case quarantine.Waiting:
 		return p, false, nil
 	case quarantine.PreferIsolation, quarantine.RequireIsolation:
-		taken = m.entry.suspects.book.Taken(m.fingerprint(), now)
+		taken = m.entry.suspects.book.ReservedEndpoints(m.fingerprint(), now)
 	}
 	if p, err = m.path(taken); err != nil {
 		return p, false, err
 	}
 	if _, alone := s.(quarantine.RequireIsolation); alone {
 		first := p.Runner(0)
-		return p, first.Usable(time.Now()) && !slices.Contains(taken, first.Name()) && m.entry.suspects.book.MayTry(now), nil
+		return p, first.Usable(time.Now()) && !slices.Contains(taken, first.Name()) && m.entry.suspects.book.MayStartIsolatedRun(now), nil
 	}
 	return p, true, nil
 }
@@ -145,7 +145,7 @@
 	}
 	s := &m.entry.suspects
 	m.tell(r, life, protocol.WorkBroke, now)
-	s.book.Doubt(r.Name(), life, now)
+	s.book.RecordUnresolved(r.Name(), life, now)
 	s.check(r, life, sentAt)
 }
 
@@ -164,7 +164,7 @@
 func (m *modelRun) ranWell() {
 	m.dismiss()
 	book := &m.entry.suspects.book
-	if m.proven || book.Empty() || !book.Knows(m.fingerprint()) {
+	if m.proven || book.Empty() || !book.IsSuspected(m.fingerprint()) {
 		return
 	}
 	m.proven = true
@@ -173,7 +173,7 @@
 }
 
 func (m *modelRun) tell(r *fleet.Runner, life protocol.Incarnation, sign protocol.WorkObservation, now time.Time) {
-	m.entry.suspects.book.Tell(protocol.RelayWork{Work: m.fingerprint(), Endpoint: r.Name(), Incarnation: life, Observation: sign}, now)
+	m.entry.suspects.book.Report(protocol.RelayWork{Work: m.fingerprint(), Endpoint: r.Name(), Incarnation: life, Observation: sign}, now)
 }
 
 func (m *modelRun) lifeOf(r *fleet.Runner) protocol.Incarnation {
--- a/transport/forward/end_check.go
+++ b/transport/forward/end_check.go
@@ -22,7 +22,7 @@
 
 // checkEnd sees to it that an attempt's endpoint is asked after what broke there.
 func (f *Forwarder) checkEnd(a *attempt, engine bool, now time.Time) {
-	f.Quarantine.Doubt(a.endpoint.Name(), a.life, now)
+	f.Quarantine.RecordUnresolved(a.endpoint.Name(), a.life, now)
 	f.endings.Begin(&ending.Case{
 		Endpoint: a.endpoint.Name(), Life: a.life, Book: f.Quarantine, Logger: f.Logger,
 		Asker: &endCheck{forwarder: f, runner: a.endpoint, life: a.life, engine: engine, sentAt: time.Now().Add(-now.Sub(a.sentAt))},
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -31,16 +31,16 @@
 	// Empty reports whether nothing is known against any work.
 	Empty() bool
 	Status(work protocol.Fingerprint, now time.Time) quarantine.Status
-	// Knows reports whether anything was met of some work that running well would clear.
-	Knows(work protocol.Fingerprint) bool
-	// Taken returns the endpoints at which other such work is on trial.
-	Taken(work protocol.Fingerprint, now time.Time) []string
-	// MayTry reports whether a trial begins that may begin at this look.
-	MayTry(now time.Time) bool
-	// Tell notes what this entry met, and tells the others.
-	Tell(news protocol.RelayWork, at time.Time)
-	// Doubt notes that it may turn out soon whether a life of an endpoint has ended.
-	Doubt(endpoint string, life protocol.Incarnation, now time.Time)
+	// IsSuspected reports whether anything was met of some work that running well would clear.
+	IsSuspected(work protocol.Fingerprint) bool
+	// ReservedEndpoints returns the endpoints at which other such work is on trial.
+	ReservedEndpoints(work protocol.Fingerprint, now time.Time) []string
+	// MayStartIsolatedRun reports whether a trial begins that may begin at this look.
+	MayStartIsolatedRun(now time.Time) bool
+	// Report notes what this entry met, and tells the others.
+	Report(news protocol.RelayWork, at time.Time)
+	// RecordUnresolved notes that it may turn out soon whether a life of an endpoint has ended.
+	RecordUnresolved(endpoint string, life protocol.Incarnation, now time.Time)
 	ending.Book
 }
 
@@ -166,7 +166,7 @@
 func (x *exchange) tryAlone(now time.Time) bool {
 	t, f := x.trial, x.forwarder
 	p, ready := x.pickNext(now)
-	if !ready || !sound(&p, now, nil) || !x.mayReach(&p) || slices.Contains(f.Quarantine.Taken(x.work(), now), p.Runner(0).Name()) || !f.Quarantine.MayTry(now) {
+	if !ready || !sound(&p, now, nil) || !x.mayReach(&p) || slices.Contains(f.Quarantine.ReservedEndpoints(x.work(), now), p.Runner(0).Name()) || !f.Quarantine.MayStartIsolatedRun(now) {
 		return false
 	}
 	again := t.failed != nil && t.result != retry.NeverSent
@@ -202,7 +202,7 @@
 	}
 	avoid = slices.Clip(avoid)
 	view := x.forwarder.Roster.View()
-	for _, id := range x.forwarder.Quarantine.Taken(x.work(), now) {
+	for _, id := range x.forwarder.Quarantine.ReservedEndpoints(x.work(), now) {
 		if r := view.Runner(id); r != nil && !slices.Contains(avoid, r) {
 			avoid = append(avoid, r)
 		}
@@ -217,7 +217,7 @@
 	a.life = x.forwarder.Roster.Incarnation(a.endpoint.Name())
 	if _, free := x.standing(now).(quarantine.Unrestricted); !free {
 		a.trial = true
-		q.Tell(x.news(a, protocol.WorkTried), now)
+		q.Report(x.news(a, protocol.WorkTried), now)
 	}
 }
 
@@ -225,7 +225,7 @@
 func (x *exchange) dismiss(a *attempt, now time.Time) {
 	if a.trial {
 		a.trial = false
-		x.forwarder.Quarantine.Tell(x.news(a, protocol.WorkTrialOver), now)
+		x.forwarder.Quarantine.Report(x.news(a, protocol.WorkTrialOver), now)
 	}
 }
 
@@ -237,7 +237,7 @@
 		return
 	}
 	a.broken = true
-	f.Quarantine.Tell(x.news(a, protocol.WorkBroke), now)
+	f.Quarantine.Report(x.news(a, protocol.WorkBroke), now)
 	if !a.endpoint.Lost(now) {
 		f.checkEnd(a, x.service.Engine != nil, now)
 	}
@@ -246,11 +246,11 @@
 // ran tells that the work ran well on an attempt, if anything is known against it.
 func (x *exchange) ran(a *attempt, now time.Time) {
 	q := x.forwarder.Quarantine
-	if a.proven || q == nil || q.Empty() || !q.Knows(x.work()) {
+	if a.proven || q == nil || q.Empty() || !q.IsSuspected(x.work()) {
 		return
 	}
 	a.proven = true
-	q.Tell(x.news(a, protocol.WorkRan), now)
+	q.Report(x.news(a, protocol.WorkRan), now)
 }
 
 // runsOn notes an event of an attempt: work that runs on proves that it does not end its endpoint.
@@ -296,7 +296,7 @@
 		a.lost = append(a.lost, r)
 		x.forwarder.log(event.StageLost, x.id(), slog.Int("attempt", a.number), slog.String("endpoint", r.Name()),
 			slog.String("fingerprint", x.work().String()))
-		q.Tell(protocol.RelayWork{
+		q.Report(protocol.RelayWork{
 			Work: x.work(), Endpoint: r.Name(), Incarnation: x.forwarder.Roster.Incarnation(r.Name()), Observation: protocol.WorkBrokeBehind,
 		}, now)
 	}
--- a/transport/relay/quarantine.go
+++ b/transport/relay/quarantine.go
@@ -37,10 +37,10 @@
 	met    part.Signal // told when this entry or another one met something
 }
 
-// Tell notes what this entry met, and tells the others as soon as some work was at an end that
+// Report notes what this entry met, and tells the others as soon as some work was at an end that
 // is known: answers break off for other reasons all the time, and each report goes to each entry. It
 // fills in the witness.
-func (q *Quarantine) Tell(news protocol.RelayWork, at time.Time) {
+func (q *Quarantine) Report(news protocol.RelayWork, at time.Time) {
 	news.Observer = q.Self
 	r := quarantine.NewReport(news, at)
 	now := clock.Now()
@@ -80,8 +80,8 @@
 	q.unsaid = left
 }
 
-// Doubt notes that it may turn out soon whether a life of an endpoint has ended.
-func (q *Quarantine) Doubt(endpoint string, life protocol.Incarnation, now time.Time) {
+// RecordUnresolved notes that it may turn out soon whether a life of an endpoint has ended.
+func (q *Quarantine) RecordUnresolved(endpoint string, life protocol.Incarnation, now time.Time) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.book.RecordUnresolved(endpoint, life, now)
@@ -126,22 +126,22 @@
 	return q.book.Status(work, now)
 }
 
-// Knows reports whether anything was met of some work that running well would clear.
-func (q *Quarantine) Knows(work protocol.Fingerprint) bool {
+// IsSuspected reports whether anything was met of some work that running well would clear.
+func (q *Quarantine) IsSuspected(work protocol.Fingerprint) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.book.IsSuspected(work)
 }
 
-// Taken returns the endpoints at which other work is on trial.
-func (q *Quarantine) Taken(work protocol.Fingerprint, now time.Time) []string {
+// ReservedEndpoints returns the endpoints at which other work is on trial.
+func (q *Quarantine) ReservedEndpoints(work protocol.Fingerprint, now time.Time) []string {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.book.ReservedEndpoints(work, now)
 }
 
-// MayTry reports whether a trial begins that may begin at this look.
-func (q *Quarantine) MayTry(now time.Time) bool {
+// MayStartIsolatedRun reports whether a trial begins that may begin at this look.
+func (q *Quarantine) MayStartIsolatedRun(now time.Time) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.book.MayStartIsolatedRun(now, rand.Float64())
--- a/transport/relay/quarantine_test.go
+++ b/transport/relay/quarantine_test.go
@@ -22,7 +22,7 @@
 func endUnder(e *entry, engine string) {
 	time.Sleep(time.Second)
 	now := time.Now()
-	e.source.Quarantine().Tell(protocol.RelayWork{Work: deadly, Endpoint: engine, Incarnation: 1, Observation: protocol.WorkBroke}, now)
+	e.source.Quarantine().Report(protocol.RelayWork{Work: deadly, Endpoint: engine, Incarnation: 1, Observation: protocol.WorkBroke}, now)
 	e.source.Tell(engine, protocol.LossRefused, now)
 }
 
@@ -69,7 +69,7 @@
 		all := newEntries(t, s, 5)
 		living(all, 1)
 		news := protocol.RelayWork{Work: deadly, Endpoint: "engine", Incarnation: 1, Observation: protocol.WorkBroke}
-		all[2].source.Quarantine().Tell(news, time.Now())
+		all[2].source.Quarantine().Report(news, time.Now())
 		time.Sleep(time.Second)
 		for i, e := range all {
 			require.Equal(t, i != 2, e.source.Quarantine().Empty(), e.outside.name)
