--- a/coordination/admit/admit_test.go
+++ b/coordination/admit/admit_test.go
@@ -20,10 +20,11 @@
 	return admit.Request{Ticket: ticket, Team: team, Share: 1, Deadline: start.Add(time.Hour)}
 }
 
-// TestEveryRequestEndsOnceAndCapacityNeverIdles drives a queue at random: each
-// ticket is admitted or refused exactly once, no more run than may, and while
-// any request waits all places are taken.
-func TestEveryRequestEndsOnceAndCapacityNeverIdles(t *testing.T) {
+// TestQueueDecidesEachRequestOnceAndStaysBusy applies random operations to a
+// queue. Each ticket is admitted or refused exactly once, no more requests run
+// than the capacity allows, and the capacity is fully used while any request
+// waits.
+func TestQueueDecidesEachRequestOnceAndStaysBusy(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q admit.Queue
 		capacity := rapid.IntRange(1, 5).Draw(t, "capacity")
@@ -81,10 +82,10 @@
 	})
 }
 
-// flood runs a queue of one place in which a large team always has requests
-// waiting and a small one sends every tenth slot, and returns the most slots
-// that a request of the small team waited.
-func flood(greed int) int {
+// longestSmallTeamWait runs a queue of capacity 1 in which a large team always has
+// waiting requests and a small team sends one every tenth slot. It returns the
+// most slots that a request of the small team waits.
+func longestSmallTeamWait(perSlot int) int {
 	var q admit.Queue
 	q.Resize(1)
 	var ticket admit.Ticket
@@ -94,7 +95,7 @@
 	current := "large"
 	for slot := range 1000 {
 		now := start.Add(time.Duration(slot) * time.Millisecond)
-		for range greed {
+		for range perSlot {
 			ticket++
 			q.Offer(request(ticket, "large"), now)
 		}
@@ -117,12 +118,12 @@
 	return longest
 }
 
-func TestALargeTeamDoesNotDelayASmallOne(t *testing.T) {
-	require.LessOrEqual(t, flood(1), 2)
-	require.LessOrEqual(t, flood(10), 2, "at ten times its share")
+func TestLargeTeamDoesNotDelaySmallTeam(t *testing.T) {
+	require.LessOrEqual(t, longestSmallTeamWait(1), 2)
+	require.LessOrEqual(t, longestSmallTeamWait(10), 2, "ten times as many requests")
 }
 
-func TestPriorityGoesFirstAndAgeCatchesUp(t *testing.T) {
+func TestAgingOvertakesPriority(t *testing.T) {
 	var q admit.Queue
 	q.Resize(1)
 	require.IsType(t, admit.Run{}, q.Offer(request(1, "a"), start))
@@ -135,10 +136,10 @@
 	require.IsType(t, admit.Wait{}, q.Offer(urgent, later))
 	q.Finish("a", time.Millisecond, later)
 	admitted, _ := q.Dispatch(later)
-	require.Equal(t, []admit.Ticket{2}, admitted, "it has waited long enough")
+	require.Equal(t, []admit.Ticket{2}, admitted, "it has aged past the urgent request")
 }
 
-func TestEarliestDeadlineGoesFirstInATeam(t *testing.T) {
+func TestEarliestDeadlineGoesFirstWithinTeam(t *testing.T) {
 	var q admit.Queue
 	q.Resize(1)
 	q.Offer(request(1, "a"), start)
@@ -151,7 +152,7 @@
 	require.Equal(t, []admit.Ticket{3}, admitted)
 }
 
-func TestAHopelessRequestIsRefusedEarly(t *testing.T) {
+func TestUnreachableDeadlineIsRefusedEarly(t *testing.T) {
 	var q admit.Queue
 	q.Resize(1)
 	q.Offer(request(1, "a"), start)
@@ -165,7 +166,7 @@
 	require.True(t, d.RetryAfter().After(start))
 }
 
-func TestAFullQueueGivesUpTheLongestLine(t *testing.T) {
+func TestFullQueueRefusesFromTeamAboveShare(t *testing.T) {
 	var q admit.Queue
 	q.Resize(1)
 	q.Offer(request(0, "large"), start)
@@ -181,7 +182,7 @@
 	require.NotEqual(t, admit.Ticket(1001), refused[0].Ticket())
 }
 
-func BenchmarkOfferAndNext(b *testing.B) {
+func BenchmarkOfferAndDispatch(b *testing.B) {
 	for _, teams := range []int{10, 70, 700} {
 		b.Run(fmt.Sprint("teams=", teams), func(b *testing.B) {
 			var q admit.Queue
--- a/coordination/admit/group.go
+++ b/coordination/admit/group.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Group is the requests of one team and priority that wait in a line.
+// Group describes the waiting requests of one team and priority in a WaitQueue.
 type Group struct {
 	team     string
 	priority int
@@ -16,29 +16,30 @@
 	oldest   time.Time
 }
 
-// Team returns whose requests they are.
+// Team returns the team of the requests.
 func (g *Group) Team() string { return g.team }
 
-// Priority returns their priority, 0 for the most urgent.
+// Priority returns the priority of the requests; 0 is the most urgent.
 func (g *Group) Priority() int { return g.priority }
 
-// Requests returns how many they are, at least one.
+// Requests returns the number of requests, at least one.
 func (g *Group) Requests() int { return g.requests }
 
-// Oldest returns since when the first of them has waited.
+// Oldest returns when the request that has waited longest began to wait.
 func (g *Group) Oldest() time.Time { return g.oldest }
 
-// Groups returns who waits, in order of priority and team.
-func (l *WaitQueue) Groups() []Group {
+// Groups returns the waiting requests by team and priority, ordered by priority
+// and then by team.
+func (q *WaitQueue) Groups() []Group {
 	var all []Group
-	for i := range l.waiting {
-		w := &l.waiting[i]
-		at := slices.IndexFunc(all, func(g Group) bool { return g.team == w.Team && g.priority == w.Priority })
-		if at < 0 {
+	for i := range q.waiting {
+		w := &q.waiting[i]
+		index := slices.IndexFunc(all, func(g Group) bool { return g.team == w.Team && g.priority == w.Priority })
+		if index < 0 {
 			all = append(all, Group{team: w.Team, priority: w.Priority, requests: 1, oldest: w.Since})
 			continue
 		}
-		g := &all[at]
+		g := &all[index]
 		g.requests++
 		if w.Since.Before(g.oldest) {
 			g.oldest = w.Since
--- a/coordination/admit/limit.go
+++ b/coordination/admit/limit.go
@@ -5,22 +5,23 @@
 import "time"
 
 const (
-	// windowSamples and windowTime bound the window over which gaps between
-	// tokens are averaged before the limit moves.
-	windowSamples = 50
-	windowTime    = 200 * time.Millisecond
-	// growBy and shrinkTo are the steps of the limit.
-	growBy   = 1.08
-	shrinkTo = 0.92
-	// growBelow is the part of the goal under which the limit may grow.
-	growBelow = 0.9
-	minLimit  = 4
+	// windowSamples and windowDuration are the least samples and the least time over
+	// which token gaps are averaged before the limit changes.
+	windowSamples  = 50
+	windowDuration = 200 * time.Millisecond
+	// growFactor and shrinkFactor are the steps by which the limit changes.
+	growFactor   = 1.08
+	shrinkFactor = 0.92
+	// growThreshold is the fraction of the target gap below which the limit may grow.
+	growThreshold = 0.9
+	minLimit      = 4
 )
 
-// Limit finds how many requests may run at once so that the mean gap between
-// tokens stays near a goal. More would only wait inside the engines, where
-// neither share nor deadline counts any more; fewer would leave runners idle.
-// The zero value starts at the first maximum it is given.
+// Limit adapts how many requests may run at once so that the mean gap between
+// tokens stays near a target. With a higher limit, requests wait inside the
+// engines, where neither the team's share nor the deadline counts. With a lower
+// one, runners are idle. The zero value starts at the maximum that the first call
+// of Capacity gives.
 type Limit struct {
 	current float64
 	sum     time.Duration
@@ -28,7 +29,7 @@
 	since   time.Time
 }
 
-// Capacity returns the limit, at most maximum.
+// Capacity returns the limit, which is at most maximum and at least 1.
 func (l *Limit) Capacity(maximum int) int {
 	if l.current == 0 || l.current > float64(maximum) {
 		l.current = float64(maximum)
@@ -36,23 +37,23 @@
 	return max(1, int(l.current))
 }
 
-// Observe takes one gap between tokens. Full says that the limit is reached, so
-// that the gap tells something about it. Goal is the gap wanted.
-func (l *Limit) Observe(gap, goal time.Duration, full bool, now time.Time) {
+// Observe takes one gap between tokens. Saturated says that the limit is reached:
+// only then does a short gap show that more requests could run.
+func (l *Limit) Observe(gap, target time.Duration, saturated bool, now time.Time) {
 	if l.samples == 0 {
 		l.since = now
 	}
 	l.sum += gap
 	l.samples++
-	if l.samples < windowSamples || now.Sub(l.since) < windowTime {
+	if l.samples < windowSamples || now.Sub(l.since) < windowDuration {
 		return
 	}
 	mean := l.sum / time.Duration(l.samples)
 	l.sum, l.samples = 0, 0
 	switch {
-	case mean > goal:
-		l.current = max(minLimit, l.current*shrinkTo)
-	case full && mean < time.Duration(growBelow*float64(goal)):
-		l.current *= growBy
+	case mean > target:
+		l.current = max(minLimit, l.current*shrinkFactor)
+	case saturated && mean < time.Duration(growThreshold*float64(target)):
+		l.current *= growFactor
 	}
 }
--- a/coordination/admit/team.go
+++ b/coordination/admit/team.go
@@ -6,56 +6,59 @@
 	"time"
 )
 
-// team is one team's waiting requests and its place in virtual time.
+// team holds the waiting requests of one team and its state in fair queueing.
 type team struct {
-	share   float64
-	pass    float64
-	running int
-	line    line
+	share        float64
+	virtualStart float64
+	running      int
+	queue        requestHeap
 }
 
-// waiter is a request that waits.
-type waiter struct {
-	request Request
-	since   time.Time
-	order   uint64
+// queuedRequest is a waiting request.
+type queuedRequest struct {
+	request  Request
+	since    time.Time
+	sequence uint64
 }
 
-// line is a heap of waiters by deadline, then by arrival.
-type line []waiter
+// requestHeap is a heap of waiting requests, ordered by deadline and then by
+// arrival.
+type requestHeap []queuedRequest
 
-func (l line) Len() int { return len(l) }
-func (l line) Less(i, j int) bool {
-	if !l[i].request.Deadline.Equal(l[j].request.Deadline) {
-		return l[i].request.Deadline.Before(l[j].request.Deadline)
+func (h requestHeap) Len() int { return len(h) }
+func (h requestHeap) Less(i, j int) bool {
+	if !h[i].request.Deadline.Equal(h[j].request.Deadline) {
+		return h[i].request.Deadline.Before(h[j].request.Deadline)
 	}
-	return l[i].order < l[j].order
+	return h[i].sequence < h[j].sequence
 }
-func (l line) Swap(i, j int) { l[i], l[j] = l[j], l[i] }
+func (h requestHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push is for container/heap.
-func (l *line) Push(x any) { *l = append(*l, x.(waiter)) }
+// Push implements heap.Interface.
+func (h *requestHeap) Push(x any) { *h = append(*h, x.(queuedRequest)) }
 
-// Pop is for container/heap.
-func (l *line) Pop() any {
-	last := len(*l) - 1
-	w := (*l)[last]
-	*l = (*l)[:last]
+// Pop implements heap.Interface.
+func (h *requestHeap) Pop() any {
+	last := len(*h) - 1
+	w := (*h)[last]
+	*h = (*h)[:last]
 	return w
 }
 
-func (t *team) before(o *team) bool {
-	if t.pass != o.pass {
-		return t.pass < o.pass
+// precedes reports whether t is dispatched before o at equal urgency.
+func (t *team) precedes(o *team) bool {
+	if t.virtualStart != o.virtualStart {
+		return t.virtualStart < o.virtualStart
 	}
-	return t.line[0].order < o.line[0].order
+	return t.queue[0].sequence < o.queue[0].sequence
 }
 
-// urgency returns the priority of the team's first request less one for each
-// ageStep that it has waited.
+// urgency returns the priority of the team's first request, less one for each
+// agingInterval that it has waited; 0 is the most urgent.
 func (t *team) urgency(now time.Time) int {
-	w := &t.line[0]
-	return max(0, int(w.request.Priority)-int(now.Sub(w.since)/ageStep))
+	w := &t.queue[0]
+	return max(0, int(w.request.Priority)-int(now.Sub(w.since)/agingInterval))
 }
 
-func (t *team) excess() float64 { return float64(len(t.line)) / t.share }
+// queuedPerShare returns the number of waiting requests in relation to the share.
+func (t *team) queuedPerShare() float64 { return float64(len(t.queue)) / t.share }
