--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -1,28 +1,29 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package lease decides who does the work that one entry at a time does.
+// Package lease grants work that only one entry may do at a time to one holder.
 //
-// A lease is an object in the platform that names its holder and an epoch. It is
-// taken and renewed by conditional update. Others judge its expiry by how long
-// they have themselves seen its version unchanged, so no two clocks are ever
-// compared; the holder stops a margin earlier by its own clock, counted from
-// before it asked. A Lease is pure:
+// A lease is an object in the platform that names its holder and an epoch. An
+// entry acquires and renews it by conditional writes. Other entries consider it
+// expired once they have seen its version unchanged for TTL on their own clock,
+// so clocks of different entries are never compared. The holder stops SafetyMargin
+// earlier, counted from before it asked for its last write. A Lease does no input
+// or output; its owner does what Next returns and reports the result:
 //
 //	switch a := l.Next(now).(type) {
-//	case lease.Read:  // read the object, then l.Seen(version, record, now)
-//	case lease.Write: // write a.Record() if the version is a.Known(); then
-//	                  // l.Wrote(version), or l.Doubt() for any other end
-//	case lease.Rest:  // until a.Till()
+//	case lease.Read:  // read the object, then l.Observe(version, record, now)
+//	case lease.Write: // write a.Record() if the version is a.ExpectedVersion(), then
+//	                  // l.WriteSucceeded(version), or l.WriteUncertain() on any other result
+//	case lease.Wait:  // nothing to do until a.Until()
 //	}
-//	if epoch, ok := l.Epoch(now); ok { ... } // ask again right before each order
-//	if w, ok := l.Release(now); ok { ... }   // write it; then l.Released(version), or l.Doubt()
-//	l.Heard(version, record, now)            // another entry told how the lease stood
+//	if epoch, ok := l.Epoch(now); ok { ... } // check again right before each order
+//	if w, ok := l.Release(now); ok { ... }   // write it, then l.Released(version) or l.WriteUncertain()
+//	l.ObserveReport(version, record, now)    // another entry reported the state of the lease
 //
-// Who hears of each change need not read: what is heard may be old, but a write on what is
-// old fails by its condition.
+// An entry that receives a report of each change need not read the object. A report
+// may be out of date, but a write that is based on it fails by its condition.
 //
-// The epoch rises with each new holder and goes into every order, so that an
-// endpoint that checks refuses the orders of an older holder.
+// The epoch rises with each new holder and is part of every order, so an endpoint
+// that checks it rejects the orders of an earlier holder.
 package lease
 
 import "time"
@@ -30,24 +31,24 @@
 const (
 	// TTL is how long a lease lasts without renewal.
 	TTL = 3 * time.Second
-	// renewEvery is when the holder renews, counted from its last renewal.
-	renewEvery = time.Second
-	// Margin is how much earlier the holder stops than others may take over. It
-	// covers an order that was sent right before the end.
-	Margin = time.Second
-	// lookEvery is how often others read the lease.
-	lookEvery = 500 * time.Millisecond
+	// renewInterval is the time between renewals by the holder.
+	renewInterval = time.Second
+	// SafetyMargin is how much earlier than TTL the holder stops giving orders. It
+	// covers an order that is sent right before the end.
+	SafetyMargin = time.Second
+	// readInterval is how often entries other than the holder read the lease.
+	readInterval = 500 * time.Millisecond
 )
 
-// Record is a lease's content in the platform.
+// Record is the content of a lease in the platform.
 type Record struct {
-	Holder string `json:"holder"` // empty when it was given up
+	Holder string `json:"holder"` // empty if the lease was released
 	Epoch  uint64 `json:"epoch"`
-	// Nonce differs in each write, so that every renewal has its own mark.
+	// Nonce differs in each write, so that every renewal can be recognized.
 	Nonce uint64 `json:"nonce"`
 }
 
-// Action is what to do next.
+// Action is what to do next: a Read, a Write or a Wait.
 type Action interface{ action() }
 
 // Read asks for the object.
@@ -55,76 +56,80 @@
 
 // Write asks for a conditional write.
 type Write struct {
-	known  uint64
-	record Record
+	expectedVersion uint64
+	record          Record
 }
 
-// ExpectedVersion returns the version that must still be there, 0 for none.
-func (w Write) ExpectedVersion() uint64 { return w.known }
+// ExpectedVersion returns the version that the object must still have; 0 means
+// that it must not exist.
+func (w Write) ExpectedVersion() uint64 { return w.expectedVersion }
 
-// Record returns what to write.
+// Record returns the content to write.
 func (w Write) Record() Record { return w.record }
 
-// Wait says until when there is nothing to do.
-type Wait struct{ till time.Time }
+// Wait says that there is nothing to do until some time.
+type Wait struct{ until time.Time }
 
-// Until returns when to ask again.
-func (r Wait) Until() time.Time { return r.till }
+// Until returns when to call Next again.
+func (w Wait) Until() time.Time { return w.until }
 
 func (Read) action()  {}
 func (Write) action() {}
 func (Wait) action()  {}
 
-// Lease is one entry's view of a lease. Set Self before use.
+// Lease is one entry's view of a lease. Set Self and Incarnation before use.
 type Lease struct {
 	Self string
-	// Incarnation is drawn anew by each life of the process. A write of an earlier life that
-	// takes effect late is not taken for a write of this one.
+	// Incarnation is a random number that differs in each run of the process. Nonces
+	// are derived from it, so a delayed write of an earlier run is not mistaken for a
+	// write of this one.
 	Incarnation uint64
 
-	seen      bool
-	doubt     bool // of the effect of the last write
-	hears     bool // of each change
-	version   uint64
-	record    Record
-	since     time.Time // from when this entry has seen the version unchanged
-	readAt    time.Time // when it was last read
-	asking    Record    // of the write in flight
-	askedAt   time.Time // when that write was decided on
-	heldUntil time.Time // by this entry's clock, margin taken off
-	writes    uint64
+	known           bool // version and record reflect what was last read, reported or written
+	uncertain       bool // the effect of the last write is unknown
+	receivesReports bool // other entries report each change
+	version         uint64
+	record          Record
+	unchangedSince  time.Time // from when this entry has seen the version unchanged
+	readAt          time.Time // when the object was last read
+	pending         Record    // content of the write in flight
+	pendingSince    time.Time // when that write was returned by Next or Release
+	heldUntil       time.Time // by this entry's clock, SafetyMargin deducted
+	writeCount      uint64
 }
 
-// Next returns what to do.
+// Next returns what to do now.
 func (l *Lease) Next(now time.Time) Action {
 	switch {
-	case !l.seen:
+	case !l.known:
 		return Read{}
-	case l.mine():
+	case l.isHolder():
 		return l.renew(now)
-	case l.version == 0 || l.record.Holder == "" || now.Sub(l.since) > TTL:
-		return l.hold(l.record.Epoch+1, now)
-	case l.hears:
-		return Wait{till: l.since.Add(TTL)}
-	case now.Sub(l.readAt) >= lookEvery:
+	case l.version == 0 || l.record.Holder == "" || now.Sub(l.unchangedSince) > TTL:
+		return l.acquire(l.record.Epoch+1, now)
+	case l.receivesReports:
+		return Wait{until: l.unchangedSince.Add(TTL)}
+	case now.Sub(l.readAt) >= readInterval:
 		return Read{}
 	default:
-		return Wait{till: l.readAt.Add(lookEvery)}
+		return Wait{until: l.readAt.Add(readInterval)}
 	}
 }
 
-// ObserveReport takes the object as another entry told it, version 0 for none. It settles no
-// doubt, and what is older than what is known counts for nothing.
+// ObserveReport takes the state of the object as another entry reported it; version
+// 0 means that there is none. A report does not resolve an uncertain write, and a
+// report of an older version has no effect.
 func (l *Lease) ObserveReport(version uint64, r Record, now time.Time) {
-	l.hears = true
-	if l.doubt || l.seen && version <= l.version {
+	l.receivesReports = true
+	if l.uncertain || l.known && version <= l.version {
 		return
 	}
 	l.Observe(version, r, now)
 }
 
-// Release returns the write that gives the lease up, so that others need not wait for
-// its end, and whether this entry holds it. The caller must give no order any more.
+// Release returns the write that gives the lease up, so that other entries need
+// not wait until it expires, and reports whether this entry holds the lease. The
+// caller must give no order after that.
 func (l *Lease) Release(now time.Time) (Write, bool) {
 	if _, held := l.Epoch(now); !held {
 		return Write{}, false
@@ -133,82 +138,85 @@
 	return l.write(Record{Epoch: l.record.Epoch}, now), true
 }
 
-// Released takes the success of that write.
-func (l *Lease) Released(version uint64) { l.stands(version) }
+// Released records that the write of Release succeeded.
+func (l *Lease) Released(version uint64) { l.committed(version) }
 
-// mine reports whether the record seen last is this entry's own, still held by
-// its clock. A record of ours that lapsed is taken anew, with a new epoch.
-func (l *Lease) mine() bool { return l.record.Holder == l.Self && !l.heldUntil.IsZero() }
+// isHolder reports whether the last known record is this entry's own and this
+// entry has not given it up. An own record that expired is acquired again, with a
+// new epoch.
+func (l *Lease) isHolder() bool { return l.record.Holder == l.Self && !l.heldUntil.IsZero() }
 
+// renew returns the next action of the holder.
 func (l *Lease) renew(now time.Time) Action {
 	if now.After(l.heldUntil) {
-		// The condition of the write is that nobody else has taken it since.
+		// The write succeeds only if no other entry has acquired the lease since.
 		l.heldUntil = time.Time{}
-		return l.hold(l.record.Epoch+1, now)
+		return l.acquire(l.record.Epoch+1, now)
 	}
-	if next := l.askedAt.Add(renewEvery); now.Before(next) {
-		return Wait{till: next}
+	if next := l.pendingSince.Add(renewInterval); now.Before(next) {
+		return Wait{until: next}
 	}
-	return l.hold(l.record.Epoch, now)
+	return l.acquire(l.record.Epoch, now)
 }
 
-// hold returns the write that takes the lease, or renews it.
-func (l *Lease) hold(epoch uint64, now time.Time) Write {
+// acquire returns the write that acquires or renews the lease.
+func (l *Lease) acquire(epoch uint64, now time.Time) Write {
 	return l.write(Record{Holder: l.Self, Epoch: epoch}, now)
 }
 
-// write returns the write of a record, which gets a mark of its own.
+// write returns the write of a record with a new nonce.
 func (l *Lease) write(r Record, now time.Time) Write {
-	l.writes++
-	r.Nonce = l.Incarnation + l.writes
-	l.asking = r
-	l.askedAt = now
-	return Write{known: l.version, record: r}
+	l.writeCount++
+	r.Nonce = l.Incarnation + l.writeCount
+	l.pending = r
+	l.pendingSince = now
+	return Write{expectedVersion: l.version, record: r}
 }
 
-// WriteSucceeded takes the success of the write in flight.
-func (l *Lease) WriteSucceeded(version uint64) { l.take(version) }
+// WriteSucceeded records that the write in flight succeeded.
+func (l *Lease) WriteSucceeded(version uint64) { l.holdFrom(version) }
 
-// take notes that the write in flight stands and holds the lease. That counts from
-// when it was asked for, since others may have seen it any time after.
-func (l *Lease) take(version uint64) {
-	l.stands(version)
-	l.heldUntil = l.askedAt.Add(TTL - Margin)
+// holdFrom records that the write in flight took effect and this entry holds the
+// lease. The time counts from when Next returned the write, since other entries
+// may have seen its effect at any time after that.
+func (l *Lease) holdFrom(version uint64) {
+	l.committed(version)
+	l.heldUntil = l.pendingSince.Add(TTL - SafetyMargin)
 }
 
-// stands notes that the write in flight is what the platform holds.
-func (l *Lease) stands(version uint64) {
+// committed records that the platform holds the content of the write in flight.
+func (l *Lease) committed(version uint64) {
 	l.version = version
-	l.record = l.asking
-	l.since = l.askedAt
-	l.readAt = l.askedAt
+	l.record = l.pending
+	l.unchangedSince = l.pendingSince
+	l.readAt = l.pendingSince
 }
 
-// WriteUncertain notes that the write in flight met another version, had no effect, or
-// that its answer was lost. The object is read to find out.
+// WriteUncertain records that the write in flight met another version, had no
+// effect, or that its answer was lost. The next action is a Read, which resolves it.
 func (l *Lease) WriteUncertain() {
-	l.seen = false
-	l.doubt = true
+	l.known = false
+	l.uncertain = true
 }
 
 // Observe takes the object as read; version 0 means that there is none.
 func (l *Lease) Observe(version uint64, r Record, now time.Time) {
-	l.seen = true
-	l.doubt = false
+	l.known = true
+	l.uncertain = false
 	l.readAt = now
 	if version != 0 && (r.Epoch == 0 || r.Epoch > version) {
-		r = foreign(version)
+		r = unknownRecord(version)
 	}
-	if version != 0 && r == l.asking && version != l.version {
+	if version != 0 && r == l.pending && version != l.version {
 		if r.Holder == "" {
 			l.Released(version)
 		} else {
-			l.take(version)
+			l.holdFrom(version)
 		}
 		return
 	}
 	if version != l.version {
-		l.since = now
+		l.unchangedSince = now
 		if r.Holder != l.Self {
 			l.heldUntil = time.Time{}
 		}
@@ -217,17 +225,17 @@
 	l.record = r
 }
 
-// stranger stands for the holder that a record of another form names. No entry has that
-// name.
-const stranger = "\x00"
+// unknownHolder is the holder in place of a record that can't be decoded. No entry
+// has this name.
+const unknownHolder = "\x00"
 
-// foreign returns the record in place of one that no entry wrote: who holds the lease is
-// not known, so it lasts as any other. Each epoch took a write, so none that was given
-// before is above the version.
-func foreign(version uint64) Record { return Record{Holder: stranger, Epoch: version} }
+// unknownRecord returns the record that replaces one that no entry has written. Its
+// holder is unknown, so the lease lasts as long as any other. Each epoch took a
+// write, so no earlier epoch is greater than the version.
+func unknownRecord(version uint64) Record { return Record{Holder: unknownHolder, Epoch: version} }
 
-// Epoch returns the epoch to put into an order, and whether this entry may give
-// one now.
+// Epoch returns the epoch to put into an order, and reports whether this entry may
+// give one now.
 func (l *Lease) Epoch(now time.Time) (uint64, bool) {
 	return l.record.Epoch, l.record.Holder == l.Self && now.Before(l.heldUntil)
 }
