--- a/coordination/member/member.go
+++ b/coordination/member/member.go
@@ -1,15 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package member ranks entries for shared work and decides whom an entry talks
-// to. Nothing that must be agreed rests on it: entries that differ about the
-// ranking cost calls, never a promise.
+// Package member tracks the entries that one entry knows. It ranks them for shared
+// tasks and selects the peers that an entry connects to. Nothing that must be agreed
+// on depends on it: entries whose tables differ make superfluous calls but break no
+// guarantee.
 //
 //	var t member.Table
 //	t.Learn(listed, now)
-//	t.Heard("entry-4", now)
-//	t.First("claim-2", now)        // who writes claim shard 2
-//	t.Peers(self, now)             // whom to connect to
-//	t.Relays("jhb-a", now)         // who watches the platform for a data center
+//	t.MarkAlive("entry-4", now)
+//	t.Owner("claim-2", now)        // the entry that writes claim shard 2
+//	t.Peers(self, now)             // the entries to connect to
+//	t.Relays("jhb-a", now)         // the entries that watch the platform for a data center
 package member
 
 import (
@@ -24,126 +25,127 @@
 )
 
 const (
-	// RelaysPerDataCenter is how many entries of a data center watch the
-	// platform for the others.
+	// RelaysPerDataCenter is how many entries of a data center watch the platform for the
+	// others.
 	RelaysPerDataCenter = 2
-	// meshUpTo is the number of entries up to which each talks to all others.
-	meshUpTo = 12
-	// suspectFor is how long an entry that could not be reached is left out; it
-	// doubles with each failure in a row, up to suspectMost.
-	suspectFor  = 5 * time.Second
-	suspectMost = time.Minute
-	// forgetAfter is how long an entry that is listed no longer is remembered.
+	// maxFullMesh is the largest number of entries that all connect to each other.
+	maxFullMesh = 12
+	// minSuspicion is how long an unreachable entry is left out. The time doubles with each
+	// failure in a row, up to maxSuspicion.
+	minSuspicion = 5 * time.Second
+	maxSuspicion = time.Minute
+	// forgetAfter is how long an entry stays in the table without being listed or sending a
+	// heartbeat.
 	forgetAfter = 30 * time.Second
 )
 
-// Table is the entries that one entry knows. The zero value knows none. It is
-// not safe for use by several goroutines at once.
-type Table struct{ members map[string]*known }
+// Table holds the entries that one entry knows. The zero value knows none. It is not
+// safe for concurrent use.
+type Table struct{ members map[string]*entry }
 
-type known struct {
-	member      protocol.Member
-	learnedAt   time.Time
-	heardAt     time.Time
-	suspectTill time.Time
-	failures    int // in a row
+// entry is what a table knows of one entry.
+type entry struct {
+	member       protocol.Member
+	learnedAt    time.Time
+	aliveAt      time.Time
+	suspectUntil time.Time
+	failures     int // in a row
 }
 
-// Learn takes a list of members, as the platform or a peer gives it. Entries
-// that neither a list nor their own heartbeats have named for a while are
-// forgotten.
+// Learn takes a list of members from the platform or from a peer. Entries that have
+// neither been listed nor sent a heartbeat for forgetAfter are dropped.
 func (t *Table) Learn(listed []protocol.Member, now time.Time) {
 	if t.members == nil {
-		t.members = map[string]*known{}
+		t.members = map[string]*entry{}
 	}
 	for _, m := range listed {
-		k := t.members[m.Name]
-		if k == nil || k.member != m {
-			k = &known{member: m}
-			t.members[m.Name] = k
+		e := t.members[m.Name]
+		if e == nil || e.member != m {
+			e = &entry{member: m}
+			t.members[m.Name] = e
 		}
-		k.learnedAt = now
+		e.learnedAt = now
 	}
-	maps.DeleteFunc(t.members, func(_ string, k *known) bool {
-		return !isSeed(k.member) && now.Sub(k.learnedAt) > forgetAfter && now.Sub(k.heardAt) > forgetAfter
+	maps.DeleteFunc(t.members, func(_ string, e *entry) bool {
+		return !isSeed(e.member) && now.Sub(e.learnedAt) > forgetAfter && now.Sub(e.aliveAt) > forgetAfter
 	})
 }
 
-// MarkAlive notes a sign of life.
+// MarkAlive records that an entry was heard from and clears any suspicion.
 func (t *Table) MarkAlive(name string, now time.Time) {
-	if k := t.members[name]; k != nil {
-		k.heardAt = now
-		k.suspectTill = time.Time{}
-		k.failures = 0
+	if e := t.members[name]; e != nil {
+		e.aliveAt = now
+		e.suspectUntil = time.Time{}
+		e.failures = 0
 	}
 }
 
 // Suspect leaves an entry out for a while because it could not be reached.
 func (t *Table) Suspect(name string, now time.Time) {
-	if k := t.members[name]; k != nil {
-		k.suspectTill = now.Add(min(suspectFor<<min(k.failures, 10), suspectMost))
-		k.failures++
+	if e := t.members[name]; e != nil {
+		e.suspectUntil = now.Add(min(minSuspicion<<min(e.failures, 10), maxSuspicion))
+		e.failures++
 	}
 }
 
 // Alive returns the entries that are not suspected, ordered by name.
 func (t *Table) Alive(now time.Time) []protocol.Member {
 	var alive []protocol.Member
-	for _, k := range t.members {
-		if k.alive(now) {
-			alive = append(alive, k.member)
+	for _, e := range t.members {
+		if e.alive(now) {
+			alive = append(alive, e.member)
 		}
 	}
 	slices.SortFunc(alive, func(a, b protocol.Member) int { return cmp.Compare(a.Name, b.Name) })
 	return alive
 }
 
-// IsGone reports whether a life of an entry is over, can't be reached, or is not
-// known. A table that has just begun knows too little to ask.
+// IsGone reports whether an incarnation of an entry has been replaced, is suspected or is
+// unknown. A table that was filled only recently knows too little to answer this.
 func (t *Table) IsGone(name string, incarnation uint64, now time.Time) bool {
-	k := t.members[name]
-	return k == nil || k.member.Incarnation != incarnation || !k.alive(now)
+	e := t.members[name]
+	return e == nil || e.member.Incarnation != incarnation || !e.alive(now)
 }
 
-// CountAlive returns how many entries Alive would, without ordering them.
+// CountAlive returns the number of entries that Alive returns, without sorting them.
 func (t *Table) CountAlive(now time.Time) int {
 	count := 0
-	for _, k := range t.members {
-		if k.alive(now) {
+	for _, e := range t.members {
+		if e.alive(now) {
 			count++
 		}
 	}
 	return count
 }
 
-func (k *known) alive(now time.Time) bool { return !now.Before(k.suspectTill) && !isSeed(k.member) }
+func (e *entry) alive(now time.Time) bool { return !now.Before(e.suspectUntil) && !isSeed(e.member) }
 
-// Known returns every entry, suspected or not.
+// Known returns all entries, suspected or not.
 func (t *Table) Known() []protocol.Member {
 	var all []protocol.Member
-	for _, k := range t.members {
-		if !isSeed(k.member) {
-			all = append(all, k.member)
+	for _, e := range t.members {
+		if !isSeed(e.member) {
+			all = append(all, e.member)
 		}
 	}
 	return all
 }
 
-// Seed returns a member of which only the address is known. It is connected to
-// when nobody else is known, and takes no part in any ranking.
+// Seed returns a member of which only the address is known. An entry connects to it when
+// it knows no other entry. Seeds take no part in any ranking.
 func Seed(address string) protocol.Member {
 	return protocol.Member{Name: "seed " + address, Address: address}
 }
 
 func isSeed(m protocol.Member) bool { return m.Incarnation == 0 }
 
-// Forget drops an entry that has said that it stops.
+// Forget drops an entry that has announced that it stops.
 func (t *Table) Forget(name string) { delete(t.members, name) }
 
-// Owner returns the entry that ranks first for a piece of work, by rendezvous
-// hashing, so that a change of one entry moves only the work of that entry.
-func (t *Table) Owner(work string, now time.Time) (protocol.Member, bool) {
-	ranked := Rank(work, t.Alive(now))
+// Owner returns the entry that ranks first for a task. The ranking uses rendezvous
+// hashing, so the loss of an entry moves only the tasks of that entry.
+func (t *Table) Owner(task string, now time.Time) (protocol.Member, bool) {
+	ranked := Rank(task, t.Alive(now))
 	if len(ranked) == 0 {
 		return protocol.Member{}, false
 	}
@@ -177,8 +179,8 @@
 	return local
 }
 
-// IsRelay reports whether self is among the relays of its data center. An entry
-// that knows nobody is its own relay.
+// IsRelay reports whether self is one of the relays of its data center. An entry that
+// knows no other entry is its own relay.
 func (t *Table) IsRelay(self protocol.Member, now time.Time) bool {
 	local := t.Relays(self.DataCenter, now)
 	return len(local) == 0 || contains(local, self.Name)
@@ -188,15 +190,16 @@
 	return slices.ContainsFunc(members, func(m protocol.Member) bool { return m.Name == name })
 }
 
-// Peers returns whom self connects to: everybody while entries are few; else
-// the relays of its data center and, if it is one, those of all others.
+// Peers returns the entries that self connects to: all of them while there are few;
+// otherwise the relays of its data center and, if self is a relay, those of all other
+// data centers.
 func (t *Table) Peers(self protocol.Member, now time.Time) []protocol.Member {
 	alive := t.Alive(now)
 	others := slices.DeleteFunc(slices.Clone(alive), func(m protocol.Member) bool { return m.Name == self.Name })
 	if len(others) == 0 {
 		return t.seeds(self, now)
 	}
-	if len(others) < meshUpTo {
+	if len(others) < maxFullMesh {
 		return others
 	}
 	all := relays(alive)
@@ -215,21 +218,22 @@
 	return peers
 }
 
+// seeds returns the seeds that are not suspected, without self.
 func (t *Table) seeds(self protocol.Member, now time.Time) []protocol.Member {
 	var seeds []protocol.Member
-	for _, k := range t.members {
-		if isSeed(k.member) && k.member.Address != self.Address && !now.Before(k.suspectTill) {
-			seeds = append(seeds, k.member)
+	for _, e := range t.members {
+		if isSeed(e.member) && e.member.Address != self.Address && !now.Before(e.suspectUntil) {
+			seeds = append(seeds, e.member)
 		}
 	}
 	return seeds
 }
 
-// Rank orders members for a piece of work, the first to do it first.
-func Rank(work string, members []protocol.Member) []protocol.Member {
+// Rank orders members for a task; the first one performs it.
+func Rank(task string, members []protocol.Member) []protocol.Member {
 	scores := make(map[string]uint64, len(members))
 	for _, m := range members {
-		scores[m.Name] = Score(work, m.Name)
+		scores[m.Name] = Score(task, m.Name)
 	}
 	ranked := slices.Clone(members)
 	slices.SortFunc(ranked, func(a, b protocol.Member) int {
@@ -238,5 +242,6 @@
 	return ranked
 }
 
-// Score is the weight of an entry for a piece of work; the heaviest does it.
-func Score(work, name string) uint64 { return xxhash.Sum64String(work + "\x00" + name) }
+// Score is the rendezvous weight of an entry for a task. The entry with the highest score
+// performs the task.
+func Score(task, name string) uint64 { return xxhash.Sum64String(task + "\x00" + name) }
--- a/coordination/member/member_test.go
+++ b/coordination/member/member_test.go
@@ -27,33 +27,34 @@
 	return list
 }
 
-// TestOnlyTheWorkOfALostEntryMoves holds for any set of entries.
-func TestOnlyTheWorkOfALostEntryMoves(t *testing.T) {
+// TestLosingAnEntryMovesOnlyItsTasks suspects one entry of a random set. Its tasks get
+// other owners, and every other task keeps its owner.
+func TestLosingAnEntryMovesOnlyItsTasks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table member.Table
 		list := entries(rapid.IntRange(2, 40).Draw(t, "entries"), 3)
 		table.Learn(list, now)
 		lost := rapid.SampledFrom(list).Draw(t, "lost").Name
-		var work []string
+		var tasks []string
 		before := map[string]string{}
 		for i := range 30 {
-			w := fmt.Sprint("claim-", i)
-			work = append(work, w)
-			first, _ := table.Owner(w, now)
-			before[w] = first.Name
+			task := fmt.Sprint("claim-", i)
+			tasks = append(tasks, task)
+			owner, _ := table.Owner(task, now)
+			before[task] = owner.Name
 		}
 		table.Suspect(lost, now)
-		for _, w := range work {
-			after, _ := table.Owner(w, now)
+		for _, task := range tasks {
+			after, _ := table.Owner(task, now)
 			require.NotEqual(t, lost, after.Name)
-			if before[w] != lost {
-				require.Equal(t, before[w], after.Name)
+			if before[task] != lost {
+				require.Equal(t, before[task], after.Name)
 			}
 		}
 	})
 }
 
-func TestLinksGrowWithDataCentersNotEntries(t *testing.T) {
+func TestConnectionsGrowWithDataCentersNotEntries(t *testing.T) {
 	for _, n := range []int{40, 380} {
 		var table member.Table
 		list := entries(n, 9)
@@ -72,14 +73,14 @@
 	}
 }
 
-func TestFewEntriesAllTalk(t *testing.T) {
+func TestFewEntriesFormFullMesh(t *testing.T) {
 	var table member.Table
 	list := entries(8, 3)
 	table.Learn(list, now)
 	require.Len(t, table.Peers(list[0], now), 7)
 }
 
-func TestSeedsAreOnlyAskedWhenNobodyIsKnown(t *testing.T) {
+func TestSeedsAreUsedOnlyWithoutKnownEntries(t *testing.T) {
 	var table member.Table
 	self := entries(1, 1)[0]
 	table.Learn([]protocol.Member{self, member.Seed("127.0.0.1:1001")}, now)
@@ -89,7 +90,7 @@
 	require.Equal(t, "entry-1", table.Peers(self, now)[0].Name)
 }
 
-func TestWhoIsListedNoLongerIsForgotten(t *testing.T) {
+func TestUnlistedEntriesAreForgotten(t *testing.T) {
 	var table member.Table
 	list := entries(3, 1)
 	table.Learn(list, now)
@@ -101,7 +102,7 @@
 	require.Len(t, table.Known(), 1)
 }
 
-func TestSuspicionGrowsUntilAWordIsHeard(t *testing.T) {
+func TestSuspicionGrowsUntilHeartbeat(t *testing.T) {
 	var table member.Table
 	table.Learn(entries(1, 1), now)
 	at := now
@@ -116,13 +117,13 @@
 	require.Len(t, table.Alive(at.Add(5*time.Second)), 1)
 }
 
-func TestSweepJudgesAgeByItsOwnEyes(t *testing.T) {
+func TestSweepMeasuresAgeByOwnObservation(t *testing.T) {
 	var s member.Sweep
-	lines := []protocol.Object{{Name: "a", Version: 1}, {Name: "b", Version: 2}}
-	require.Empty(t, s.Stale(lines, now))
-	lines[0].Version = 3 // a is written anew
-	require.Empty(t, s.Stale(lines, now.Add(10*time.Minute)))
-	stale := s.Stale(lines, now.Add(16*time.Minute))
+	objects := []protocol.Object{{Name: "a", Version: 1}, {Name: "b", Version: 2}}
+	require.Empty(t, s.Stale(objects, now))
+	objects[0].Version = 3 // a is written again
+	require.Empty(t, s.Stale(objects, now.Add(10*time.Minute)))
+	stale := s.Stale(objects, now.Add(16*time.Minute))
 	require.Len(t, stale, 1)
 	require.Equal(t, "b", stale[0].Name)
 }
--- a/coordination/member/sweep.go
+++ b/coordination/member/sweep.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// SweepTask is the work of removing the lines of entries that are gone; the
-	// entry that ranks first for it does it.
+	// SweepTask is the task of removing the records of entries that are gone. The entry that
+	// ranks first for it performs it.
 	SweepTask = "sweep"
-	// staleAfter is how long a line must have stood unchanged before this
-	// entry's eyes. Entries write theirs anew three times as often.
+	// staleAfter is how long a record must remain unchanged, as observed by this entry. An
+	// entry rewrites its own record three times as often.
 	staleAfter = 15 * time.Minute
 )
 
-// Sweep finds the lines of entries that are gone. It judges age by how long it
-// has itself seen a version unchanged, never by clocks of others.
-type Sweep struct{ seen map[string]sight }
+// Sweep finds the records of entries that are gone. It measures a record's age by how long
+// it has itself seen the version unchanged, never by the clock of another entry.
+type Sweep struct{ seen map[string]observation }
 
-type sight struct {
-	version uint64
-	since   time.Time
+// observation is a record's version and when it was first seen.
+type observation struct {
+	version        uint64
+	unchangedSince time.Time
 }
 
-// Stale returns the lines that have not changed for long.
-func (s *Sweep) Stale(lines []protocol.Object, now time.Time) []protocol.Object {
-	seen := make(map[string]sight, len(lines))
+// Stale returns the records that have not changed for staleAfter.
+func (s *Sweep) Stale(objects []protocol.Object, now time.Time) []protocol.Object {
+	seen := make(map[string]observation, len(objects))
 	var stale []protocol.Object
-	for _, o := range lines {
-		before, known := s.seen[o.Name]
-		if !known || before.version != o.Version {
-			before = sight{version: o.Version, since: now}
+	for _, o := range objects {
+		last, known := s.seen[o.Name]
+		if !known || last.version != o.Version {
+			last = observation{version: o.Version, unchangedSince: now}
 		}
-		seen[o.Name] = before
-		if now.Sub(before.since) > staleAfter {
+		seen[o.Name] = last
+		if now.Sub(last.unchangedSince) > staleAfter {
 			stale = append(stale, o)
 		}
 	}
