--- a/coordination/census/census.go
+++ b/coordination/census/census.go
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package census counts the entries that share a bound, from the records that
-// each keeps of itself in the platform.
+// Package census counts the entries that share a bound, from the record that each entry
+// keeps of itself in the platform.
 //
-// An entry writes its record anew every Renew. Others judge a record only by how
-// long they have themselves seen its version unchanged, so no clocks are
-// compared. The count errs on the high side: a share that is too small wastes a
-// little of the bound, one that is too large breaks it.
+// An entry rewrites its record every RenewInterval. Other entries measure a record's age
+// only by how long they have themselves seen its version unchanged, so clocks are never
+// compared. The count errs on the high side: a share that is too small wastes a little of
+// the bound, but a share that is too large exceeds it.
 //
-//	c.Seen(records, now)
+//	c.Observe(records, now)
 //	share := slack / float64(c.Count(now))
 package census
 
@@ -19,78 +19,79 @@
 )
 
 const (
-	// RenewInterval is how often an entry writes its record: a call a minute each.
+	// RenewInterval is how often an entry writes its record: one call a minute for each entry.
 	RenewInterval = time.Minute
 	// ReadInterval is how often an entry reads all records.
 	ReadInterval = 15 * time.Second
-	// aliveFor is how long a record counts without being renewed.
-	aliveFor = 150 * time.Second
-	// keptFor is how long a record stays without being renewed before whoever sees
-	// it removes it.
-	keptFor = 10 * time.Minute
-	// DefaultCount is the count before anything is known, a little more than the seven or
-	// eight entries of today's deployments.
+	// recordTTL is how long a record counts without being renewed.
+	recordTTL = 150 * time.Second
+	// removeAfter is how long a record stays in the platform without being renewed. Any entry
+	// that sees an older one removes it.
+	removeAfter = 10 * time.Minute
+	// DefaultCount is the count before the first read: a little more than the seven or eight
+	// entries of current deployments.
 	DefaultCount = 10
 )
 
-// Counter is what one entry knows of the records. The zero value knows nothing.
+// Counter holds the records as one entry has seen them. The zero value has seen none.
 type Counter struct {
-	records map[string]record
-	known   bool
+	records  map[string]record
+	observed bool
 }
 
+// record is the version of an entry's record and when it was first seen.
 type record struct {
-	version uint64
-	since   time.Time // from when this entry has seen the version unchanged
+	version        uint64
+	unchangedSince time.Time // from when this entry has seen the version unchanged
 }
 
-// Observe takes all records as read at that time.
+// Observe takes all records as read at the given time.
 func (c *Counter) Observe(objects []protocol.Object, now time.Time) {
 	next := make(map[string]record, len(objects))
 	for _, o := range objects {
-		r := record{version: o.Version, since: now}
-		if before, ok := c.records[o.Name]; ok && before.version == o.Version {
-			r.since = before.since
+		r := record{version: o.Version, unchangedSince: now}
+		if last, ok := c.records[o.Name]; ok && last.version == o.Version {
+			r.unchangedSince = last.unchangedSince
 		}
 		next[o.Name] = r
 	}
 	c.records = next
-	c.known = true
+	c.observed = true
 }
 
-// Count returns how many entries there may be, never less than 1.
+// Count returns an estimate of the number of entries, at least 1. It errs on the high side.
 func (c *Counter) Count(now time.Time) int {
-	if !c.known {
+	if !c.observed {
 		return DefaultCount
 	}
 	n := 0
 	for _, r := range c.records {
-		if now.Sub(r.since) < aliveFor {
+		if now.Sub(r.unchangedSince) < recordTTL {
 			n++
 		}
 	}
 	return max(1, n)
 }
 
-// StaleRecord is a record that nobody renews any more.
+// StaleRecord is a record that its entry no longer renews.
 type StaleRecord struct {
 	name    string
 	version uint64
 }
 
-// Name returns the record's name.
-func (o StaleRecord) Name() string { return o.name }
+// Name returns the name of the record.
+func (r StaleRecord) Name() string { return r.name }
 
-// Version returns the version that must still be there to remove it.
-func (o StaleRecord) Version() uint64 { return o.version }
+// Version returns the version that the record must still have when it is removed.
+func (r StaleRecord) Version() uint64 { return r.version }
 
 // Stale returns the records to remove.
 func (c *Counter) Stale(now time.Time) []StaleRecord {
-	var old []StaleRecord
+	var stale []StaleRecord
 	for name, r := range c.records {
-		if now.Sub(r.since) >= keptFor {
-			old = append(old, StaleRecord{name: name, version: r.version})
+		if now.Sub(r.unchangedSince) >= removeAfter {
+			stale = append(stale, StaleRecord{name: name, version: r.version})
 		}
 	}
-	return old
+	return stale
 }
--- a/coordination/census/census_test.go
+++ b/coordination/census/census_test.go
@@ -20,17 +20,17 @@
 	return all
 }
 
-func TestTheCountFollowsWhoRenews(t *testing.T) {
+func TestCountFollowsRenewedRecords(t *testing.T) {
 	var c census.Counter
 	now := time.Unix(100, 0)
-	require.Equal(t, census.DefaultCount, c.Count(now), "nothing is known")
+	require.Equal(t, census.DefaultCount, c.Count(now), "no records read yet")
 	c.Observe(records(1, 2, 3), now)
 	require.Equal(t, 3, c.Count(now))
 	for i := range 10 {
 		now = now.Add(census.ReadInterval)
 		c.Observe(records(uint64(10+i), 2, uint64(20+i)), now)
 	}
-	require.Equal(t, 2, c.Count(now), "one has not renewed its record")
+	require.Equal(t, 2, c.Count(now), "one entry has not renewed its record")
 	require.Empty(t, c.Stale(now))
 	now = now.Add(8 * time.Minute)
 	c.Observe(records(90, 2, 91), now)
