--- a/coordination/detect/detect.go
+++ b/coordination/detect/detect.go
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package detect decides whether a runner that has not replied is dead, too
-// slow, or merely busy.
+// Package detect decides whether a runner that has not replied to a step is dead, too slow
+// or merely busy.
 //
-// The bound on a step follows what the runner has shown: the expected time of
-// the step times its running slowness and several deviations of that. Beyond
-// the bound, a runner that has sent nothing at all since the step left is dead.
-// One that still talks is given a few times longer, since its reply may be
-// stuck behind others; then the step is lost all the same.
+// The deadline of a reply follows what the runner has shown so far: the expected time of
+// the step, times the runner's average slowness plus several deviations of it. A runner
+// that has sent nothing since the step was sent is dead once the deadline has passed. A
+// runner that has sent other messages gets a few times longer, because its reply may be
+// queued behind others. After that the step is lost as well.
 //
-//	switch d := detect.Judge(runner, step, now).(type) {
-//	case detect.Busy: // look again at d.Till()
+//	switch d := detect.Classify(runner, step, now).(type) {
+//	case detect.Busy: // check again at d.Until()
 //	case detect.Lost: // give the step up
 //	}
 package detect
@@ -22,59 +22,58 @@
 )
 
 const (
-	// deviations is how far beyond the mean a step may take.
-	deviations = 6
-	// slack allows for pauses of this process and of the engine's timers.
+	// maxDeviations is how many deviations beyond the mean a step may take.
+	maxDeviations = 6
+	// slack allows for pauses of this process and for the timers of the engine.
 	slack = 40 * time.Millisecond
-	// patience is how many times the bound a runner that still talks may take.
-	patience = 6
+	// activeFactor is how many times longer a runner may take that still sends other messages.
+	activeFactor = 6
 )
 
-// Step is a step in flight: when it left and how many seconds it was then
-// expected to take.
+// Step is a step in flight: when it was sent and the seconds that it was expected to take.
 type Step struct {
 	SentAt          time.Time
 	ExpectedSeconds float64
 }
 
-// Verdict is Busy or Lost.
+// Verdict is a Busy or a Lost.
 type Verdict interface{ verdict() }
 
-// Busy says until when to wait before looking again.
-type Busy struct{ till time.Time }
+// Busy says that the reply may still come.
+type Busy struct{ until time.Time }
 
-// Until returns the time to look again.
-func (b Busy) Until() time.Time { return b.till }
+// Until returns when to check again.
+func (b Busy) Until() time.Time { return b.until }
 
-// Lost says that the step is to be given up. Dead tells a runner that has
-// fallen silent from one that is slow or has lost the reply.
+// Lost says that the step has failed. A runner that has been silent since the step was sent
+// is dead; any other is too slow or has lost the reply.
 type Lost struct{ dead bool }
 
-// Dead reports whether the runner has sent nothing since the step left.
+// Dead reports whether the runner has sent nothing since the step was sent.
 func (l Lost) Dead() bool { return l.dead }
 
 func (Busy) verdict() {}
 func (Lost) verdict() {}
 
-// ReplyDeadline returns the time by which the step's reply is normally there.
+// ReplyDeadline returns the time by which the reply to the step normally arrives.
 func ReplyDeadline(r *fleet.Runner, s Step) time.Time {
 	mean, deviation := r.Slowdown(s.SentAt)
-	seconds := s.ExpectedSeconds * (max(1, mean) + deviations*deviation)
+	seconds := s.ExpectedSeconds * (max(1, mean) + maxDeviations*deviation)
 	return s.SentAt.Add(slack + time.Duration(seconds*float64(time.Second)))
 }
 
 // Classify returns the verdict on a step in flight.
 func Classify(r *fleet.Runner, s Step, now time.Time) Verdict {
-	bound := ReplyDeadline(r, s)
-	if now.Before(bound) {
-		return Busy{till: bound}
+	deadline := ReplyDeadline(r, s)
+	if now.Before(deadline) {
+		return Busy{until: deadline}
 	}
 	if !r.HeardAt().After(s.SentAt) {
 		return Lost{dead: true}
 	}
-	last := s.SentAt.Add(patience * bound.Sub(s.SentAt))
-	if now.Before(last) {
-		return Busy{till: last}
+	final := s.SentAt.Add(activeFactor * deadline.Sub(s.SentAt))
+	if now.Before(final) {
+		return Busy{until: final}
 	}
 	return Lost{}
 }
