--- a/coordination/claim/action.go
+++ b/coordination/claim/action.go
@@ -4,7 +4,7 @@
 
 import "pinerun.example/pinerun/protocol"
 
-// Action is what the owner of a log does next.
+// Action is what the owner of a log does next: a Load, a Write, a Read or an Idle.
 type Action interface{ action() }
 
 // Load asks for every slot of the shard.
@@ -12,27 +12,28 @@
 
 // Write asks for one conditional write.
 type Write struct {
-	slot  int
-	known uint64
-	batch protocol.ClaimBatch
+	slot            int
+	expectedVersion uint64
+	batch           protocol.ClaimBatch
 }
 
-// Slot returns where to write.
+// Slot returns the slot to write.
 func (w Write) Slot() int { return w.slot }
 
-// ExpectedVersion returns the version that the slot must have, 0 for none.
-func (w Write) ExpectedVersion() uint64 { return w.known }
+// ExpectedVersion returns the version that the slot must have; 0 means that it must not
+// exist.
+func (w Write) ExpectedVersion() uint64 { return w.expectedVersion }
 
-// Batch returns what to write.
+// Batch returns the batch to write.
 func (w Write) Batch() protocol.ClaimBatch { return w.batch }
 
 // Read asks for one slot.
 type Read struct{ slot int }
 
-// Slot returns which.
+// Slot returns the slot to read.
 func (r Read) Slot() int { return r.slot }
 
-// Idle says that nothing is to be done.
+// Idle says that there is nothing to do.
 type Idle struct{}
 
 func (Load) action()  {}
@@ -40,7 +41,7 @@
 func (Read) action()  {}
 func (Idle) action()  {}
 
-// StoredSlot is a slot's content in the platform. A slot that does not exist has
+// StoredSlot is the content of a slot in the platform. A slot that does not exist has
 // version 0.
 type StoredSlot struct {
 	Slot    int
@@ -48,49 +49,49 @@
 	Batch   protocol.ClaimBatch
 }
 
-// Verdict is what became of a claim.
+// Verdict is the decision on a record.
 type Verdict uint8
 
-// The verdicts on a claim.
+// The verdicts on a record.
 const (
-	Granted  Verdict = iota // the claim is durable: run the request
-	Held                    // another claimant holds the key and has not settled
-	Settled                 // it ran; the result holds the record with its answer
-	Doubtful                // it may have run, and nobody can tell
-	Reused                  // the key stands for another request
-	Expired                 // issued too long ago to be sure that it has not run
-	Full                    // no room until older claims expire
-	Kept                    // a release or outcome is durable
+	Granted  Verdict = iota // the claim is durable: the request may run
+	Held                    // another claimant holds the key and its request has no outcome yet
+	Settled                 // the request has run; the existing record holds the answer
+	Doubtful                // the request may have run, and this can't be found out
+	Reused                  // the key belongs to a different request
+	Expired                 // the key was issued too long ago to be sure that the request has not run
+	Full                    // the log has no free slot until older claims expire
+	Kept                    // a release or an outcome is durable
 )
 
-// String returns the verdict in a word. One that another entry gave and this one
-// does not know is "unknown".
+// String returns the name of the verdict, or "unknown" for one that only a newer version of
+// another entry knows.
 func (v Verdict) String() string {
-	words := [...]string{"granted", "held", "settled", "doubtful", "reused", "expired", "full", "kept"}
-	if int(v) >= len(words) {
+	names := [...]string{"granted", "held", "settled", "doubtful", "reused", "expired", "full", "kept"}
+	if int(v) >= len(names) {
 		return "unknown"
 	}
-	return words[v]
+	return names[v]
 }
 
-// Result is a verdict on one record.
+// Result is the verdict on one record.
 type Result struct {
-	record  protocol.ClaimRecord
-	verdict Verdict
-	held    protocol.ClaimRecord
+	record   protocol.ClaimRecord
+	verdict  Verdict
+	existing protocol.ClaimRecord
 }
 
 // RemoteResult returns the result that another entry's log gave.
-func RemoteResult(r protocol.ClaimRecord, v Verdict, held protocol.ClaimRecord) Result {
-	return Result{record: r, verdict: v, held: held}
+func RemoteResult(r protocol.ClaimRecord, v Verdict, existing protocol.ClaimRecord) Result {
+	return Result{record: r, verdict: v, existing: existing}
 }
 
 // Record returns the record that was added.
 func (r Result) Record() protocol.ClaimRecord { return r.record }
 
-// Verdict returns what became of it.
+// Verdict returns the verdict on the record.
 func (r Result) Verdict() Verdict { return r.verdict }
 
-// Existing returns the record that stands under the key; for Settled it holds the
-// answer.
-func (r Result) Existing() protocol.ClaimRecord { return r.held }
+// Existing returns the record that the log holds under the key. If the verdict is Settled,
+// it holds the answer.
+func (r Result) Existing() protocol.ClaimRecord { return r.existing }
--- a/coordination/claim/log.go
+++ b/coordination/claim/log.go
@@ -1,22 +1,21 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package claim decides who may run a request that must run at most once.
+// Package claim decides which claimant may run a request that must run at most once.
 //
-// The claims of a shard form a log of batches in the platform. Batch n lives in
-// slot n modulo Slots, and is written only on the condition that the slot still
-// has the version that the writer has read. So a writer that succeeds has seen
-// every batch before its own, whoever else believes that it writes this shard,
-// and the first record of a key wins.
+// The claims of a shard form a log of batches in the platform. Batch n is stored in slot n
+// modulo Slots. It is written only if the slot still has the version that the writer has
+// read. So a writer that succeeds has seen every earlier batch, even if other entries also
+// believe that they write this shard, and the first record of a key wins.
 //
-// A Log is pure. Its owner asks what to do and reports what came of it:
+// A Log does no input or output. Its owner asks for the next action and reports the result:
 //
 //	log.Add(record)
 //	switch a := log.Next(now).(type) {
 //	case claim.Load:  // read every slot, then log.Loaded(stored)
-//	case claim.Write: // write a.Batch() to a.Slot() if its version is a.Known();
-//	                  // then log.Wrote(version), log.Unwritten() or log.Doubt()
-//	case claim.Read:  // read a.Slot(), then log.Found(stored)
-//	case claim.Rest:  // nothing to do
+//	case claim.Write: // write a.Batch() to a.Slot() if its version is a.ExpectedVersion(), then
+//	                  // log.WriteSucceeded(version), log.WriteFailed() or log.WriteUncertain()
+//	case claim.Read:  // read a.Slot(), then log.SlotRead(stored)
+//	case claim.Idle:  // nothing to do
 //	}
 //	for _, r := range log.Results() { ... }
 package claim
@@ -29,48 +28,49 @@
 )
 
 const (
-	// Slots is how many batches a shard keeps: at 12.5 writes a second, twice
-	// what a retention of ten minutes needs.
+	// Slots is how many batches a shard holds: at 12.5 writes a second, about twice what a
+	// retention of ten minutes needs.
 	Slots = 16384
-	// maxBatchRecords and maxBatchBytes bound one write.
+	// maxBatchRecords and maxBatchBytes bound one write. recordBytes is the approximate size
+	// of a record without its answer.
 	maxBatchRecords = 512
 	maxBatchBytes   = 256 << 10
 	recordBytes     = 96
-	// skewMargin is how much longer than the retention a record is kept, so
-	// that entries whose clocks differ by less agree on what has expired.
+	// skewMargin is how much longer than the retention a record is kept. Entries whose clocks
+	// differ by less than that agree on which keys have expired.
 	skewMargin = time.Minute
 )
 
-// slot is what is known of one place of the ring: its version, and until when
-// its records must be kept.
+// slot is what is known of one slot: its version, and until when its records must be kept.
 type slot struct {
 	version uint64
 	expiry  time.Time
 }
 
-// Log is one shard. The zero value must be loaded first. Retain is how long a
-// key is remembered after it was issued; set it before use.
+// Log is one shard. The zero value must be loaded first. RetainUntil returns until when a
+// key is remembered, given when it was issued; set it before use.
 type Log struct {
 	RetainUntil func(issued time.Time) time.Time
 
-	loaded  bool
-	next    uint64 // sequence of the next batch
-	slots   map[int]slot
-	index   map[protocol.ClaimKey]protocol.ClaimRecord
-	pending []protocol.ClaimRecord
-	written int  // how many of pending the write in flight holds
-	doubt   bool // the slot of the next batch must be read first
-	stale   bool // a read of the next slot was asked for
-	results []Result
+	loaded    bool
+	next      uint64 // sequence number of the next batch
+	slots     map[int]slot
+	index     map[protocol.ClaimKey]protocol.ClaimRecord
+	pending   []protocol.ClaimRecord
+	inFlight  int  // how many of the pending records the write in flight contains
+	uncertain bool // the slot of the next batch must be read first
+	refresh   bool // the caller asked for a read of the next slot
+	results   []Result
 }
 
-// Add queues a record; its result comes later.
+// Add queues a record. Its result comes with a later call of Results.
 func (l *Log) Add(r protocol.ClaimRecord) { l.pending = append(l.pending, r) }
 
-// Withdraw takes a claim out that no write holds, and reports whether it did.
-// A claim in doubt can't be withdrawn: release it instead.
+// Withdraw removes the pending claim of a claimant and reports whether it did. While a
+// write is in flight or its effect is uncertain, a claim can't be withdrawn: release it
+// instead.
 func (l *Log) Withdraw(claimant uint64) bool {
-	if l.written > 0 || l.doubt {
+	if l.inFlight > 0 || l.uncertain {
 		return false
 	}
 	before := len(l.pending)
@@ -80,10 +80,10 @@
 	return len(l.pending) < before
 }
 
-// Refresh asks for the next slot to be read, to see what others have written.
-func (l *Log) Refresh() { l.stale = true }
+// Refresh asks for the next slot to be read, to find batches of other writers.
+func (l *Log) Refresh() { l.refresh = true }
 
-// Pending returns how many records wait.
+// Pending returns the number of pending records.
 func (l *Log) Pending() int { return len(l.pending) }
 
 // Results returns the results since the last call.
@@ -93,8 +93,8 @@
 	return r
 }
 
-// Next returns what to do. After a Write it must be told the end of that write
-// before it is asked again.
+// Next returns the next action. After a Write, its result must be reported before Next is
+// called again.
 func (l *Log) Next(now time.Time) Action {
 	if !l.loaded {
 		if len(l.pending) == 0 {
@@ -102,10 +102,10 @@
 		}
 		return Load{}
 	}
-	if l.doubt || l.stale {
+	if l.uncertain || l.refresh {
 		return Read{slot: l.nextSlot()}
 	}
-	l.judge(now)
+	l.decidePending(now)
 	if len(l.pending) == 0 {
 		return Idle{}
 	}
@@ -116,27 +116,28 @@
 	return l.write()
 }
 
+// nextSlot returns the slot of the next batch.
 func (l *Log) nextSlot() int { return int(l.next % Slots) }
 
-// write makes a batch of the first pending records.
+// write returns the write of a batch with the first pending records.
 func (l *Log) write() Action {
 	size := 0
-	l.written = 0
+	l.inFlight = 0
 	for _, r := range l.pending {
 		size += recordBytes + len(r.Answer)
-		if l.written == maxBatchRecords || l.written > 0 && size > maxBatchBytes {
+		if l.inFlight == maxBatchRecords || l.inFlight > 0 && size > maxBatchBytes {
 			break
 		}
-		l.written++
+		l.inFlight++
 	}
 	return Write{
-		slot: l.nextSlot(), known: l.slots[l.nextSlot()].version,
-		batch: protocol.ClaimBatch{Sequence: l.next, Records: slices.Clone(l.pending[:l.written])},
+		slot: l.nextSlot(), expectedVersion: l.slots[l.nextSlot()].version,
+		batch: protocol.ClaimBatch{Sequence: l.next, Records: slices.Clone(l.pending[:l.inFlight])},
 	}
 }
 
-// Loaded takes every slot of the shard. It reports false when the slots do not
-// fit together, because one was written meanwhile: load again.
+// Loaded takes every slot of the shard. It reports false if the slots are inconsistent
+// because one was written during the load; then load again.
 func (l *Log) Loaded(all []StoredSlot) bool {
 	l.index = map[protocol.ClaimKey]protocol.ClaimRecord{}
 	l.slots = map[int]slot{}
@@ -148,71 +149,72 @@
 		}
 		l.apply(s)
 	}
-	l.loaded, l.doubt, l.written = true, false, 0
+	l.loaded, l.uncertain, l.inFlight = true, false, 0
 	return true
 }
 
-// WriteSucceeded takes the success of the write in flight.
+// WriteSucceeded records that the write in flight succeeded.
 func (l *Log) WriteSucceeded(version uint64) {
-	batch := protocol.ClaimBatch{Sequence: l.next, Records: slices.Clone(l.pending[:l.written])}
+	batch := protocol.ClaimBatch{Sequence: l.next, Records: slices.Clone(l.pending[:l.inFlight])}
 	for _, r := range batch.Records {
 		v := Kept
 		if r.Kind == protocol.ClaimTaken {
 			v = Granted
 		}
-		l.result(r, v, r)
+		l.addResult(r, v, r)
 	}
-	l.pending = slices.Delete(l.pending, 0, l.written)
-	l.written = 0
+	l.pending = slices.Delete(l.pending, 0, l.inFlight)
+	l.inFlight = 0
 	l.apply(StoredSlot{Slot: l.nextSlot(), Version: version, Batch: batch})
 }
 
-// WriteFailed notes that the write in flight had no effect.
-func (l *Log) WriteFailed() { l.written = 0 }
+// WriteFailed records that the write in flight had no effect.
+func (l *Log) WriteFailed() { l.inFlight = 0 }
 
-// WriteUncertain notes that the write in flight met another version or that its answer
-// was lost. What happened shows once the slot is read.
-func (l *Log) WriteUncertain() { l.written, l.doubt = 0, true }
+// WriteUncertain records that the write in flight met another version or that its answer
+// was lost. A read of the slot then shows what happened.
+func (l *Log) WriteUncertain() { l.inFlight, l.uncertain = 0, true }
 
-// SlotRead takes the slot of the next batch as read. Records of ours that turn out
-// to be in the log get their results from the next call of Next.
+// SlotRead takes the slot of the next batch as read. Pending records that turn out to be in
+// the log get their results at once.
 func (l *Log) SlotRead(s StoredSlot) {
-	l.doubt, l.stale = false, false
+	l.uncertain, l.refresh = false, false
 	switch {
 	case s.Version == 0:
 		delete(l.slots, l.nextSlot())
 	case s.Batch.Sequence == l.next:
 		l.apply(s)
-		l.keptNow(s.Batch)
-		l.doubt = true // others may have written further: read on
+		l.decideFound(s.Batch)
+		l.uncertain = true // later batches may exist: read the next slot as well
 	case s.Batch.Sequence > l.next:
-		l.loaded = false // a whole ring behind
+		l.loaded = false // the log is a whole ring behind
 	default:
 		l.slots[l.nextSlot()] = slot{version: s.Version, expiry: l.slots[l.nextSlot()].expiry}
 	}
 }
 
-// keptNow gives results to the pending records that a found batch holds, so
-// that none is written twice. A claim that was released in the same batch is
-// held no more, and never granted.
-func (l *Log) keptNow(b protocol.ClaimBatch) {
+// decideFound gives results to the pending records that a found batch contains, so that
+// none is written twice. A claim that was released in the same batch is no longer held and
+// is never granted.
+func (l *Log) decideFound(b protocol.ClaimBatch) {
 	l.pending = slices.DeleteFunc(l.pending, func(r protocol.ClaimRecord) bool {
-		if !holds(b, r) {
+		if !contains(b, r) {
 			return false
 		}
 		verdict := Kept
 		if r.Kind == protocol.ClaimTaken {
 			verdict = Held
-			if l.owns(r) {
+			if l.holdsClaim(r) {
 				verdict = Granted
 			}
 		}
-		l.result(r, verdict, l.index[r.Key])
+		l.addResult(r, verdict, l.index[r.Key])
 		return true
 	})
 }
 
-func holds(b protocol.ClaimBatch, r protocol.ClaimRecord) bool {
+// contains reports whether the batch contains the record.
+func contains(b protocol.ClaimBatch, r protocol.ClaimRecord) bool {
 	return slices.ContainsFunc(b.Records, func(x protocol.ClaimRecord) bool {
 		return x.Kind == r.Kind && x.Key == r.Key && x.Claimant == r.Claimant
 	})
@@ -223,35 +225,35 @@
 	for _, r := range s.Batch.Records {
 		l.applyRecord(r)
 	}
-	l.slots[s.Slot] = slot{version: s.Version, expiry: l.expiryOf(s.Batch)}
+	l.slots[s.Slot] = slot{version: s.Version, expiry: l.expiry(s.Batch)}
 	l.next = s.Batch.Sequence + 1
 }
 
-// expiryOf returns until when a batch must be kept.
-func (l *Log) expiryOf(b protocol.ClaimBatch) time.Time {
-	var last time.Time
+// expiry returns until when a batch must be kept.
+func (l *Log) expiry(b protocol.ClaimBatch) time.Time {
+	var latest time.Time
 	for _, r := range b.Records {
-		if till := l.RetainUntil(time.UnixMilli(r.IssuedMS)).Add(skewMargin); till.After(last) {
-			last = till
+		if until := l.RetainUntil(time.UnixMilli(r.IssuedMS)).Add(skewMargin); until.After(latest) {
+			latest = until
 		}
 	}
-	return last
+	return latest
 }
 
-// applyRecord lets the first claim of a key win, and only its claimant release
-// or settle it. A release is remembered until another claim comes, so that a
-// copy of the released claim that lands late holds nothing.
+// applyRecord lets the first claim of a key win, and lets only its claimant release or
+// settle it. A release stays in the index until another claim replaces it, so that a
+// delayed duplicate of the released claim takes no effect.
 func (l *Log) applyRecord(r protocol.ClaimRecord) {
-	held, found := l.index[r.Key]
-	free := !found || held.Kind == protocol.ClaimReleased
-	own := found && held.Claimant == r.Claimant
+	existing, found := l.index[r.Key]
+	free := !found || existing.Kind == protocol.ClaimReleased
+	own := found && existing.Claimant == r.Claimant
 	switch r.Kind {
 	case protocol.ClaimTaken:
 		if free && !own {
 			l.index[r.Key] = r
 		}
 	case protocol.ClaimReleased:
-		if free || own && held.Kind == protocol.ClaimTaken {
+		if free || own && existing.Kind == protocol.ClaimTaken {
 			l.index[r.Key] = r
 		}
 	default:
@@ -261,7 +263,7 @@
 	}
 }
 
-// Expire drops keys that are remembered no longer, to bound memory.
+// Expire drops keys that are no longer remembered, which bounds the memory.
 func (l *Log) Expire(now time.Time) {
 	for k, r := range l.index {
 		if now.After(l.RetainUntil(time.UnixMilli(r.IssuedMS)).Add(skewMargin)) {
@@ -270,13 +272,13 @@
 	}
 }
 
-// KeyCount returns how many keys are held or settled.
+// KeyCount returns the number of keys that are claimed or settled.
 func (l *Log) KeyCount() int {
-	held := 0
+	count := 0
 	for _, r := range l.index {
 		if r.Kind != protocol.ClaimReleased {
-			held++
+			count++
 		}
 	}
-	return held
+	return count
 }
--- a/coordination/claim/log_test.go
+++ b/coordination/claim/log_test.go
@@ -19,161 +19,161 @@
 
 func retain(issued time.Time) time.Time { return issued.Add(10 * time.Minute) }
 
-// mutant is a mistake that the tests must catch when it is made on purpose.
+// mutant is a deliberate fault that the tests must detect.
 type mutant int
 
 const (
-	sound         mutant = iota
-	unconditional        // writes do not compare versions
-	believesLost         // a write whose answer was lost counts as done
+	correct        mutant = iota
+	unconditional         // writes do not compare versions
+	assumesSuccess        // a write whose answer was lost counts as successful
 )
 
-// world is a platform with one claim shard, the entries that write it, and how
-// often each key was run.
-type world struct {
+// simulation is a platform with one claim shard, the entries that write it, and the number
+// of times that each key was granted.
+type simulation struct {
 	mutant  mutant
 	slots   map[int]claim.StoredSlot
 	version uint64
-	late    []claim.Write // writes on their way that their entry gave up on
-	entries []*writer
+	delayed []claim.Write // writes in transit whose entry no longer waits for an answer
+	writers []*writer
 	runs    map[protocol.ClaimKey]int
 	next    uint64
 }
 
-// writer is one entry that believes it writes the shard.
+// writer is one entry that believes that it writes the shard.
 type writer struct {
-	log    *claim.Log
-	flight claim.Action // asked for and not yet ended
+	log      *claim.Log
+	inFlight claim.Action // begun and not yet completed
 }
 
-func newWorld(m mutant, entries int) *world {
-	w := &world{mutant: m, slots: map[int]claim.StoredSlot{}, runs: map[protocol.ClaimKey]int{}}
+func newSimulation(m mutant, entries int) *simulation {
+	s := &simulation{mutant: m, slots: map[int]claim.StoredSlot{}, runs: map[protocol.ClaimKey]int{}}
 	for range entries {
-		w.entries = append(w.entries, &writer{})
-		w.restart(len(w.entries) - 1)
+		s.writers = append(s.writers, &writer{})
+		s.restart(len(s.writers) - 1)
 	}
-	return w
+	return s
 }
 
-// restart loses everything that an entry knew, as when its VM is replaced.
-func (w *world) restart(i int) {
-	if write, ok := w.entries[i].flight.(claim.Write); ok {
-		w.late = append(w.late, write)
+// restart discards everything that an entry knows, as when its VM is replaced.
+func (s *simulation) restart(i int) {
+	if write, ok := s.writers[i].inFlight.(claim.Write); ok {
+		s.delayed = append(s.delayed, write)
 	}
-	w.entries[i] = &writer{log: &claim.Log{RetainUntil: retain}}
+	s.writers[i] = &writer{log: &claim.Log{RetainUntil: retain}}
 }
 
-func (w *world) offer(i int, key byte) {
-	w.next++
-	w.entries[i].log.Add(protocol.ClaimRecord{
-		Key: protocol.ClaimKey{key}, Digest: 1, Claimant: w.next, IssuedMS: epoch.UnixMilli(),
+func (s *simulation) offer(i int, key byte) {
+	s.next++
+	s.writers[i].log.Add(protocol.ClaimRecord{
+		Key: protocol.ClaimKey{key}, Digest: 1, Claimant: s.next, IssuedMS: epoch.UnixMilli(),
 	})
 }
 
-// release gives a claimant's claim up, whatever became of it.
-func (w *world) release(i int, claimant uint64) {
-	w.entries[i].log.Add(protocol.ClaimRecord{
+// release releases a claimant's claim, whatever its result was.
+func (s *simulation) release(i int, claimant uint64) {
+	s.writers[i].log.Add(protocol.ClaimRecord{
 		Kind: protocol.ClaimReleased, Key: protocol.ClaimKey{1}, Claimant: claimant, IssuedMS: epoch.UnixMilli(),
 	})
 }
 
-func (w *world) put(x claim.Write) (uint64, bool) {
-	held := w.slots[x.Slot()].Version
-	if held != x.ExpectedVersion() && w.mutant != unconditional {
-		return held, false
+func (s *simulation) put(write claim.Write) (uint64, bool) {
+	version := s.slots[write.Slot()].Version
+	if version != write.ExpectedVersion() && s.mutant != unconditional {
+		return version, false
 	}
-	w.version++
-	w.slots[x.Slot()] = claim.StoredSlot{Slot: x.Slot(), Version: w.version, Batch: x.Batch()}
-	return w.version, true
+	s.version++
+	s.slots[write.Slot()] = claim.StoredSlot{Slot: write.Slot(), Version: s.version, Batch: write.Batch()}
+	return s.version, true
 }
 
-// answer is how a platform call ends.
+// answer says how a call to the platform ends.
 type answer int
 
 const (
-	answered answer = iota
-	refused         // no effect
-	lostDone        // it took effect and its answer was lost
-	lostLate        // its answer was lost and it takes effect later, if ever
-	answers
+	answered    answer = iota
+	refused            // the call has no effect
+	lostApplied        // the call takes effect and its answer is lost
+	lostDelayed        // the answer is lost, and the call takes effect later, if ever
+	answerCount
 )
 
-// step lets an entry begin an action, or ends the one in flight.
-func (w *world) step(i int, a answer) {
-	e := w.entries[i]
-	if e.flight == nil {
-		e.flight = e.log.Next(epoch)
-		w.collect(e)
+// step begins the next action of an entry or completes the one in flight.
+func (s *simulation) step(i int, a answer) {
+	e := s.writers[i]
+	if e.inFlight == nil {
+		e.inFlight = e.log.Next(epoch)
+		s.collect(e)
 		return
 	}
-	action := e.flight
-	e.flight = nil
+	action := e.inFlight
+	e.inFlight = nil
 	switch action := action.(type) {
 	case claim.Load:
 		if a == answered {
 			var all []claim.StoredSlot
-			for _, s := range w.slots {
+			for _, s := range s.slots {
 				all = append(all, s)
 			}
 			e.log.Loaded(all)
 		}
 	case claim.Read:
 		if a == answered {
-			s := w.slots[action.Slot()]
+			s := s.slots[action.Slot()]
 			s.Slot = action.Slot()
 			e.log.SlotRead(s)
 		}
 	case claim.Write:
-		w.endWrite(e, action, a)
+		s.endWrite(e, action, a)
 	}
-	w.collect(e)
+	s.collect(e)
 }
 
-func (w *world) endWrite(e *writer, x claim.Write, a answer) {
+func (s *simulation) endWrite(e *writer, write claim.Write, a answer) {
 	switch a {
 	case refused:
 		e.log.WriteFailed()
 	case answered:
-		if version, done := w.put(x); done {
+		if version, done := s.put(write); done {
 			e.log.WriteSucceeded(version)
 		} else {
 			e.log.WriteUncertain()
 		}
-	case lostDone, lostLate:
-		if a == lostDone {
-			w.put(x)
+	case lostApplied, lostDelayed:
+		if a == lostApplied {
+			s.put(write)
 		} else {
-			w.late = append(w.late, x)
+			s.delayed = append(s.delayed, write)
 		}
-		if w.mutant == believesLost {
-			e.log.WriteSucceeded(w.version + 1)
+		if s.mutant == assumesSuccess {
+			e.log.WriteSucceeded(s.version + 1)
 			return
 		}
 		e.log.WriteUncertain()
 	}
 }
 
-// land lets a delayed write reach the platform.
-func (w *world) land() {
-	if len(w.late) == 0 {
+// deliverDelayed lets the oldest delayed write reach the platform.
+func (s *simulation) deliverDelayed() {
+	if len(s.delayed) == 0 {
 		return
 	}
-	x := w.late[0]
-	w.late = w.late[1:]
-	w.put(x)
+	write := s.delayed[0]
+	s.delayed = s.delayed[1:]
+	s.put(write)
 }
 
-// collect runs what was granted.
-func (w *world) collect(e *writer) {
+// collect counts the granted claims.
+func (s *simulation) collect(e *writer) {
 	for _, r := range e.log.Results() {
 		if r.Verdict() == claim.Granted && r.Record().Kind == protocol.ClaimTaken {
-			w.runs[r.Record().Key]++
+			s.runs[r.Record().Key]++
 		}
 	}
 }
 
-func (w *world) doubled() bool {
-	for _, n := range w.runs {
+func (s *simulation) ranTwice() bool {
+	for _, n := range s.runs {
 		if n > 1 {
 			return true
 		}
@@ -181,22 +181,22 @@
 	return false
 }
 
-// TestNoKeyRunsTwice interleaves entries, restarts, refused and lost writes and
-// writes that land late, and no key may ever be granted to two claimants.
+// TestNoKeyRunsTwice interleaves entries, restarts, refused and lost writes and delayed
+// writes. No key may ever be granted to two claimants.
 func TestNoKeyRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(sound, 3)
+		s := newSimulation(correct, 3)
 		t.Repeat(map[string]func(*rapid.T){
 			"offer": func(t *rapid.T) {
-				w.offer(rapid.IntRange(0, 2).Draw(t, "entry"), rapid.ByteRange(1, 4).Draw(t, "key"))
+				s.offer(rapid.IntRange(0, 2).Draw(t, "entry"), rapid.ByteRange(1, 4).Draw(t, "key"))
 			},
 			"step": func(t *rapid.T) {
-				w.step(rapid.IntRange(0, 2).Draw(t, "entry"), answer(rapid.IntRange(0, int(answers)-1).Draw(t, "answer")))
+				s.step(rapid.IntRange(0, 2).Draw(t, "entry"), answer(rapid.IntRange(0, int(answerCount)-1).Draw(t, "answer")))
 			},
-			"restart": func(t *rapid.T) { w.restart(rapid.IntRange(0, 2).Draw(t, "entry")) },
-			"land":    func(*rapid.T) { w.land() },
+			"restart": func(t *rapid.T) { s.restart(rapid.IntRange(0, 2).Draw(t, "entry")) },
+			"deliver": func(*rapid.T) { s.deliverDelayed() },
 			"": func(t *rapid.T) {
-				if w.doubled() {
+				if s.ranTwice() {
 					t.Fatal("a key was granted twice")
 				}
 			},
@@ -204,118 +204,119 @@
 	})
 }
 
-// search tries every order of steps of two entries that both claim two keys, up
-// to a depth, and reports whether some order grants a key twice.
+// search tries every order of steps of two entries that both claim two keys, up to the
+// given depth, and reports whether any order grants a key twice.
 func search(m mutant, depth int) bool {
 	return searchFrom(m, nil, depth)
 }
 
-// choices are the moves of the search: a step of either entry with any ending,
-// or the landing of a delayed write.
-const choices = 2*int(answers) + 1
+// searchChoices is the number of choices at each step of the search: a step of either entry
+// with any answer, or the delivery of a delayed write.
+const searchChoices = 2*int(answerCount) + 1
 
-func searchFrom(m mutant, moves []int, depth int) bool {
-	if replay(m, moves).doubled() {
+func searchFrom(m mutant, steps []int, depth int) bool {
+	if replay(m, steps).ranTwice() {
 		return true
 	}
 	if depth == 0 {
 		return false
 	}
-	for c := range choices {
-		if searchFrom(m, append(moves[:len(moves):len(moves)], c), depth-1) {
+	for choice := range searchChoices {
+		if searchFrom(m, append(steps[:len(steps):len(steps)], choice), depth-1) {
 			return true
 		}
 	}
 	return false
 }
 
-func replay(m mutant, moves []int) *world {
-	w := newWorld(m, 2)
+func replay(m mutant, steps []int) *simulation {
+	s := newSimulation(m, 2)
 	for i := range 2 {
-		w.offer(i, 1)
-		w.offer(i, 2)
-		w.step(i, answered) // ask to load
-		w.step(i, answered) // load an empty shard
+		s.offer(i, 1)
+		s.offer(i, 2)
+		s.step(i, answered) // begin to load
+		s.step(i, answered) // load an empty shard
 	}
-	for _, c := range moves {
-		if c == choices-1 {
-			w.land()
+	for _, choice := range steps {
+		if choice == searchChoices-1 {
+			s.deliverDelayed()
 			continue
 		}
-		w.step(c%2, answer(c/2))
+		s.step(choice%2, answer(choice/2))
 	}
-	return w
+	return s
 }
 
 const searchDepth = 4
 
-func TestEveryOrderOfStepsIsSound(t *testing.T) {
-	require.False(t, search(sound, searchDepth))
+func TestNoOrderOfStepsRunsAKeyTwice(t *testing.T) {
+	require.False(t, search(correct, searchDepth))
 }
 
-func TestSearchCatchesAMissingCondition(t *testing.T) {
+func TestSearchDetectsUnconditionalWrites(t *testing.T) {
 	require.True(t, search(unconditional, searchDepth))
 }
 
-func TestSearchCatchesAnUncheckedLostAnswer(t *testing.T) {
-	require.True(t, search(believesLost, searchDepth))
+func TestSearchDetectsAssumedSuccess(t *testing.T) {
+	require.True(t, search(assumesSuccess, searchDepth))
 }
 
-// TestAReleasedKeyIsFree lets claimants give up at any point, with answers lost
-// and writes that land late. Whoever gave up is never counted as granted, and in
-// the end, when all have given up, a new claimant must get the key.
-func TestAReleasedKeyIsFree(t *testing.T) {
+// TestReleasedKeyCanBeClaimed lets claimants release their claims at any point, with lost
+// answers and delayed writes. Once all have released, only a new claimant is granted the
+// key: a delayed duplicate of an earlier claim must not hold it.
+func TestReleasedKeyCanBeClaimed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(sound, 2)
+		s := newSimulation(correct, 2)
 		t.Repeat(map[string]func(*rapid.T){
 			"offer": func(t *rapid.T) {
 				i := rapid.IntRange(0, 1).Draw(t, "entry")
-				w.offer(i, 1)
-				w.release(i, w.next)
+				s.offer(i, 1)
+				s.release(i, s.next)
 			},
 			"step": func(t *rapid.T) {
-				w.step(rapid.IntRange(0, 1).Draw(t, "entry"), answer(rapid.IntRange(0, int(answers)-1).Draw(t, "answer")))
+				s.step(rapid.IntRange(0, 1).Draw(t, "entry"), answer(rapid.IntRange(0, int(answerCount)-1).Draw(t, "answer")))
 			},
-			"land": func(*rapid.T) { w.land() },
+			"deliver": func(*rapid.T) { s.deliverDelayed() },
 		})
 		for range 200 {
-			w.land()
-			w.step(0, answered)
-			w.step(1, answered)
+			s.deliverDelayed()
+			s.step(0, answered)
+			s.step(1, answered)
 		}
-		w.runs = map[protocol.ClaimKey]int{}
-		w.entries[0].log.Refresh()
-		w.offer(0, 1)
+		s.runs = map[protocol.ClaimKey]int{}
+		s.writers[0].log.Refresh()
+		s.offer(0, 1)
 		for range 20 {
-			w.step(0, answered)
+			s.step(0, answered)
 		}
-		require.Equal(t, 1, w.runs[protocol.ClaimKey{1}])
+		require.Equal(t, 1, s.runs[protocol.ClaimKey{1}])
 	})
 }
 
-// TestOutcomesAnswerRepeats follows one key through its life at two entries.
-func TestOutcomesAnswerRepeats(t *testing.T) {
-	w := newWorld(sound, 2)
+// TestRepeatsGetTheStoredOutcome follows one key at two entries from its claim to its
+// stored outcome.
+func TestRepeatsGetTheStoredOutcome(t *testing.T) {
+	s := newSimulation(correct, 2)
 	settle := func(i int) claim.Result {
 		for range 12 {
-			e := w.entries[i]
-			if e.flight == nil {
-				e.flight = e.log.Next(epoch)
+			e := s.writers[i]
+			if e.inFlight == nil {
+				e.inFlight = e.log.Next(epoch)
 			} else {
-				a := e.flight
-				e.flight = nil
+				a := e.inFlight
+				e.inFlight = nil
 				switch a := a.(type) {
 				case claim.Load:
 					var all []claim.StoredSlot
-					for _, s := range w.slots {
+					for _, s := range s.slots {
 						all = append(all, s)
 					}
 					e.log.Loaded(all)
 				case claim.Read:
-					s := w.slots[a.Slot()]
+					s := s.slots[a.Slot()]
 					e.log.SlotRead(s)
 				case claim.Write:
-					w.endWrite(e, a, answered)
+					s.endWrite(e, a, answered)
 				}
 			}
 			if got := e.log.Results(); len(got) > 0 {
@@ -327,8 +328,8 @@
 	}
 	record := protocol.ClaimRecord{Key: protocol.ClaimKey{9}, Digest: 5, Claimant: 1, IssuedMS: epoch.UnixMilli()}
 	claimAt := func(i int, r protocol.ClaimRecord) claim.Result {
-		w.entries[i].log.Refresh()
-		w.entries[i].log.Add(r)
+		s.writers[i].log.Refresh()
+		s.writers[i].log.Add(r)
 		return settle(i)
 	}
 	require.Equal(t, claim.Granted, claimAt(0, record).Verdict())
@@ -349,12 +350,12 @@
 	require.Equal(t, claim.Expired, claimAt(1, old).Verdict())
 }
 
-func TestAVerdictOfANewerEntryHasAWord(t *testing.T) {
+func TestUnknownVerdictHasAString(t *testing.T) {
 	require.Equal(t, "kept", claim.Kept.String())
 	require.Equal(t, "unknown", (claim.Kept + 1).String())
 }
 
-func TestReleaseLetsARepeatRun(t *testing.T) {
+func TestReleaseRemovesKey(t *testing.T) {
 	l := loadedLog()
 	r := protocol.ClaimRecord{Key: protocol.ClaimKey{1}, Claimant: 1, IssuedMS: epoch.UnixMilli()}
 	l.Add(r)
@@ -365,9 +366,9 @@
 	require.Zero(t, l.KeyCount())
 }
 
-// TestAFullRingRefusesNewClaims fills every slot with keys that are still
-// remembered: a claim more must be refused, and run again after they expire.
-func TestAFullRingRefusesNewClaims(t *testing.T) {
+// TestFullRingRefusesNewClaims fills every slot with keys that are still remembered. A
+// further claim must be refused, and accepted once the keys have expired.
+func TestFullRingRefusesNewClaims(t *testing.T) {
 	l := loadedLog()
 	for i := range claim.Slots {
 		l.Add(protocol.ClaimRecord{Key: protocol.ClaimKey{byte(i), byte(i >> 8), 1}, Claimant: uint64(i + 1), IssuedMS: epoch.UnixMilli()})
@@ -384,7 +385,7 @@
 	require.IsType(t, claim.Write{}, l.Next(later))
 }
 
-// BenchmarkKeys measures the memory that a shard's writer needs for each key.
+// BenchmarkKeys measures the memory that the writer of a shard needs for each key.
 func BenchmarkKeys(b *testing.B) {
 	for _, keys := range []int{1000, 10_000, 70_000} {
 		b.Run(fmt.Sprint("keys=", keys), func(b *testing.B) {
--- a/coordination/claim/verdict.go
+++ b/coordination/claim/verdict.go
@@ -8,32 +8,33 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// judge gives results to the pending records that need no write, and leaves at
-// most one claim of a key.
-func (l *Log) judge(now time.Time) {
+// decidePending gives results to the pending records that need no write. Of several claims
+// of one key it leaves at most one pending.
+func (l *Log) decidePending(now time.Time) {
 	claimed := map[protocol.ClaimKey]protocol.ClaimRecord{}
-	kept := l.pending[:0]
+	undecided := l.pending[:0]
 	for _, r := range l.pending {
-		verdict, held := l.verdict(r, now)
+		verdict, existing := l.verdict(r, now)
 		first, taken := claimed[r.Key]
 		switch {
 		case verdict != Kept && verdict != Granted:
-			l.result(r, verdict, held)
-		case verdict == Granted && l.owns(r):
-			l.result(r, Granted, held)
+			l.addResult(r, verdict, existing)
+		case verdict == Granted && l.holdsClaim(r):
+			l.addResult(r, Granted, existing)
 		case r.Kind == protocol.ClaimTaken && taken && first.Claimant != r.Claimant:
-			l.result(r, Held, first)
+			l.addResult(r, Held, first)
 		default:
 			if r.Kind == protocol.ClaimTaken {
 				claimed[r.Key] = r
 			}
-			kept = append(kept, r)
+			undecided = append(undecided, r)
 		}
 	}
-	l.pending = kept
+	l.pending = undecided
 }
 
-// verdict says what a record may become by what the log holds now.
+// verdict returns the verdict that a record gets from the current content of the log, and
+// the existing record of its key.
 func (l *Log) verdict(r protocol.ClaimRecord, now time.Time) (Verdict, protocol.ClaimRecord) {
 	if r.Kind != protocol.ClaimTaken {
 		return Kept, r
@@ -41,45 +42,47 @@
 	if !l.RetainUntil(time.UnixMilli(r.IssuedMS)).After(now) {
 		return Expired, r
 	}
-	held, found := l.index[r.Key]
+	existing, found := l.index[r.Key]
 	switch {
 	case !found:
 		return Granted, r
-	case held.Kind == protocol.ClaimReleased && held.Claimant == r.Claimant:
-		return Held, held // it was given up, and a late copy must not revive it
-	case held.Kind == protocol.ClaimReleased:
+	case existing.Kind == protocol.ClaimReleased && existing.Claimant == r.Claimant:
+		return Held, existing // the claim was released; a delayed duplicate must not revive it
+	case existing.Kind == protocol.ClaimReleased:
 		return Granted, r
-	case held.Digest != r.Digest:
-		return Reused, held
-	case held.Kind == protocol.ClaimSettled:
-		return Settled, held
-	case held.Kind == protocol.ClaimDoubtful:
-		return Doubtful, held
-	case held.Claimant == r.Claimant:
-		return Granted, held
+	case existing.Digest != r.Digest:
+		return Reused, existing
+	case existing.Kind == protocol.ClaimSettled:
+		return Settled, existing
+	case existing.Kind == protocol.ClaimDoubtful:
+		return Doubtful, existing
+	case existing.Claimant == r.Claimant:
+		return Granted, existing
 	default:
-		return Held, held
+		return Held, existing
 	}
 }
 
-// owns reports whether r's own claim is in the log already.
-func (l *Log) owns(r protocol.ClaimRecord) bool {
-	held, found := l.index[r.Key]
-	return found && held.Claimant == r.Claimant && held.Kind == protocol.ClaimTaken
+// holdsClaim reports whether r's own claim is already in the log.
+func (l *Log) holdsClaim(r protocol.ClaimRecord) bool {
+	existing, found := l.index[r.Key]
+	return found && existing.Claimant == r.Claimant && existing.Kind == protocol.ClaimTaken
 }
 
-func (l *Log) result(r protocol.ClaimRecord, v Verdict, held protocol.ClaimRecord) {
-	l.results = append(l.results, Result{record: r, verdict: v, held: held})
+// addResult adds a result for the next call of Results.
+func (l *Log) addResult(r protocol.ClaimRecord, v Verdict, existing protocol.ClaimRecord) {
+	l.results = append(l.results, Result{record: r, verdict: v, existing: existing})
 }
 
+// refuseFull refuses all pending claims because the next slot can't be overwritten yet.
 func (l *Log) refuseFull() {
-	kept := l.pending[:0]
+	remaining := l.pending[:0]
 	for _, r := range l.pending {
 		if r.Kind != protocol.ClaimTaken {
-			kept = append(kept, r)
+			remaining = append(remaining, r)
 			continue
 		}
-		l.result(r, Full, r)
+		l.addResult(r, Full, r)
 	}
-	l.pending = kept
+	l.pending = remaining
 }
