--- a/coordination/plan/intent.go
+++ b/coordination/plan/intent.go
@@ -11,14 +11,14 @@
 	"pinerun.example/pinerun/state/config"
 )
 
-// Intent is what an operator wants changed.
+// Intent is a change that an operator asks for.
 type Intent interface {
-	// edit makes the change on a draft, or says why it can't be made.
+	// edit applies the change to a draft or returns why it is refused.
 	edit(d *draft) error
 }
 
-// SetTeam changes a team's share, priority or limit of open requests; what is
-// nil stays.
+// SetTeam changes a team's share, priority or limit of open requests. A nil field leaves
+// the value as it is.
 type SetTeam struct {
 	Team     string
 	Share    *float64
@@ -29,7 +29,7 @@
 // AddTeam adds a team.
 type AddTeam struct{ Team protocol.Team }
 
-// AddModel adds a model, or another version of one under its own name.
+// AddModel adds a model. A new version of a model is added under a name of its own.
 type AddModel struct{ Model protocol.Model }
 
 // RetireModel removes a model that no runner serves.
@@ -38,13 +38,13 @@
 // AddService adds a plain service.
 type AddService struct{ Service protocol.Service }
 
-// DrainVM lets no new work on the runners of a VM; RestoreVM undoes that.
+// DrainVM stops new work on the runners of a VM. RestoreVM undoes it.
 type DrainVM struct{ VM string }
 
-// RestoreVM lets new work on the runners of a VM again.
+// RestoreVM allows new work on the runners of a VM again.
 type RestoreVM struct{ VM string }
 
-// wireIntent is the JSON form of an intent. Do names the kind.
+// wireIntent is the JSON form of an intent. Do is the kind of the intent.
 type wireIntent struct {
 	Do       string            `json:"do"`
 	Team     string            `json:"team"`
@@ -58,12 +58,12 @@
 	Service  *protocol.Service `json:"service"`
 }
 
-// IntentKinds are the names of the intents, as in the field "do".
+// IntentKinds returns the kinds of intents, which are the values of the field "do".
 func IntentKinds() []string {
 	return []string{"set_team", "add_team", "add_model", "retire_model", "add_service", "drain_vm", "restore_vm"}
 }
 
-// Parse reads an intent.
+// Parse decodes an intent.
 func Parse(body []byte) (Intent, error) {
 	var w wireIntent
 	if err := json.Unmarshal(body, &w); err != nil {
@@ -95,8 +95,9 @@
 	}
 }
 
+// team returns the team that an add_team intent describes, with defaults.
 func (w *wireIntent) team() protocol.Team {
-	t := protocol.Team{Name: w.Team, KeyHashes: []string{w.KeyHash}, Share: 1, Open: defaultOpen}
+	t := protocol.Team{Name: w.Team, KeyHashes: []string{w.KeyHash}, Share: 1, Open: defaultOpenLimit}
 	if w.Share != nil {
 		t.Share = *w.Share
 	}
@@ -109,15 +110,16 @@
 	return t
 }
 
-// defaultOpen is the limit of open requests of a team that names none.
-const defaultOpen = 100
+// defaultOpenLimit is the limit of open requests of a team whose intent gives none.
+const defaultOpenLimit = 100
 
-func wrong(message string) error { return protocol.Refuse(protocol.MalformedRequest, message) }
+// malformed returns a refusal of an intent that can't be carried out.
+func malformed(message string) error { return protocol.Refuse(protocol.MalformedRequest, message) }
 
 func (i SetTeam) edit(d *draft) error {
 	t, ok := d.team(i.Team)
 	if !ok {
-		return wrong("team " + i.Team + " does not exist")
+		return malformed("team " + i.Team + " does not exist")
 	}
 	before := t
 	if i.Share != nil {
@@ -138,14 +140,14 @@
 
 func (i AddTeam) edit(d *draft) error {
 	if _, exists := d.team(i.Team.Name); exists {
-		return wrong("team " + i.Team.Name + " exists")
+		return malformed("team " + i.Team.Name + " exists")
 	}
 	return d.put(protocol.TeamPart, i.Team.Name, "", describeTeam(i.Team), i.Team)
 }
 
 func (i AddModel) edit(d *draft) error {
 	if _, exists := d.base.Model(i.Model.Name); exists {
-		return wrong("model " + i.Model.Name + " exists; give the version another name")
+		return malformed("model " + i.Model.Name + " exists; give the version another name")
 	}
 	return d.put(protocol.ModelPart, i.Model.Name, "", describeModel(i.Model), i.Model)
 }
@@ -157,11 +159,11 @@
 func (i RetireModel) edit(d *draft) error {
 	m, exists := d.base.Model(i.Model)
 	if !exists {
-		return wrong("model " + i.Model + " does not exist")
+		return malformed("model " + i.Model + " does not exist")
 	}
 	serves := func(r protocol.Runner) bool { return r.Model == i.Model && !r.Drain }
 	if slices.ContainsFunc(d.base.Runners(), serves) {
-		return wrong("model " + i.Model + " is served by runners; drain their VMs first")
+		return malformed("model " + i.Model + " is served by runners; drain their VMs first")
 	}
 	for _, f := range d.base.Fleets() {
 		kept := slices.DeleteFunc(slices.Clone(f.Runners), func(r protocol.Runner) bool { return r.Model == i.Model })
@@ -189,7 +191,7 @@
 
 func (i AddService) edit(d *draft) error {
 	if _, exists := d.base.Service(i.Service.Name); exists {
-		return wrong("service " + i.Service.Name + " exists")
+		return malformed("service " + i.Service.Name + " exists")
 	}
 	after := fmt.Sprintf("%d endpoints", len(i.Service.Endpoints))
 	return d.put(protocol.ServicePart, i.Service.Name, "", after, i.Service)
@@ -219,12 +221,12 @@
 		}
 	}
 	if !found {
-		return wrong("no runner is on VM " + vm)
+		return malformed("no runner is on VM " + vm)
 	}
 	return nil
 }
 
-// draft is a configuration being edited.
+// draft collects the changes to a configuration.
 type draft struct {
 	base    *config.Config
 	changes []Change
@@ -240,6 +242,7 @@
 	return protocol.Team{}, false
 }
 
+// put adds a changed or new part. A part whose description stays the same is left out.
 func (d *draft) put(k protocol.PartKind, name, before, after string, part any) error {
 	content, err := json.Marshal(part)
 	if err != nil {
@@ -254,6 +257,7 @@
 	return nil
 }
 
+// remove adds the removal of a part.
 func (d *draft) remove(k protocol.PartKind, name, before string) {
 	d.changes = append(d.changes, Change{Ref: protocol.PartRef{Kind: k, Name: name}, Remove: true})
 	d.steps = append(d.steps, Step{Part: string(k) + " " + name, Before: before})
--- a/coordination/plan/plan.go
+++ b/coordination/plan/plan.go
@@ -1,13 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package plan turns an operator's intent into a plan, and a confirmed plan into
-// the next manifest. Nothing changes before the confirmation.
+// Package plan turns an operator's intent into a plan, and a confirmed plan into the next
+// manifest. Nothing changes before the operator confirms the plan.
 //
-//	i, err := plan.Parse(body)
-//	p, err := plan.Make(cfg, i, "clerk", "p-17", now)
-//	for _, s := range p.Steps { ... }              // what would change
-//	next, err := p.Next(current, "clerk", now)     // write it if current is still there
-//	accepted, version := plan.Accepted(manifest, p.ID)
+//	p, err := plan.Make(cfg, body, "clerk", "p-17", now)
+//	for _, s := range p.Steps { ... }             // what the plan changes
+//	next, err := p.NextManifest(current, now)     // write it if current is still in force
+//	version, accepted := plan.AcceptedVersion(manifest, p.ID)
 package plan
 
 import (
@@ -22,42 +21,42 @@
 )
 
 const (
-	// remembered is how many accepted plans a manifest names, so that a
-	// confirmation whose answer was lost can be told from one that failed.
-	remembered = 32
-	// confirmWithin is how long a plan can be confirmed.
-	confirmWithin = 15 * time.Minute
+	// maxAccepted is how many accepted plans a manifest lists, so that a confirmation whose
+	// answer was lost can be told from one that failed.
+	maxAccepted = 32
+	// confirmTimeout is how long a plan can be confirmed.
+	confirmTimeout = 15 * time.Minute
 )
 
-// Step is one thing that a plan changes.
+// Step describes the change of one part for the operator.
 type Step struct {
 	Part   string `json:"part"`
 	Before string `json:"before"`
 	After  string `json:"after"`
 }
 
-// Change is one part that a plan sets or removes.
+// Change is a part that a plan sets or removes.
 type Change struct {
 	Ref     protocol.PartRef `json:"ref"`
 	Content json.RawMessage  `json:"content,omitempty"`
 	Remove  bool             `json:"remove,omitempty"`
 }
 
-// FlowEffect is a model's flow bound, in positions a second.
+// FlowEffect is the change of a model's throughput bound, in positions a second.
 type FlowEffect struct {
 	Model  string  `json:"model"`
 	Before float64 `json:"before"`
 	After  float64 `json:"after"`
 }
 
-// ShareEffect is the part of a busy model that a team can count on.
+// ShareEffect is the change of the fraction of a busy model that a team can count on.
 type ShareEffect struct {
 	Team   string  `json:"team"`
 	Before float64 `json:"before"`
 	After  float64 `json:"after"`
 }
 
-// State is how far a plan has come.
+// State is the state of a plan.
 type State string
 
 // The states of a plan.
@@ -67,7 +66,7 @@
 	Withdrawn State = "withdrawn"
 )
 
-// Plan is what an intent would do. It is kept in the platform as JSON.
+// Plan holds what an intent would change. It is stored in the platform as JSON.
 type Plan struct {
 	ID          string          `json:"id"`
 	State       State           `json:"state"`
@@ -84,8 +83,8 @@
 	Version     uint64          `json:"version,omitempty"`
 }
 
-// Make returns the plan for an intent, made from the configuration in force. It
-// fails if the result would not be a valid configuration.
+// Make returns the plan for an intent, based on the configuration in force. It fails if the
+// resulting configuration would be invalid.
 func Make(c *config.Config, body []byte, author, id string, now time.Time) (*Plan, error) {
 	i, err := Parse(body)
 	if err != nil {
@@ -96,15 +95,15 @@
 		return nil, err
 	}
 	if len(d.changes) == 0 {
-		return nil, wrong("the intent changes nothing")
+		return nil, malformed("the intent changes nothing")
 	}
 	p := &Plan{
 		ID: id, State: Proposed, Author: author, Intent: body, BaseVersion: c.Version(),
-		CreatedAt: now, Deadline: now.Add(confirmWithin), Steps: d.steps, Changes: d.changes,
+		CreatedAt: now, Deadline: now.Add(confirmTimeout), Steps: d.steps, Changes: d.changes,
 	}
 	after, err := p.result(c)
 	if err != nil {
-		return nil, protocol.Refuse(protocol.MalformedRequest, "the result would not be valid").Because(err)
+		return nil, protocol.Refuse(protocol.MalformedRequest, "the resulting configuration would not be valid").Because(err)
 	}
 	if err := p.effects(c, after); err != nil {
 		return nil, err
@@ -119,8 +118,8 @@
 	for _, ref := range m.Parts {
 		contents[ref.Hash] = c.Content(ref.Hash)
 	}
-	for _, x := range p.Changes {
-		contents[x.Ref.Hash] = x.Content
+	for _, change := range p.Changes {
+		contents[change.Ref.Hash] = change.Content
 	}
 	return config.Build(m, contents)
 }
@@ -128,43 +127,44 @@
 // apply returns the manifest with the plan's changes.
 func (p *Plan) apply(m protocol.Manifest) protocol.Manifest {
 	m.Parts = slices.Clone(m.Parts)
-	for _, x := range p.Changes {
+	for _, change := range p.Changes {
 		m.Parts = slices.DeleteFunc(m.Parts, func(r protocol.PartRef) bool {
-			return r.Kind == x.Ref.Kind && r.Name == x.Ref.Name
+			return r.Kind == change.Ref.Kind && r.Name == change.Ref.Name
 		})
-		if !x.Remove {
-			m.Parts = append(m.Parts, x.Ref)
+		if !change.Remove {
+			m.Parts = append(m.Parts, change.Ref)
 		}
 	}
 	return m
 }
 
-// effects compares throughput and shares, and refuses a plan that would leave a
-// model without a holder of some layer.
+// effects records the changes of throughput and shares. It refuses a plan that would leave
+// some layer of a served model without a runner.
 func (p *Plan) effects(before, after *config.Config) error {
 	for _, m := range before.ModelList() {
-		was := flow(before, m)
-		is := 0.0
+		oldFlow := flowBound(before, m)
+		newFlow := 0.0
 		if _, stays := after.Model(m.Name); stays {
-			is = flow(after, m)
-			if was > 0 && is == 0 {
-				return wrong("model " + m.Name + " would lose its last holder of some layer; add runners first")
+			newFlow = flowBound(after, m)
+			if oldFlow > 0 && newFlow == 0 {
+				return malformed("model " + m.Name + " would lose the last runner of some layer; add runners first")
 			}
 		}
-		if was != is {
-			p.Flows = append(p.Flows, FlowEffect{Model: m.Name, Before: was, After: is})
+		if oldFlow != newFlow {
+			p.Flows = append(p.Flows, FlowEffect{Model: m.Name, Before: oldFlow, After: newFlow})
 		}
 	}
-	old, now := shares(before), shares(after)
+	sharesBefore, sharesAfter := shareFractions(before), shareFractions(after)
 	for _, t := range after.Teams() {
-		if was, is := old[t.Name], now[t.Name]; was != is {
-			p.Shares = append(p.Shares, ShareEffect{Team: t.Name, Before: was, After: is})
+		if oldShare, newShare := sharesBefore[t.Name], sharesAfter[t.Name]; oldShare != newShare {
+			p.Shares = append(p.Shares, ShareEffect{Team: t.Name, Before: oldShare, After: newShare})
 		}
 	}
 	return nil
 }
 
-func flow(c *config.Config, m protocol.Model) float64 {
+// flowBound returns the throughput bound of a model's runners that are not drained.
+func flowBound(c *config.Config, m protocol.Model) float64 {
 	var serving []protocol.Runner
 	for _, r := range c.Runners() {
 		if r.Model == m.Name && !r.Drain {
@@ -174,21 +174,21 @@
 	return bound.Of(m.Layers, serving).Flow()
 }
 
-// shares returns the part of all shares that each team holds.
-func shares(c *config.Config) map[string]float64 {
+// shareFractions returns each team's fraction of the sum of all shares.
+func shareFractions(c *config.Config) map[string]float64 {
 	total := 0.0
 	for _, t := range c.Teams() {
 		total += t.Share
 	}
-	part := make(map[string]float64, len(c.Teams()))
+	fractions := make(map[string]float64, len(c.Teams()))
 	for _, t := range c.Teams() {
-		part[t.Name] = t.Share / total
+		fractions[t.Name] = t.Share / total
 	}
-	return part
+	return fractions
 }
 
-// NextManifest returns the manifest that accepts the plan in place of current. It is to
-// be written only if current is still there.
+// NextManifest returns the manifest that replaces current once the plan is accepted. The
+// caller writes it only if current is still in force.
 func (p *Plan) NextManifest(current protocol.Manifest, now time.Time) (protocol.Manifest, error) {
 	switch {
 	case p.State == Withdrawn:
@@ -204,12 +204,12 @@
 	next.Plan = p.ID
 	next.Author = p.Author
 	next.Accepted = append([]protocol.AcceptedPlan{{Plan: p.ID, Version: next.Version}}, current.Accepted...)
-	next.Accepted = next.Accepted[:min(len(next.Accepted), remembered)]
+	next.Accepted = next.Accepted[:min(len(next.Accepted), maxAccepted)]
 	return next, nil
 }
 
-// AcceptedVersion reports whether a manifest says that the plan was accepted, and as
-// which version.
+// AcceptedVersion returns the version as which the manifest accepted the plan, and reports
+// whether it did.
 func AcceptedVersion(m protocol.Manifest, id string) (uint64, bool) {
 	for _, a := range m.Accepted {
 		if a.Plan == id {
--- a/coordination/plan/plan_test.go
+++ b/coordination/plan/plan_test.go
@@ -40,8 +40,8 @@
 	return string(b)
 }
 
-// with returns the configuration after a plan made from c is accepted.
-func with(t require.TestingT, c *config.Config, intent string) *config.Config {
+// accept returns the configuration after a plan made from c is accepted.
+func accept(t require.TestingT, c *config.Config, intent string) *config.Config {
 	p, err := plan.Make(c, []byte(intent), "clerk", "before", now)
 	require.NoError(t, err)
 	next, err := p.NextManifest(c.Manifest(), now)
@@ -50,33 +50,33 @@
 	for _, ref := range next.Parts {
 		contents[ref.Hash] = c.Content(ref.Hash)
 	}
-	for _, x := range p.Changes {
-		contents[x.Ref.Hash] = x.Content
+	for _, change := range p.Changes {
+		contents[change.Ref.Hash] = change.Content
 	}
 	after, err := config.Build(next, contents)
 	require.NoError(t, err)
 	return after
 }
 
-func TestPlansTellWhatTheyChange(t *testing.T) {
-	c := with(t, base(t), `{"do":"add_team","team":"desk","key_hash":"`+hash('a')+`"}`)
-	c = with(t, c, `{"do":"add_team","team":"app","key_hash":"`+hash('b')+`","share":3}`)
+func TestPlansListTheirChanges(t *testing.T) {
+	c := accept(t, base(t), `{"do":"add_team","team":"desk","key_hash":"`+hash('a')+`"}`)
+	c = accept(t, c, `{"do":"add_team","team":"app","key_hash":"`+hash('b')+`","share":3}`)
 	p, err := plan.Make(c, []byte(`{"do":"set_team","team":"desk","share":9,"priority":2}`), "clerk", "p-2", now)
 	require.NoError(t, err)
 	require.Equal(t, []plan.Step{{Part: "team desk", Before: "share 1, priority 0, 100 open", After: "share 9, priority 2, 100 open"}}, p.Steps)
-	require.Len(t, p.Shares, 2, "the other team is touched too")
+	require.Len(t, p.Shares, 2, "the share of the other team changes too")
 	drain, err := plan.Make(c, []byte(`{"do":"drain_vm","vm":"v1"}`), "clerk", "p-3", now)
 	require.NoError(t, err)
 	require.Equal(t, "3 runners, 1 of them drained", drain.Steps[0].After)
 }
 
-func TestPlansThatCanNotBeMade(t *testing.T) {
+func TestInvalidIntentsAreRefused(t *testing.T) {
 	c := base(t)
 	for _, intent := range []string{
-		`{"do":"drain_vm","vm":"v3"}`,           // the last holder of layers 2 and 3
+		`{"do":"drain_vm","vm":"v3"}`,           // the only runner with layers 2 and 3
 		`{"do":"drain_vm","vm":"none"}`,         // no such VM
-		`{"do":"restore_vm","vm":"v1"}`,         // nothing to change
-		`{"do":"retire_model","model":"fares"}`, // it is served
+		`{"do":"restore_vm","vm":"v1"}`,         // nothing changes
+		`{"do":"retire_model","model":"fares"}`, // runners serve the model
 		`{"do":"retire_model","model":"x"}`,
 		`{"do":"set_team","team":"nobody","share":2}`,
 		`{"do":"add_team","team":"desk","key_hash":"short"}`,
@@ -93,12 +93,12 @@
 	}
 }
 
-// TestRacingPlans: of any plans made from one version only the first to be
-// confirmed is accepted; the others are told what changed. Accepted plans are
-// remembered, so a repeated confirmation finds its version.
-func TestRacingPlans(t *testing.T) {
+// TestOnlyFirstConfirmedPlanIsAccepted makes several plans from one version. Only the first
+// to be confirmed is accepted; the others are refused as stale. The manifest lists accepted
+// plans, so a repeated confirmation finds its version.
+func TestOnlyFirstConfirmedPlanIsAccepted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := with(t, base(t), `{"do":"add_team","team":"desk","key_hash":"`+hash('a')+`"}`)
+		c := accept(t, base(t), `{"do":"add_team","team":"desk","key_hash":"`+hash('a')+`"}`)
 		m := c.Manifest()
 		var plans []*plan.Plan
 		for i := range rapid.IntRange(2, 5).Draw(t, "plans") {
@@ -120,7 +120,7 @@
 	})
 }
 
-func TestAPlanEnds(t *testing.T) {
+func TestExpiredAndWithdrawnPlansAreRefused(t *testing.T) {
 	c := base(t)
 	p, err := plan.Make(c, []byte(`{"do":"drain_vm","vm":"v1"}`), "clerk", "p", now)
 	require.NoError(t, err)
