--- a/coordination/placement/group.go
+++ b/coordination/placement/group.go
@@ -9,69 +9,70 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// group is the engines of a pool that a layout can't tell apart: of one accelerator and
-// with the same layers. What a layout is worth is worked out over groups, of which there
-// are some dozens however many engines there are.
+// group is the engines of a pool that have the same accelerator and hold the same layers, so that
+// they are interchangeable in a layout. Layouts are scored over groups, because there are only some
+// dozens of them however many engines there are.
 type group struct {
-	kind     int
-	memoryMB float64
-	span     protocol.Span
-	engines  int
+	accelerator int
+	memoryMB    float64
+	span        protocol.Span
+	engines     int
 }
 
 func compareGroups(a, b group) int {
-	return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.span.From, b.span.From), cmp.Compare(a.span.To, b.span.To))
+	return cmp.Or(cmp.Compare(a.accelerator, b.accelerator), cmp.Compare(a.span.From, b.span.From), cmp.Compare(a.span.To, b.span.To))
 }
 
-// join adds an engine to its group, leave takes it out. Groups stand in order, so that a
-// layout is worth the same in whichever order it came about.
-func (p *pool) join(m *member) {
-	g := group{kind: m.kind, memoryMB: m.memoryMB, span: m.span}
-	at, there := slices.BinarySearchFunc(p.groups, g, compareGroups)
-	if !there {
-		p.groups = slices.Insert(p.groups, at, g)
+// addToGroup adds an engine to its group and removeFromGroup removes it. The groups are sorted, so
+// that the score of a layout does not depend on the order in which it was built.
+func (p *pool) addToGroup(m *member) {
+	g := group{accelerator: m.accelerator, memoryMB: m.memoryMB, span: m.span}
+	i, found := slices.BinarySearchFunc(p.groups, g, compareGroups)
+	if !found {
+		p.groups = slices.Insert(p.groups, i, g)
 	}
-	p.groups[at].engines++
+	p.groups[i].engines++
 }
 
-func (p *pool) leave(m *member) {
-	at, there := slices.BinarySearchFunc(p.groups, group{kind: m.kind, span: m.span}, compareGroups)
-	if !there {
+func (p *pool) removeFromGroup(m *member) {
+	i, found := slices.BinarySearchFunc(p.groups, group{accelerator: m.accelerator, span: m.span}, compareGroups)
+	if !found {
 		return
 	}
-	if p.groups[at].engines--; p.groups[at].engines == 0 {
-		p.groups = slices.Delete(p.groups, at, at+1)
+	if p.groups[i].engines--; p.groups[i].engines == 0 {
+		p.groups = slices.Delete(p.groups, i, i+1)
 	}
 }
 
-// regroup counts the groups anew.
-func (p *pool) regroup() {
+// rebuildGroups computes the groups from the engines.
+func (p *pool) rebuildGroups() {
 	p.groups = nil
 	for i := range p.engines {
-		p.join(&p.engines[i])
+		p.addToGroup(&p.engines[i])
 	}
 }
 
-// alike is what two engines have in common for which the same moves are worth the same.
-type alike struct {
-	kind          int
+// engineClass holds the properties that decide the score of a reassignment. Engines of the same
+// class need to be tried only once.
+type engineClass struct {
+	accelerator   int
 	span, serving protocol.Span
-	moved         bool
+	reassigned    bool
 }
 
-// representatives returns the first engine of each set of engines that the search need
-// not tell apart. The pool must not be reordered while they are used.
+// representatives returns the first engine of each engine class. The pool must not be sorted while
+// the result is in use.
 func (p *pool) representatives() []*member {
-	seen := make(map[alike]bool, len(p.groups))
-	var firsts []*member
+	seen := make(map[engineClass]bool, len(p.groups))
+	var first []*member
 	for i := range p.engines {
 		m := &p.engines[i]
-		a := alike{kind: m.kind, span: m.span, serving: m.serving, moved: m.moved}
-		if seen[a] {
+		class := engineClass{accelerator: m.accelerator, span: m.span, serving: m.serving, reassigned: m.reassigned}
+		if seen[class] {
 			continue
 		}
-		seen[a] = true
-		firsts = append(firsts, m)
+		seen[class] = true
+		first = append(first, m)
 	}
-	return firsts
+	return first
 }
--- a/coordination/placement/improve.go
+++ b/coordination/placement/improve.go
@@ -5,35 +5,36 @@
 import "pinerun.example/pinerun/protocol"
 
 const (
-	// leastGain is by how much more a layout must be worth for engines to be moved, and
-	// layerPrice how much of it each layer costs that has to be loaded: a part of what
-	// the data center serves. Without a least gain engines would move for nothing.
-	leastGain  = 0.03
-	layerPrice = 0.001
-	// weighingsMost bounds how many spans are weighed for one plan. Each takes some 10 us.
-	weighingsMost = 1500
-	// weighingsUrgent is the same for a plan of what can't wait, which every entry makes up
-	// to ten times a second while there is work.
-	weighingsUrgent = 400
+	// minGain is the least gain in score for which an engine is reassigned. Without it engines
+	// would be reassigned for no benefit. loadCostPerLayer is the score that each layer that has to
+	// be loaded costs. Both are parts of what the data center serves.
+	minGain          = 0.03
+	loadCostPerLayer = 0.001
+	// maxEvaluations limits how many spans are evaluated for one plan. An evaluation takes about 10
+	// us.
+	maxEvaluations = 1500
+	// maxUrgentEvaluations is the limit for an urgent plan, which every entry computes up to ten
+	// times a second while there is work.
+	maxUrgentEvaluations = 400
 )
 
-// improve returns moves that make a layout without holes worth more: those of engines that
-// hold nothing, or the one move that is worth most once no order is under way. Going all
-// the way to the best layout, engine by engine, was measured to cost more than it gains:
-// each engine on its way serves nothing for a second or two.
+// improve returns reassignments that raise the score of a layout without gaps: those of all engines
+// that hold nothing or, once no order is pending, the single best one. It does not go on to the
+// best layout engine by engine, because that was measured to cost more than it gains: each
+// reassigned engine serves nothing for one or two seconds.
 func (p *pool) improve(urgent bool) []Reassignment {
-	moves := p.useEmpty(urgent)
-	if len(moves) > 0 || urgent || p.underWay() {
-		return moves
+	reassignments := p.assignEmptyEngines(urgent)
+	if len(reassignments) > 0 || urgent || p.orderPending() {
+		return reassignments
 	}
-	if relief := p.relieve(); len(relief) > 0 {
-		return relief
+	if spare := p.addSpareReplica(); len(spare) > 0 {
+		return spare
 	}
 	return p.improveOne()
 }
 
-// underWay reports whether some engine still carries out an order.
-func (p *pool) underWay() bool {
+// orderPending reports whether some engine still carries out an order.
+func (p *pool) orderPending() bool {
 	for i := range p.engines {
 		if m := &p.engines[i]; m.span != m.serving {
 			return true
@@ -42,12 +43,12 @@
 	return false
 }
 
-// useEmpty gives each engine that holds nothing the layers that are worth most.
-func (p *pool) useEmpty(urgent bool) []Reassignment {
-	var moves []Reassignment
-	left := weighingsMost
+// assignEmptyEngines gives each engine that holds nothing the span with the highest gain.
+func (p *pool) assignEmptyEngines(urgent bool) []Reassignment {
+	var reassignments []Reassignment
+	left := maxEvaluations
 	if urgent {
-		left = weighingsUrgent
+		left = maxUrgentEvaluations
 	}
 	for i := range p.engines {
 		m := &p.engines[i]
@@ -58,70 +59,69 @@
 			break
 		}
 		if s, _ := p.bestSpan(m, &left); s.Layers() > 0 {
-			p.set(m, s)
-			moves = append(moves, Reassignment{engine: m.id, span: s, reason: ReasonReplica})
+			p.reassign(m, s)
+			reassignments = append(reassignments, Reassignment{engine: m.id, span: s, reason: ReasonReplica})
 		}
 	}
-	return moves
+	return reassignments
 }
 
-// gain returns how much more than it is now the layout is worth if an engine holds a span,
-// less the price of loading it.
-func (p *pool) gain(m *member, s protocol.Span, worth float64) float64 {
+// gain returns by how much the score rises if an engine holds a span, less the cost of loading it.
+func (p *pool) gain(m *member, s protocol.Span, score float64) float64 {
 	before := m.span
-	p.hold(m, s)
-	gain := p.worth() - worth - layerPrice*float64(added(before, s))
-	p.hold(m, before)
+	p.assign(m, s)
+	gain := p.score() - score - loadCostPerLayer*float64(addedLayers(before, s))
+	p.assign(m, before)
 	return gain
 }
 
-// improveOne returns the one move that makes the layout worth most, if any is worth its
-// price.
+// improveOne returns the single reassignment with the highest gain, if the gain exceeds minGain.
 func (p *pool) improveOne() []Reassignment {
-	left := weighingsMost
+	left := maxEvaluations
 	var chosen *member
 	var span protocol.Span
-	most := leastGain
+	highest := minGain
 	for _, m := range p.representatives() {
-		if s, gain := p.bestSpan(m, &left); s.Layers() > 0 && gain > most {
-			chosen, span, most = m, s, gain
+		if s, gain := p.bestSpan(m, &left); s.Layers() > 0 && gain > highest {
+			chosen, span, highest = m, s, gain
 		}
 	}
 	if chosen == nil {
 		return nil
 	}
-	p.set(chosen, span)
+	p.reassign(chosen, span)
 	return []Reassignment{{engine: chosen.id, span: span, reason: ReasonImprove}}
 }
 
-// bestSpan returns the span that makes the layout worth most if an engine holds it, and
-// how much more. It keeps every layer that no other is known to hold.
+// bestSpan returns the span that gives the highest gain if an engine holds it, and that gain. The
+// span contains every layer of the engine that has no other known holder. Each evaluation reduces
+// left by one, and the search stops when none is left.
 func (p *pool) bestSpan(m *member, left *int) (protocol.Span, float64) {
 	var best protocol.Span
 	before := m.span
-	kept := p.needed(m)
-	worth := p.worth()
-	most := 0.0
-	ends := p.boundaries()
-	for i, from := range ends {
-		if kept.Layers() > 0 && from > kept.From {
+	required := p.requiredSpan(m)
+	score := p.score()
+	highest := 0.0
+	boundaries := p.boundaries()
+	for i, from := range boundaries {
+		if required.Layers() > 0 && from > required.From {
 			break
 		}
-		for _, to := range ends[i+1:] {
+		for _, to := range boundaries[i+1:] {
 			s := protocol.Span{From: from, To: to}
-			if to-from > p.fitting(m.memoryMB, leastRequests) {
+			if to-from > p.layerCapacity(m.memoryMB, minRequestCapacity) {
 				break
 			}
-			if kept.Layers() > 0 && to < kept.To || s == before {
+			if required.Layers() > 0 && to < required.To || s == before {
 				continue
 			}
 			if *left--; *left < 0 {
-				return best, most
+				return best, highest
 			}
-			if gain := p.gain(m, s, worth); gain > most {
-				best, most = s, gain
+			if gain := p.gain(m, s, score); gain > highest {
+				best, highest = s, gain
 			}
 		}
 	}
-	return best, most
+	return best, highest
 }
--- a/coordination/placement/layout.go
+++ b/coordination/placement/layout.go
@@ -10,84 +10,87 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// roomSteps are the rooms for requests of usual size that are weighed against each other
-// for a layout, each about a fifth larger than the one before.
-var roomSteps = [...]int{4, 8, 12, 16, 20, 24, 29, 35, 42, 50, 60, 72, 86, 103, 124, 149, 179}
+// capacitySteps are the request capacities that are compared for a new layout, in requests of
+// typical size. Each is about a fifth larger than the one before.
+var capacitySteps = [...]int{4, 8, 12, 16, 20, 24, 29, 35, 42, 50, 60, 72, 86, 103, 124, 149, 179}
 
-// layOut lays a pool that holds nothing out in the way that is worth most.
+// layOut assigns layers to the engines of an empty pool in the layout with the highest score.
 func (p *pool) layOut() []Reassignment {
-	target, _ := p.target()
-	return p.movesTo(target)
+	layout, _ := p.bestLayout()
+	return p.reassignmentsTo(layout)
 }
 
-// target returns the layout that is worth most, and what it is worth: of the layouts
-// with each room for requests, the fastest or the largest engines first. Engines stand in
-// it in the order in which they hold layers now, so that few have to be loaded.
-func (p *pool) target() (*pool, float64) {
-	best, most := p, math.Inf(-1)
-	largest, fastest := p.empty(false), p.empty(true)
-	for _, room := range roomSteps {
+// bestLayout returns the layout with the highest score, and that score. It compares the layouts of
+// each capacity step, with the fastest and with the largest engines first. The engines of the first
+// replica keep the order of the layers that they hold now, so that few layers have to be loaded.
+func (p *pool) bestLayout() (*pool, float64) {
+	layout, highest := p, math.Inf(-1)
+	largest, fastest := p.withoutAssignments(false), p.withoutAssignments(true)
+	for _, capacity := range capacitySteps {
 		for _, empty := range []*pool{fastest, largest} {
-			t := empty.anew(room)
-			if w := t.worth(); w > most {
-				best, most = t, w
+			t := empty.buildLayout(capacity)
+			if score := t.score(); score > highest {
+				layout, highest = t, score
 			}
 		}
 	}
-	return best, most
+	return layout, highest
 }
 
-// empty returns the pool as if no engine held anything, the fastest or the largest first.
-func (p *pool) empty(fastest bool) *pool {
-	t := &pool{facts: p.facts, layers: p.layers, fastest: fastest, cover: make([]int, p.layers), served: p.served, weighed: p.weighing()}
+// withoutAssignments returns the pool as if no engine held anything, sorted by speed or by memory.
+func (p *pool) withoutAssignments(fastest bool) *pool {
+	t := &pool{facts: p.facts, layers: p.layers, fastestFirst: fastest, holders: make([]int, p.layers), servingHolders: p.servingHolders, evaluator: p.sharedEvaluator()}
 	t.engines = slices.Clone(p.engines)
-	t.order()
+	t.sortEngines()
 	for i := range t.engines {
 		m := &t.engines[i]
-		m.held = m.span
+		m.previous = m.span
 		m.span = protocol.Span{}
 	}
-	t.regroup()
+	t.rebuildGroups()
 	return t
 }
 
-// anew returns a layout of an empty pool in which each engine keeps that room.
-func (p *pool) anew(room int) *pool {
-	t := p.copy()
+// buildLayout returns a layout of an empty pool in which each engine has that request capacity.
+func (p *pool) buildLayout(capacity int) *pool {
+	t := p.clone()
 	for i := range t.engines {
 		m := &t.engines[i]
-		m.capacity = p.fitting(m.memoryMB, room)
+		m.capacity = p.layerCapacity(m.memoryMB, capacity)
 	}
-	t.firstCopy()
-	t.addCopies()
+	t.assignFirstReplica()
+	t.addReplicas()
 	return t
 }
 
-// firstCopy gives every layer to one engine.
-func (p *pool) firstCopy() {
-	chosen := p.chain()
-	slices.SortStableFunc(chosen, func(a, b *member) int { return cmp.Compare(a.held.From+a.held.To, b.held.From+b.held.To) })
-	at := 0
-	for _, m := range chosen {
-		span := protocol.Span{From: at, To: min(p.layers, at+m.capacity)}
-		p.hold(m, span)
-		at = span.To
+// assignFirstReplica assigns every layer to one engine.
+func (p *pool) assignFirstReplica() {
+	engines := p.firstReplicaEngines()
+	slices.SortStableFunc(engines, func(a, b *member) int {
+		return cmp.Compare(a.previous.From+a.previous.To, b.previous.From+b.previous.To)
+	})
+	from := 0
+	for _, m := range engines {
+		span := protocol.Span{From: from, To: min(p.layers, from+m.capacity)}
+		p.assign(m, span)
+		from = span.To
 	}
 }
 
-// chain returns engines that hold a copy together, the best first; of those as good as
-// the last the smallest that does. It lowers the capacity of the last to what is needed.
-func (p *pool) chain() []*member {
+// firstReplicaEngines returns engines that hold a replica together, the best ones first. The last
+// is the smallest engine that holds the remaining layers, among equally fast ones if speed comes
+// first. Its capacity is lowered to what is needed.
+func (p *pool) firstReplicaEngines() []*member {
 	var chosen []*member
 	left := p.layers
 	for left > 0 {
 		var next *member
 		for i := range p.engines {
 			m := &p.engines[i]
-			if m.capacity == 0 || m.chained {
+			if m.capacity == 0 || m.inFirstReplica {
 				continue
 			}
-			if next == nil || m.capacity >= left && (!p.fastest || m.step == next.step) {
+			if next == nil || m.capacity >= left && (!p.fastestFirst || m.stepFactor == next.stepFactor) {
 				next = m
 			}
 		}
@@ -95,48 +98,48 @@
 			return chosen
 		}
 		next.capacity = min(next.capacity, left)
-		next.chained = true
+		next.inFirstReplica = true
 		left -= next.capacity
 		chosen = append(chosen, next)
 	}
 	return chosen
 }
 
-// movesTo returns the moves that bring the pool to a layout, and notes them.
-func (p *pool) movesTo(target *pool) []Reassignment {
-	var moves []Reassignment
+// reassignmentsTo returns the reassignments that turn the pool into a layout, and applies them.
+func (p *pool) reassignmentsTo(layout *pool) []Reassignment {
+	var reassignments []Reassignment
 	for i := range p.engines {
 		m := &p.engines[i]
-		span := target.member(m.id).span
+		span := layout.member(m.id).span
 		if span == m.span || span.Layers() == 0 {
 			continue
 		}
-		moves = append(moves, Reassignment{engine: m.id, span: span, reason: reasonOf(m.span, span)})
-		p.set(m, span)
+		reassignments = append(reassignments, Reassignment{engine: m.id, span: span, reason: reasonOf(m.span, span)})
+		p.reassign(m, span)
 	}
-	return moves
+	return reassignments
 }
 
-// copy returns a pool whose engines can be moved without moving those of p.
-func (p *pool) copy() *pool {
+// clone returns a copy of the pool whose engines can be reassigned without a change to p.
+func (p *pool) clone() *pool {
 	t := *p
 	t.engines = slices.Clone(p.engines)
 	t.groups = slices.Clone(p.groups)
-	t.cover = slices.Clone(p.cover)
+	t.holders = slices.Clone(p.holders)
 	return &t
 }
 
-// member returns an engine of the pool.
+// member returns the engine of the pool with an ID, or nil.
 func (p *pool) member(id string) *member {
-	if p.places == nil {
-		p.places = make(map[string]int, len(p.engines))
+	if p.indexByID == nil {
+		p.indexByID = make(map[string]int, len(p.engines))
 		for i := range p.engines {
-			p.places[p.engines[i].id] = i
+			p.indexByID[p.engines[i].id] = i
 		}
 	}
-	at, there := p.places[id]
-	if !there {
+	i, ok := p.indexByID[id]
+	if !ok {
 		return nil
 	}
-	return &p.engines[at]
+	return &p.engines[i]
 }
--- a/coordination/placement/place_test.go
+++ b/coordination/placement/placement_test.go
@@ -15,7 +15,7 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// facts are those of today's deployments: 80 layers of 1,750 MB on four kinds of
+// facts returns the figures of a typical deployment: 80 layers of 1,750 MB on four kinds of
 // accelerators.
 func facts() *protocol.EngineFacts {
 	return &protocol.EngineFacts{
@@ -31,12 +31,12 @@
 }
 
 func fleet(counts map[string][4]int) []placement.Engine {
-	kinds := [4]string{"h100", "a100s", "l4", "t4"}
+	accelerators := [4]string{"h100", "a100s", "l4", "t4"}
 	var all []placement.Engine
 	for center, c := range counts {
 		for k, n := range c {
 			for i := range n {
-				all = append(all, placement.Engine{ID: fmt.Sprintf("%s-%s-%d", center, kinds[k], i), DataCenter: center, Accelerator: kinds[k]})
+				all = append(all, placement.Engine{ID: fmt.Sprintf("%s-%s-%d", center, accelerators[k], i), DataCenter: center, Accelerator: accelerators[k]})
 			}
 		}
 	}
@@ -44,24 +44,24 @@
 	return all
 }
 
-// holdsACopy reports whether a data center's engines can hold the whole model with
-// the least room, as place itself asks before it gives it a copy of its own.
-func holdsACopy(f *protocol.EngineFacts, engines []placement.Engine, center string) bool {
-	const leastRequests = 4
+// fitsModel reports whether the engines of a data center can hold the complete model with the
+// smallest request capacity. Only then does the data center get a replica of its own.
+func fitsModel(f *protocol.EngineFacts, engines []placement.Engine, center string) bool {
+	const minRequestCapacity = 4
 	sum := 0
 	for _, e := range engines {
 		if a, ok := f.Accelerator(e.Accelerator); ok && e.DataCenter == center && !e.Leaving {
-			sum += placement.LayerCapacity(f, a.MemoryMB, float64((f.UsualPrompt+f.UsualAnswer)*leastRequests))
+			sum += placement.LayerCapacity(f, a.MemoryMB, float64((f.UsualPrompt+f.UsualAnswer)*minRequestCapacity))
 		}
 	}
 	return sum >= f.Layers
 }
 
-// held returns how many engines hold each layer of each copy: in data centers that
-// are both too small for a copy, a copy's layers may be held in either.
-func held(f *protocol.EngineFacts, engines []placement.Engine) []int {
+// holdersOfReplicas returns how many engines hold each layer of each replica. If both data centers
+// are too small for a replica of their own, either may hold the layers of the common one.
+func holdersOfReplicas(f *protocol.EngineFacts, engines []placement.Engine) []int {
 	a, b := holders(f, engines, "a"), holders(f, engines, "b")
-	if holdsACopy(f, engines, "a") || holdsACopy(f, engines, "b") {
+	if fitsModel(f, engines, "a") || fitsModel(f, engines, "b") {
 		return append(a, b...)
 	}
 	for l := range a {
@@ -70,14 +70,14 @@
 	return a
 }
 
-// holed reports whether the copy that a layer belongs to has a layer without a holder.
-func holed(f *protocol.EngineFacts, held []int, l int) bool {
+// hasGap reports whether the replica that a layer belongs to has a layer without a holder.
+func hasGap(f *protocol.EngineFacts, counts []int, l int) bool {
 	first := l - l%f.Layers
-	return slices.Contains(held[first:first+f.Layers], 0)
+	return slices.Contains(counts[first:first+f.Layers], 0)
 }
 
-// in returns the engines of a data center.
-func in(engines []placement.Engine, center string) []placement.Engine {
+// inDataCenter returns the engines of a data center.
+func inDataCenter(engines []placement.Engine, center string) []placement.Engine {
 	var all []placement.Engine
 	for _, e := range engines {
 		if e.DataCenter == center {
@@ -87,17 +87,17 @@
 	return all
 }
 
-func today() []placement.Engine {
+func typicalFleet() []placement.Engine {
 	return fleet(map[string][4]int{"a": {0, 2, 4, 7}, "b": {1, 1, 5, 7}, "c": {0, 1, 8, 3}})
 }
 
-// apply carries the moves out.
-func apply(engines []placement.Engine, moves []placement.Reassignment) {
-	for _, m := range moves {
+// apply carries out the reassignments.
+func apply(engines []placement.Engine, reassignments []placement.Reassignment) {
+	for _, r := range reassignments {
 		for i := range engines {
-			if engines[i].ID == m.Engine() {
-				engines[i].Held = m.Span()
-				engines[i].Serving = m.Span()
+			if engines[i].ID == r.Engine() {
+				engines[i].Held = r.Span()
+				engines[i].Serving = r.Span()
 			}
 		}
 	}
@@ -105,16 +105,16 @@
 
 // holders returns how many engines of a data center hold each layer.
 func holders(f *protocol.EngineFacts, engines []placement.Engine, center string) []int {
-	cover := make([]int, f.Layers)
+	counts := make([]int, f.Layers)
 	for _, e := range engines {
 		if e.DataCenter != center || e.Leaving {
 			continue
 		}
 		for l := e.Held.From; l < e.Held.To; l++ {
-			cover[l]++
+			counts[l]++
 		}
 	}
-	return cover
+	return counts
 }
 
 func requireFits(t require.TestingT, f *protocol.EngineFacts, engines []placement.Engine) {
@@ -126,8 +126,8 @@
 	}
 }
 
-func TestEveryDataCenterOfTodayGetsAWholeCopy(t *testing.T) {
-	f, engines := facts(), today()
+func TestEveryDataCenterGetsCompleteReplica(t *testing.T) {
+	f, engines := facts(), typicalFleet()
 	apply(engines, placement.Plan(placement.Query{Facts: f, Engines: engines}))
 	requireFits(t, f, engines)
 	for _, c := range []string{"a", "b", "c"} {
@@ -135,63 +135,64 @@
 			require.Positive(t, n, "%s has no holder of layer %d", c, l)
 		}
 	}
-	// Layouts of 1.3 copies with the largest engines first, weighed alike: 34.5, 58.3 and
-	// 28.7 requests a second.
-	for c, least := range map[string]float64{"a": 34.5, "b": 58.3, "c": 28.7} {
-		w := placement.Evaluate(f, in(engines, c))
-		require.Greater(t, w.RequestsPerSecond(), least, "%s: room for %.0f requests of %.1f s", c, w.Capacity(), w.RequestSeconds())
+	// Layouts of 1.3 replicas with the largest engines first serve 34.5, 58.3 and 28.7 requests a
+	// second by the same evaluation.
+	for c, minimum := range map[string]float64{"a": 34.5, "b": 58.3, "c": 28.7} {
+		e := placement.Evaluate(f, inDataCenter(engines, c))
+		require.Greater(t, e.RequestsPerSecond(), minimum, "%s: capacity for %.0f requests of %.1f s", c, e.Capacity(), e.RequestSeconds())
 	}
 	require.Empty(t, placement.Plan(placement.Query{Facts: f, Engines: engines}), "nothing is left to do")
 }
 
-func TestALossIsMendedWithFewMovesAndWithoutMovingWhatIsNeeded(t *testing.T) {
+func TestLossIsRepairedWithoutMovingNeededLayers(t *testing.T) {
 	f := facts()
-	for lost := range today() {
-		engines := today()
+	for lost := range typicalFleet() {
+		engines := typicalFleet()
 		apply(engines, placement.Plan(placement.Query{Facts: f, Engines: engines}))
-		center := engines[lost].DataCenter
+		dataCenter := engines[lost].DataCenter
 		engines = append(engines[:lost:lost], engines[lost+1:]...)
-		before := holders(f, engines, center)
-		moves := placement.Plan(placement.Query{Facts: f, Engines: engines})
-		hole := slices.Contains(before, 0)
-		if !hole {
-			require.LessOrEqual(t, len(moves), 1, "without a hole only what makes the layout better")
+		before := holders(f, engines, dataCenter)
+		reassignments := placement.Plan(placement.Query{Facts: f, Engines: engines})
+		gap := slices.Contains(before, 0)
+		if !gap {
+			require.LessOrEqual(t, len(reassignments), 1, "without a gap there is at most one improvement")
 		}
-		for _, m := range moves {
-			if hole && m.Interrupts() {
-				continue // the data center serves nothing until the hole is filled
+		for _, r := range reassignments {
+			if gap && r.Interrupts() {
+				continue // the data center serves nothing until the gap is filled
 			}
 			for _, e := range engines {
-				if e.ID != m.Engine() {
+				if e.ID != r.Engine() {
 					continue
 				}
 				for l := e.Held.From; l < e.Held.To; l++ {
-					kept := l >= m.Span().From && l < m.Span().To
+					kept := l >= r.Span().From && l < r.Span().To
 					require.True(t, kept || before[l] > 1, "layer %d loses its last holder", l)
 				}
 			}
 		}
-		apply(engines, moves)
+		apply(engines, reassignments)
 		requireFits(t, f, engines)
-		for l, n := range holders(f, engines, center) {
+		for l, n := range holders(f, engines, dataCenter) {
 			require.Positive(t, n, "layer %d after the loss of engine %d", l, lost)
 		}
 	}
 }
 
-func TestARestartedEngineIsGivenLayersAgain(t *testing.T) {
-	f, engines := facts(), today()
+func TestRestartedEngineGetsLayers(t *testing.T) {
+	f, engines := facts(), typicalFleet()
 	apply(engines, placement.Plan(placement.Query{Facts: f, Engines: engines}))
 	engines[3].Held, engines[3].Serving = protocol.Span{}, protocol.Span{}
-	moves := placement.Plan(placement.Query{Facts: f, Engines: engines})
-	require.NotEmpty(t, moves)
-	apply(engines, moves)
+	reassignments := placement.Plan(placement.Query{Facts: f, Engines: engines})
+	require.NotEmpty(t, reassignments)
+	apply(engines, reassignments)
 	require.Positive(t, engines[3].Held.Layers())
 }
 
-// TestAnEngineIsNotMovedForOneThatIsStillLoading leaves a hole, one engine whose
-// layers another was only ordered to hold, and nobody else who could fill it.
-func TestAnEngineIsNotMovedForOneThatIsStillLoading(t *testing.T) {
+// TestEngineKeepsLayersUntilOtherHolderServes has a gap and an engine whose layers another engine
+// was only ordered to hold. No third engine can fill the gap. If the engine were reassigned at
+// once, its layers would have no holder until the other engine has loaded them.
+func TestEngineKeepsLayersUntilOtherHolderServes(t *testing.T) {
 	f := facts()
 	f.Layers = 12
 	span := func(from, to int) protocol.Span { return protocol.Span{From: from, To: to} }
@@ -199,46 +200,46 @@
 		{ID: "serves", DataCenter: "a", Accelerator: "t4", Held: span(0, 8), Serving: span(0, 8)},
 		{ID: "loads", DataCenter: "a", Accelerator: "t4", Held: span(0, 8)},
 	}
-	require.Empty(t, placement.Plan(placement.Query{Facts: f, Engines: engines}), "the layers would have no holder until the other has loaded them")
+	require.Empty(t, placement.Plan(placement.Query{Facts: f, Engines: engines}), "the layers would have no holder until the other engine has loaded them")
 	engines[1].Serving = span(0, 8)
-	moves := placement.Plan(placement.Query{Facts: f, Engines: engines})
-	require.NotEmpty(t, moves)
-	apply(engines, moves)
+	reassignments := placement.Plan(placement.Query{Facts: f, Engines: engines})
+	require.NotEmpty(t, reassignments)
+	apply(engines, reassignments)
 	for l, n := range holders(f, engines, "a") {
 		require.Positive(t, n, "layer %d", l)
 	}
-	for _, m := range moves {
-		require.Equal(t, placement.ReasonShift, m.Reason())
+	for _, r := range reassignments {
+		require.Equal(t, placement.ReasonShift, r.Reason())
 	}
 }
 
-// TestASpareEngineFillsAHoleWhole plays the loss that left a data center of Kovács with
-// one engine of ten layers and little room: the engines beside the hole each took a
-// layer or two, although others held only what another held too.
-func TestASpareEngineFillsAHoleWhole(t *testing.T) {
+// TestSpareEnginesFillGap guards against a repair that takes the wrong engines. After a loss the
+// engines beside the gap each took one or two layers, although other engines held only layers that
+// had another holder. One engine was left with ten layers and little request capacity.
+func TestSpareEnginesFillGap(t *testing.T) {
 	f := facts()
-	span := func(id, kind string, from, to int) placement.Engine {
+	engine := func(id, accelerator string, from, to int) placement.Engine {
 		s := protocol.Span{From: from, To: to}
-		return placement.Engine{ID: id, DataCenter: "c", Accelerator: kind, Held: s, Serving: s}
+		return placement.Engine{ID: id, DataCenter: "c", Accelerator: accelerator, Held: s, Serving: s}
 	}
 	engines := []placement.Engine{
-		span("a", "a100s", 0, 15), span("b", "t4", 0, 6), span("c", "t4", 6, 12), span("d", "l4", 15, 24), span("e", "l4", 15, 24),
-		span("g", "l4", 33, 42), span("h", "l4", 42, 51), span("i", "l4", 51, 60), span("j", "l4", 60, 69), span("k", "l4", 69, 78),
-		span("l", "t4", 78, 80),
+		engine("a", "a100s", 0, 15), engine("b", "t4", 0, 6), engine("c", "t4", 6, 12), engine("d", "l4", 15, 24), engine("e", "l4", 15, 24),
+		engine("g", "l4", 33, 42), engine("h", "l4", 42, 51), engine("i", "l4", 51, 60), engine("j", "l4", 60, 69), engine("k", "l4", 69, 78),
+		engine("l", "t4", 78, 80),
 	}
-	moves := placement.Plan(placement.Query{Facts: f, Engines: engines})
+	reassignments := placement.Plan(placement.Query{Facts: f, Engines: engines})
 	filled := 0
-	for _, m := range moves {
-		require.Contains(t, []string{"b", "c", "d", "e"}, m.Engine(), "only engines whose layers others hold too")
-		require.Equal(t, placement.ReasonShift, m.Reason())
-		require.True(t, m.Interrupts(), "waiting for what passes takes as long as the longest stream")
-		require.True(t, m.Span().From >= 24 && m.Span().To <= 33)
-		filled += m.Span().Layers()
+	for _, r := range reassignments {
+		require.Contains(t, []string{"b", "c", "d", "e"}, r.Engine(), "only engines whose layers have other holders")
+		require.Equal(t, placement.ReasonShift, r.Reason())
+		require.True(t, r.Interrupts(), "waiting for the running requests takes as long as the longest stream")
+		require.True(t, r.Span().From >= 24 && r.Span().To <= 33)
+		filled += r.Span().Layers()
 	}
 	require.Equal(t, 9, filled, "each layer once")
 }
 
-func TestSmallDataCentersHoldACopyTogether(t *testing.T) {
+func TestSmallDataCentersShareReplica(t *testing.T) {
 	f := facts()
 	engines := fleet(map[string][4]int{"a": {0, 0, 4, 0}, "b": {0, 0, 5, 0}})
 	apply(engines, placement.Plan(placement.Query{Facts: f, Engines: engines}))
@@ -248,8 +249,8 @@
 	}
 }
 
-// TestPlanOnAnyFleet draws fleets with any part already held: no engine is ever
-// ordered beyond its memory, no last holder gives a layer up, and plans end.
+// TestPlanOnAnyFleet draws fleets that hold any part of the model. No engine is ordered to hold
+// more than its memory allows, no last holder gives a layer up, and the plans come to an end.
 func TestPlanOnAnyFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := facts()
@@ -266,25 +267,25 @@
 			}
 			engines[i].Leaving = rapid.IntRange(0, 9).Draw(t, "leaving") == 0
 		}
-		for range 200 { // an improvement a plan
-			before := held(f, engines)
-			moves := placement.Plan(placement.Query{Facts: f, Engines: engines})
-			if len(moves) == 0 {
+		for range 200 { // each plan holds at most one improvement
+			before := holdersOfReplicas(f, engines)
+			reassignments := placement.Plan(placement.Query{Facts: f, Engines: engines})
+			if len(reassignments) == 0 {
 				return
 			}
-			apply(engines, moves)
+			apply(engines, reassignments)
 			requireFits(t, f, engines)
-			for l, n := range held(f, engines) {
-				require.False(t, before[l] > 0 && n == 0 && !holed(f, before, l), "layer %d of %d lost its last holder", l%f.Layers, f.Layers)
+			for l, n := range holdersOfReplicas(f, engines) {
+				require.False(t, before[l] > 0 && n == 0 && !hasGap(f, before, l), "layer %d of %d lost its last holder", l%f.Layers, f.Layers)
 			}
 		}
 		t.Fatalf("plans never end: %v", placement.Plan(placement.Query{Facts: f, Engines: engines}))
 	})
 }
 
-// TestTheSameQueryHasTheSameAnswer draws fleets: an answer may be kept for as long as the
-// query stays the same, and each thing that it depends on makes another one.
-func TestTheSameQueryHasTheSameAnswer(t *testing.T) {
+// TestEqualQueriesHaveSamePlan draws fleets. A plan can be reused for as long as the query stays
+// equal, and each input that the plan depends on makes the query differ.
+func TestEqualQueriesHaveSamePlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := facts()
 		draw := func() []placement.Engine {
@@ -297,12 +298,12 @@
 		}
 		one := placement.Query{Facts: f, Engines: draw(), Urgent: rapid.Bool().Draw(t, "urgent")}
 		two := placement.Query{Facts: f, Engines: draw(), Urgent: rapid.Bool().Draw(t, "urgent")}
-		kept := slices.Clone(one.Engines)
-		answer := placement.Plan(one)
-		require.Equal(t, kept, one.Engines, "a plan changes nothing of its query")
-		require.Equal(t, answer, placement.Plan(one))
+		engines := slices.Clone(one.Engines)
+		plan := placement.Plan(one)
+		require.Equal(t, engines, one.Engines, "a plan changes nothing of its query")
+		require.Equal(t, plan, placement.Plan(one))
 		if one.Equal(&two) {
-			require.Equal(t, answer, placement.Plan(two))
+			require.Equal(t, plan, placement.Plan(two))
 		}
 		other := one
 		other.Facts = facts()
@@ -318,8 +319,8 @@
 	})
 }
 
-// BenchmarkReplan finds that nothing has changed since the last plan, in place of working
-// out an urgent one: 30 us, 2.3 and 1.9 ms at 52, 195 and 598 engines of a data center
+// BenchmarkReplan measures the comparison with the previous query, which replaces the computation
+// of an urgent plan: 30 us, 2.3 and 1.9 ms at 52, 195 and 598 engines of a data center
 // (BenchmarkImprove), some of which hold nothing.
 func BenchmarkReplan(b *testing.B) {
 	for _, n := range []int{4, 15, 46} {
@@ -355,9 +356,10 @@
 	}
 }
 
-// BenchmarkImprove plans for data centers that are laid out: with improvements, as after a
-// change, and urgent moves only, as at all other times. Weighed engine by engine an
-// improvement took 34, 136 and 895 ms at 52, 195 and 598 engines, over groups 17, 3 and 8.
+// BenchmarkImprove plans for data centers that have a layout: with improvements, as after a change,
+// and with urgent reassignments only, as at all other times. Evaluated engine by engine an
+// improvement took 34, 136 and 895 ms at 52, 195 and 598 engines, evaluated over groups 17, 3 and 8
+// ms.
 func BenchmarkImprove(b *testing.B) {
 	for _, n := range []int{1, 2, 4, 15, 46} {
 		engines := fleet(map[string][4]int{"a": {0, 2 * n, 4 * n, 7 * n}})
--- a/coordination/placement/pool.go
+++ b/coordination/placement/pool.go
@@ -9,40 +9,40 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// leastRequests is the room below which a data center rather does without a copy of its
-// own.
-const leastRequests = 4
+// minRequestCapacity is the smallest request capacity with which a data center gets a replica of
+// its own.
+const minRequestCapacity = 4
 
-// pool is the engines that hold copies together: those of one data center, or
-// those of all data centers that are too small for a copy of their own.
+// pool is a set of engines that hold replicas of the model together: the engines of one data
+// center, or those of all data centers that are too small for a replica of their own.
 type pool struct {
-	facts   *protocol.EngineFacts
-	layers  int
-	fastest bool // the fastest engines come first, not the largest
-	engines []member
-	groups  []group        // the engines, those alike together
-	places  map[string]int // where an engine stands among them, by ID, nil until asked
-	cover   []int          // holders of each layer
-	served  []int          // those of them that are known to hold it now
-	weighed *weighing
+	facts          *protocol.EngineFacts
+	layers         int
+	fastestFirst   bool // sort engines by speed, not by memory
+	engines        []member
+	groups         []group        // the engines by accelerator and span, in order
+	indexByID      map[string]int // position in engines by ID, nil until it is needed
+	holders        []int          // number of engines that hold each layer
+	servingHolders []int          // number of engines that are known to serve each layer
+	evaluator      *evaluator
 }
 
-// member is an engine with the layers that it may hold and does hold.
+// member is an engine of a pool, with the layers that it can hold and does hold.
 type member struct {
-	id       string
-	kind     int // the accelerator's place among the facts'
-	memoryMB float64
-	step     float64       // how many times longer than on the fastest a step takes
-	capacity int           // layers that it holds in a new layout
-	chained  bool          // it stands in the first copy of a new layout
-	held     protocol.Span // what it held before a new layout
-	span     protocol.Span
-	serving  protocol.Span
-	slow     bool
-	moved    bool // the plan has a move for it
+	id             string
+	accelerator    int // index in the accelerators of the facts
+	memoryMB       float64
+	stepFactor     float64       // duration of a step relative to the fastest accelerator
+	capacity       int           // layers that it can hold in a new layout
+	inFirstReplica bool          // it is part of the first replica of a new layout
+	previous       protocol.Span // what it held before the new layout
+	span           protocol.Span
+	serving        protocol.Span
+	slow           bool
+	reassigned     bool // the plan reassigns it
 }
 
-// pools groups the engines.
+// pools groups the engines of a query that are not leaving into pools.
 func pools(q Query) []*pool {
 	byCenter := map[string][]Engine{}
 	var centers []string
@@ -60,23 +60,23 @@
 	var small []Engine
 	for _, c := range centers {
 		p := newPool(q.Facts, byCenter[c])
-		if !p.holdsCopy() {
+		if !p.fitsModel() {
 			small = append(small, byCenter[c]...)
 			continue
 		}
 		all = append(all, p)
 	}
-	if p := newPool(q.Facts, small); p.holdsCopy() {
+	if p := newPool(q.Facts, small); p.fitsModel() {
 		all = append(all, p)
 	}
 	return all
 }
 
-// newPool returns the pool of some engines with what they hold. Engines of unknown
-// accelerators are left out.
+// newPool returns a pool of the engines with the layers that they hold. It skips engines whose
+// accelerator is unknown.
 func newPool(f *protocol.EngineFacts, engines []Engine) *pool {
 	p := &pool{
-		facts: f, layers: f.Layers, cover: make([]int, f.Layers), served: make([]int, f.Layers),
+		facts: f, layers: f.Layers, holders: make([]int, f.Layers), servingHolders: make([]int, f.Layers),
 		engines: make([]member, 0, len(engines)),
 	}
 	for _, e := range engines {
@@ -86,79 +86,80 @@
 		}
 		a := &f.Accelerators[k]
 		p.engines = append(p.engines, member{
-			id: e.ID, kind: k, memoryMB: a.MemoryMB, step: a.StepFactor, span: e.Held, serving: e.Serving, slow: e.Slow,
+			id: e.ID, accelerator: k, memoryMB: a.MemoryMB, stepFactor: a.StepFactor, span: e.Held, serving: e.Serving, slow: e.Slow,
 		})
 	}
-	p.order()
-	p.regroup()
+	p.sortEngines()
+	p.rebuildGroups()
 	for i := range p.engines {
-		p.count(p.cover, p.engines[i].span, 1)
-		p.count(p.served, p.engines[i].serving, 1)
+		p.addHolders(p.holders, p.engines[i].span, 1)
+		p.addHolders(p.servingHolders, p.engines[i].serving, 1)
 	}
 	return p
 }
 
-// holdsCopy reports whether the engines can hold the whole model with some room.
-func (p *pool) holdsCopy() bool {
+// fitsModel reports whether the engines can hold the complete model with at least
+// minRequestCapacity.
+func (p *pool) fitsModel() bool {
 	sum := 0
 	for i := range p.engines {
-		sum += p.fitting(p.engines[i].memoryMB, leastRequests)
+		sum += p.layerCapacity(p.engines[i].memoryMB, minRequestCapacity)
 	}
 	return sum >= p.layers && p.layers > 0
 }
 
-// fitting returns how many layers an engine of so much memory holds beside room for so
-// many requests.
-func (p *pool) fitting(memoryMB float64, requests int) int {
+// layerCapacity returns how many layers an engine with that much memory can hold beside the KV
+// cache of that many requests of typical size.
+func (p *pool) layerCapacity(memoryMB float64, requests int) int {
 	return LayerCapacity(p.facts, memoryMB, float64((p.facts.UsualPrompt+p.facts.UsualAnswer)*requests))
 }
 
-// bare reports whether no engine holds or loads anything.
-func (p *pool) bare() bool {
+// empty reports whether no engine holds or loads any layer.
+func (p *pool) empty() bool {
 	return !slices.ContainsFunc(p.engines, func(m member) bool { return m.span.Layers() > 0 || m.serving.Layers() > 0 })
 }
 
-// order puts the fastest or the largest engines first, so that a copy takes little time
-// or has few stages.
-func (p *pool) order() {
+// sortEngines puts the fastest or the largest engines first, so that a pass through a replica takes
+// little time or a replica has few stages.
+func (p *pool) sortEngines() {
 	slices.SortFunc(p.engines, func(a, b member) int {
-		if p.fastest && a.step != b.step {
-			return cmp.Compare(a.step, b.step)
+		if p.fastestFirst && a.stepFactor != b.stepFactor {
+			return cmp.Compare(a.stepFactor, b.stepFactor)
 		}
 		return cmp.Or(cmp.Compare(b.memoryMB, a.memoryMB), cmp.Compare(a.id, b.id))
 	})
 }
 
-// count adds to the holders of each layer of a span.
-func (p *pool) count(holders []int, s protocol.Span, by int) {
+// addHolders adds a number to the holders of each layer of a span.
+func (p *pool) addHolders(holders []int, s protocol.Span, n int) {
 	for l := max(0, s.From); l < min(s.To, p.layers); l++ {
-		holders[l] += by
+		holders[l] += n
 	}
 }
 
-// hold notes that an engine shall hold a span in place of what it holds.
-func (p *pool) hold(m *member, s protocol.Span) {
-	p.count(p.cover, m.span, -1)
-	p.leave(m)
+// assign replaces the span that an engine holds.
+func (p *pool) assign(m *member, s protocol.Span) {
+	p.addHolders(p.holders, m.span, -1)
+	p.removeFromGroup(m)
 	m.span = s
-	p.join(m)
-	p.count(p.cover, s, 1)
+	p.addToGroup(m)
+	p.addHolders(p.holders, s, 1)
 }
 
-// set is hold as a move of the plan.
-func (p *pool) set(m *member, s protocol.Span) {
-	p.hold(m, s)
-	m.moved = true
+// reassign assigns a span to an engine as part of the plan.
+func (p *pool) reassign(m *member, s protocol.Span) {
+	p.assign(m, s)
+	m.reassigned = true
 }
 
-// hole returns the first run of layers without a holder, empty if none.
-func (p *pool) hole() protocol.Span {
-	for l := range p.cover {
-		if p.cover[l] > 0 {
+// gap returns the first run of layers without a holder. It is empty if every layer has one.
+func (p *pool) gap() protocol.Span {
+	for l := range p.holders {
+		if p.holders[l] > 0 {
 			continue
 		}
 		end := l
-		for end < p.layers && p.cover[end] == 0 {
+		for end < p.layers && p.holders[end] == 0 {
 			end++
 		}
 		return protocol.Span{From: l, To: end}
@@ -166,31 +167,31 @@
 	return protocol.Span{}
 }
 
-// doubled reports whether every layer of a span has a further holder.
-func (p *pool) doubled(s protocol.Span) bool {
+// replicated reports whether every layer of a span has at least two holders.
+func (p *pool) replicated(s protocol.Span) bool {
 	for l := max(0, s.From); l < min(s.To, p.layers); l++ {
-		if p.cover[l] < 2 {
+		if p.holders[l] < 2 {
 			return false
 		}
 	}
 	return true
 }
 
-// boundaries returns the layers at which a span begins or ends, in order.
+// boundaries returns the layers at which some span begins or ends, in order.
 func (p *pool) boundaries() []int {
-	ends := make([]bool, p.layers+1)
-	ends[0], ends[p.layers] = true, true
+	isBoundary := make([]bool, p.layers+1)
+	isBoundary[0], isBoundary[p.layers] = true, true
 	for i := range p.groups {
 		if s := p.groups[i].span; s.Layers() > 0 {
-			ends[max(0, min(s.From, p.layers))] = true
-			ends[max(0, min(s.To, p.layers))] = true
+			isBoundary[max(0, min(s.From, p.layers))] = true
+			isBoundary[max(0, min(s.To, p.layers))] = true
 		}
 	}
-	var list []int
-	for l, is := range ends {
-		if is {
-			list = append(list, l)
+	var boundaries []int
+	for l, ok := range isBoundary {
+		if ok {
+			boundaries = append(boundaries, l)
 		}
 	}
-	return list
+	return boundaries
 }
--- a/coordination/placement/reference_test.go
+++ b/coordination/placement/reference_test.go
@@ -13,21 +13,21 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// reference weighs a layout engine by engine and layer by layer, as plainly as the terms in
-// worth.go say it.
+// reference scores a layout engine by engine and layer by layer, directly by the definitions in
+// score.go.
 type reference struct {
 	p *pool
 }
 
-func (r reference) room(m *member) float64 {
-	return r.p.weighing().roomOf(&group{memoryMB: m.memoryMB, span: m.span})
+func (r reference) engineCapacity(m *member) float64 {
+	return r.p.sharedEvaluator().engineCapacity(&group{memoryMB: m.memoryMB, span: m.span})
 }
 
-func (r reference) roomAt(l int, without *member) float64 {
+func (r reference) layerCapacity(l int, excluded *member) float64 {
 	sum := 0.0
 	for i := range r.p.engines {
-		if m := &r.p.engines[i]; m != without && l >= m.span.From && l < m.span.To {
-			sum += r.room(m)
+		if m := &r.p.engines[i]; m != excluded && l >= m.span.From && l < m.span.To {
+			sum += r.engineCapacity(m)
 		}
 	}
 	return sum
@@ -43,7 +43,7 @@
 	return n
 }
 
-func (r reference) doubled(m *member) bool {
+func (r reference) replicated(m *member) bool {
 	for l := m.span.From; l < m.span.To; l++ {
 		if r.holders(l) < 2 {
 			return false
@@ -52,49 +52,49 @@
 	return true
 }
 
-func (r reference) worth() float64 {
-	least := math.Inf(1)
+func (r reference) score() float64 {
+	capacity := math.Inf(1)
 	for l := range r.p.layers {
-		least = min(least, r.roomAt(l, nil))
+		capacity = min(capacity, r.layerCapacity(l, nil))
 	}
-	if least <= 0 {
+	if capacity <= 0 {
 		return math.Inf(-1)
 	}
-	seconds := r.p.weigh().seconds(least)
-	lost, sole := 0.0, 0.0
+	seconds := r.p.evaluate().requestSeconds(capacity)
+	afterLoss, soleHolders := 0.0, 0.0
 	for i := range r.p.engines {
-		lost += r.afterLoss(&r.p.engines[i], least, seconds)
-		if !r.doubled(&r.p.engines[i]) {
-			sole++
+		afterLoss += r.scoreAfterLoss(&r.p.engines[i], capacity, seconds)
+		if !r.replicated(&r.p.engines[i]) {
+			soleHolders++
 		}
 	}
-	return (1-lossWeight)*math.Log(least/seconds) + lossWeight*lost/float64(len(r.p.engines)) - soleWeight*sole
+	return (1-lossWeight)*math.Log(capacity/seconds) + lossWeight*afterLoss/float64(len(r.p.engines)) - soleHolderPenalty*soleHolders
 }
 
-func (r reference) afterLoss(m *member, least, seconds float64) float64 {
-	rest, hole := math.Inf(1), 0
+func (r reference) scoreAfterLoss(m *member, capacity, seconds float64) float64 {
+	remaining, uncovered := math.Inf(1), 0
 	for l := range r.p.layers {
 		if l >= m.span.From && l < m.span.To && r.holders(l) < 2 {
-			hole++
+			uncovered++
 			continue
 		}
-		rest = min(rest, r.roomAt(l, m))
+		remaining = min(remaining, r.layerCapacity(l, m))
 	}
-	if hole == 0 {
-		return math.Log(max(rest, 1) / seconds)
+	if uncovered == 0 {
+		return math.Log(max(remaining, 1) / seconds)
 	}
-	mended := min(rest, r.roomToMend(m, hole))
-	missed := (noticeSeconds + float64(hole)/float64(r.p.layers)*r.p.facts.LoadMS/1000/mendingEngines) / missedSeconds
-	return math.Log(max(mended*(1-min(mostMissed, missed)), least*(1-mostMissed)) / seconds)
+	repaired := min(remaining, r.repairCapacity(m, uncovered))
+	outage := (detectionSeconds + float64(uncovered)/float64(r.p.layers)*r.p.facts.LoadMS/1000/repairEngines) / outageWindowSeconds
+	return math.Log(max(repaired*(1-min(maxOutageShare, outage)), capacity*(1-maxOutageShare)) / seconds)
 }
 
-func (r reference) roomToMend(lost *member, hole int) float64 {
-	for i := len(roomSteps) - 1; i >= 0; i-- {
+func (r reference) repairCapacity(lost *member, uncovered int) float64 {
+	for i := len(capacitySteps) - 1; i >= 0; i-- {
 		spare, before, after := 0, 0, 0
 		for k := range r.p.engines {
 			m := &r.p.engines[k]
-			fits := r.p.fitting(m.memoryMB, roomSteps[i])
-			if r.doubled(m) {
+			fits := r.p.layerCapacity(m.memoryMB, capacitySteps[i])
+			if r.replicated(m) {
 				spare += fits
 			}
 			if m.span.Layers() == 0 {
@@ -107,16 +107,16 @@
 				after = max(after, fits-m.span.Layers())
 			}
 		}
-		if hole <= spare+before+after {
-			return float64(roomSteps[i])
+		if uncovered <= spare+before+after {
+			return float64(capacitySteps[i])
 		}
 	}
 	return 0
 }
 
-// TestGroupsWeighWhatTheirEnginesDo draws layouts, moves engines about, and holds what is
-// worked out over groups against what the engines give one by one.
-func TestGroupsWeighWhatTheirEnginesDo(t *testing.T) {
+// TestGroupScoreMatchesReference draws layouts and reassigns engines. The score that is computed
+// over groups must equal the score that the reference computes from the single engines.
+func TestGroupScoreMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &protocol.EngineFacts{
 			Layers: rapid.IntRange(2, 12).Draw(t, "layers"), LayerMB: 1750, TokenLayerMB: 0.007375, UsualPrompt: 733, UsualAnswer: 224,
@@ -140,13 +140,13 @@
 		}
 		p := newPool(f, engines)
 		for range rapid.IntRange(0, 3).Draw(t, "moves") {
-			p.hold(&p.engines[rapid.IntRange(0, len(engines)-1).Draw(t, "moved")], span("to"))
+			p.assign(&p.engines[rapid.IntRange(0, len(engines)-1).Draw(t, "moved")], span("to"))
 		}
-		want := reference{p: p}.worth()
+		want := reference{p: p}.score()
 		if math.IsInf(want, -1) {
-			require.True(t, math.IsInf(p.worth(), -1))
+			require.True(t, math.IsInf(p.score(), -1))
 			return
 		}
-		require.InDelta(t, want, p.worth(), 1e-9)
+		require.InDelta(t, want, p.score(), 1e-9)
 	})
 }
--- a/coordination/placement/worth_test.go
+++ b/coordination/placement/score_test.go
@@ -14,8 +14,8 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// slowLarge are facts of a deployment whose larger engines are not its faster ones.
-func slowLarge() *protocol.EngineFacts {
+// slowLargeFacts returns the figures of a deployment whose largest engines are not the fastest.
+func slowLargeFacts() *protocol.EngineFacts {
 	return &protocol.EngineFacts{
 		Layers: 80, LayerMB: 1750, TokenLayerMB: 0.007375, UsualPrompt: 733, UsualAnswer: 224,
 		StepMS: 1.02, SequenceMS: 0.00459, ReadPerSecond: 164_000, LoadMS: 14_000, LoadsAtOnce: 6,
@@ -27,22 +27,23 @@
 	}
 }
 
-// settle carries plans out until nothing is left to do.
+// settle applies plans until nothing is left to do.
 func settle(t require.TestingT, f *protocol.EngineFacts, engines []placement.Engine) {
 	for range 100 {
-		moves := placement.Plan(placement.Query{Facts: f, Engines: engines})
-		if len(moves) == 0 {
+		reassignments := placement.Plan(placement.Query{Facts: f, Engines: engines})
+		if len(reassignments) == 0 {
 			return
 		}
-		apply(engines, moves)
+		apply(engines, reassignments)
 	}
 	require.Fail(t, "plans never end")
 }
 
-// TestTheFasterEnginesCarryThePath: with the largest engines first and room for 103
-// requests each, weighed alike, the same engines serve 44.6, 25.1 and 30.3 a second.
-func TestTheFasterEnginesCarryThePath(t *testing.T) {
-	f := slowLarge()
+// TestFasterEnginesFormPath checks the throughput of the chosen layouts. With the largest engines
+// first and a capacity of 103 requests each, the same engines serve 44.6, 25.1 and 30.3 requests a
+// second by the same evaluation.
+func TestFasterEnginesFormPath(t *testing.T) {
+	f := slowLargeFacts()
 	for _, c := range []struct {
 		counts    [4]int
 		perSecond float64
@@ -54,29 +55,30 @@
 	}
 }
 
-// TestALargeEngineThatComesBackIsUsed plays the loss of one of two large engines and its
-// return: it once was given the one layer that was missing, for the rest of the day.
-func TestALargeEngineThatComesBackIsUsed(t *testing.T) {
-	f := slowLarge()
+// TestReturningLargeEngineIsUsed loses one of two large engines and brings it back. It guards
+// against a plan that gives the returning engine only the single layer that is missing, for the
+// rest of the day.
+func TestReturningLargeEngineIsUsed(t *testing.T) {
+	f := slowLargeFacts()
 	engines := fleet(map[string][4]int{"a": {2, 4, 4}})
 	settle(t, f, engines)
-	whole := placement.Evaluate(f, engines).RequestsPerSecond()
+	complete := placement.Evaluate(f, engines).RequestsPerSecond()
 	lost := slices.IndexFunc(engines, func(e placement.Engine) bool { return e.Accelerator == "h100" })
 	back := engines[lost]
 	rest := slices.Delete(slices.Clone(engines), lost, lost+1)
 	settle(t, f, rest)
-	require.Greater(t, placement.Evaluate(f, rest).RequestsPerSecond(), whole/4, "the others take its layers over")
+	require.Greater(t, placement.Evaluate(f, rest).RequestsPerSecond(), complete/4, "the others take its layers over")
 	back.Held, back.Serving = protocol.Span{}, protocol.Span{}
 	rest = append(rest, back)
 	settle(t, f, rest)
 	requireFits(t, f, rest)
 	require.Greater(t, rest[len(rest)-1].Held.Layers(), 15, "it holds a good part of the model")
-	require.Greater(t, placement.Evaluate(f, rest).RequestsPerSecond(), whole/2)
+	require.Greater(t, placement.Evaluate(f, rest).RequestsPerSecond(), complete/2)
 }
 
-// TestALayoutIsWorthMoreWithAFurtherHolder and nothing with a hole.
-func TestALayoutIsWorthMoreWithAFurtherHolder(t *testing.T) {
-	f := slowLarge()
+// TestFurtherHolderRaisesScore also checks that a layout with a gap has no throughput.
+func TestFurtherHolderRaisesScore(t *testing.T) {
+	f := slowLargeFacts()
 	f.Layers = 8
 	holds := func(id string, from, to int) placement.Engine {
 		s := protocol.Span{From: from, To: to}
@@ -85,16 +87,16 @@
 	single := []placement.Engine{holds("a", 0, 4), holds("b", 4, 8)}
 	double := append(slices.Clone(single), holds("c", 0, 4))
 	require.Greater(t, placement.Evaluate(f, double).Score(), placement.Evaluate(f, single).Score())
-	hole := placement.Evaluate(f, single[:1])
-	require.True(t, math.IsInf(hole.Score(), -1))
-	require.Zero(t, hole.RequestsPerSecond())
+	gap := placement.Evaluate(f, single[:1])
+	require.True(t, math.IsInf(gap.Score(), -1))
+	require.Zero(t, gap.RequestsPerSecond())
 }
 
-// TestImprovementsRaiseTheWorth draws layouts: each move that is only to improve one makes
-// it worth more, and an urgent plan has none of them.
-func TestImprovementsRaiseTheWorth(t *testing.T) {
+// TestImprovementsRaiseScore draws layouts. Each reassignment that only improves a layout raises
+// its score, and an urgent plan contains none.
+func TestImprovementsRaiseScore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := slowLarge()
+		f := slowLargeFacts()
 		f.Layers = rapid.IntRange(4, 30).Draw(t, "layers")
 		engines := fleet(map[string][4]int{"a": {1, rapid.IntRange(0, 4).Draw(t, "fast"), rapid.IntRange(1, 4).Draw(t, "slow")}})
 		for i := range engines {
@@ -103,16 +105,16 @@
 			engines[i].Serving = engines[i].Held
 		}
 		for range 100 {
-			moves := placement.Plan(placement.Query{Facts: f, Engines: engines})
-			if len(moves) == 0 {
+			reassignments := placement.Plan(placement.Query{Facts: f, Engines: engines})
+			if len(reassignments) == 0 {
 				return
 			}
 			before := placement.Evaluate(f, engines).Score()
-			improves := moves[0].Reason() == placement.ReasonImprove
+			improves := reassignments[0].Reason() == placement.ReasonImprove
 			if improves {
 				require.Empty(t, placement.Plan(placement.Query{Facts: f, Engines: engines, Urgent: true}))
 			}
-			apply(engines, moves)
+			apply(engines, reassignments)
 			if improves {
 				require.Greater(t, placement.Evaluate(f, engines).Score(), before)
 			}
