--- a/coordination/path/path.go
+++ b/coordination/path/path.go
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package path chooses the runners that a request goes through.
+// Package path chooses the runners that a request runs through.
 //
-// A path covers the layers [0, L) of a model without gap or overlap. Choose is
-// pure: it reads a view of the fleet and a time, and returns a typed decision.
+// A path covers the layers [0, L) of a model without gap or overlap. Choose is pure: it reads a
+// view of the fleet and a time, and returns a typed decision.
 //
-//	switch d := path.Choose(view.Model("fares"), path.Query{Now: now, Draw: draw}).(type) {
-//	case path.Found:
+//	switch d := path.Choose(view.Model("fares"), path.Query{Now: now, Rand: rnd}).(type) {
+//	case *path.Found:
 //		// d.Path() has one runner for each stage
 //	case path.Missing:
 //		// no usable runner holds layer d.Layer()
@@ -27,13 +27,13 @@
 	MaxStages = 32
 	// MaxLayers is the largest number of layers of a model.
 	MaxLayers = 256
-	// pledgeWeight is how many times the work that this entry's streams will
-	// still need at a runner counts as cost. A stream stays on its path, so a
-	// queue that is short now says too little.
-	pledgeWeight = 4.0
+	// backlogWeight is the weight of a runner's backlog, the work that this entry's streams will
+	// still need there, relative to its expected time. A stream stays on its path, so that a queue
+	// that is short now says too little about a runner.
+	backlogWeight = 4.0
 )
 
-// Path is one runner for each stage, in order of layers.
+// Path is a sequence of stages in the order of their layers, with one runner for each stage.
 type Path struct {
 	length  int
 	runners [MaxStages]*fleet.Runner
@@ -47,31 +47,30 @@
 // Runner returns the runner of a stage.
 func (p *Path) Runner(stage int) *fleet.Runner { return p.runners[stage] }
 
-// Span returns the layers that a stage runs: all that its runner holds, or a part
-// of them.
+// Span returns the layers that a stage runs: all layers that its runner holds, or a part of them.
 func (p *Path) Span(stage int) protocol.Span { return p.spans[stage] }
 
-// Cost returns the expected seconds for one pass through all stages.
+// Cost returns the expected seconds of one pass through all stages.
 func (p *Path) Cost() float64 { return p.cost }
 
 // Policy is a way to choose among the runners of a group.
 type Policy interface{ policy() }
 
-// LowestCost compares the runners of the entry's subset by their expected time. It is
-// the policy in use; the others are baselines.
+// LowestCost takes the runner of the entry's subset with the lowest expected time. It is the policy
+// in use, and the others are baselines.
 type LowestCost struct{}
 
-// LowestReportedLoad takes the runner with the least load as last reported.
+// LowestReportedLoad takes the runner with the lowest load in its last report.
 type LowestReportedLoad struct{}
 
 // RoundRobin takes the runners in turn.
 type RoundRobin struct{ Counter *uint64 }
 
-// Random takes any runner.
+// Random takes a random runner.
 type Random struct{}
 
-// FixedPipeline always takes the same runner of a group for the same chain number,
-// as a fixed pipeline does.
+// FixedPipeline takes the same runner of a group for the same value of Index, as a fixed pipeline
+// does.
 type FixedPipeline struct{ Index *uint64 }
 
 func (LowestCost) policy()         {}
@@ -80,13 +79,14 @@
 func (Random) policy()             {}
 func (FixedPipeline) policy()      {}
 
-// Query is what a choice depends on besides the fleet. Avoid lists runners that
-// have failed this request; they are taken only when nothing else holds a layer.
+// Query holds everything that a choice depends on besides the fleet. Avoid lists runners that have
+// failed this request. They are taken only if no other runner holds a layer.
 type Query struct {
-	Now       time.Time
+	Now time.Time
+	// Positions is how many tokens the runners have to process before the next token.
 	Positions int
-	// OutputTokens is how many tokens the request will write, and Sharers how many entries
-	// send to the same runners; Parts alone uses them.
+	// OutputTokens is how many tokens the request is expected to generate, and Entries is how many
+	// entries send to the same runners. Only ChooseSubspans and ReplaceStages use them.
 	OutputTokens int
 	Entries      float64
 	Rand         *rand.Rand
@@ -94,7 +94,7 @@
 	Policy       Policy
 }
 
-// Decision is either Found or Missing.
+// Decision is either *Found or Missing.
 type Decision interface{ decision() }
 
 // Found holds a complete path.
@@ -103,7 +103,7 @@
 // Path returns the path.
 func (f *Found) Path() *Path { return &f.path }
 
-// Missing says which layer no usable runner holds.
+// Missing holds a layer that no usable runner holds.
 type Missing struct{ layer int }
 
 // Layer returns the first layer that can't be reached.
@@ -112,8 +112,8 @@
 func (*Found) decision()  {}
 func (Missing) decision() {}
 
-// Choose returns the path with the least expected time over the entry's subset of
-// each group, or the first layer that can't be reached.
+// Choose returns the path with the lowest expected time over the entry's subset of each group, or
+// the first layer that can't be reached.
 func Choose(m *fleet.Model, q Query) Decision {
 	found := &Found{}
 	if missing := choose(m, &q, &found.path); missing >= 0 {
@@ -122,16 +122,18 @@
 	return found
 }
 
-// ChooseInto is Choose for hot paths: it fills p and returns -1, or returns the first
-// layer that can't be reached. It does not allocate.
+// ChooseInto is like Choose, but does not allocate. It fills p and returns -1, or returns the first
+// layer that can't be reached.
 func ChooseInto(m *fleet.Model, q *Query, p *Path) int { return choose(m, q, p) }
 
+// choose finds the cheapest path by dynamic programming over the layers at which groups begin and
+// end. It returns -1, or the first layer that can't be reached.
 func choose(m *fleet.Model, q *Query, p *Path) int {
 	if m == nil || m.Layers() <= 0 || m.Layers() > MaxLayers {
 		return 0
 	}
 	var best [MaxLayers + 1]float64
-	var via [MaxLayers + 1]*fleet.Runner
+	var runners [MaxLayers + 1]*fleet.Runner
 	for i := 1; i <= m.Layers(); i++ {
 		best[i] = math.Inf(1)
 	}
@@ -142,19 +144,20 @@
 		if !span.Valid(m.Layers()) || math.IsInf(best[span.From], 1) {
 			continue
 		}
-		r, cost := pick(g, q)
+		r, cost := pickFromGroup(g, q)
 		if r == nil || best[span.From]+cost >= best[span.To] {
 			continue
 		}
 		best[span.To] = best[span.From] + cost
-		via[span.To] = r
+		runners[span.To] = r
 	}
 	if math.IsInf(best[m.Layers()], 1) {
 		return furthest(&best, m.Layers())
 	}
-	return collect(&via, m.Layers(), best[m.Layers()], p)
+	return collect(&runners, m.Layers(), best[m.Layers()], p)
 }
 
+// furthest returns the last layer that a path reaches.
 func furthest(best *[MaxLayers + 1]float64, layers int) int {
 	for i := layers; i > 0; i-- {
 		if !math.IsInf(best[i], 1) {
@@ -164,6 +167,8 @@
 	return 0
 }
 
+// collect fills p with the path that ends at the last layer. It returns -1, or 0 if the path has
+// too many stages.
 func collect(via *[MaxLayers + 1]*fleet.Runner, layers int, cost float64, p *Path) int {
 	n := 0
 	for at := layers; at > 0; at = via[at].Span().From {
@@ -182,10 +187,10 @@
 	return -1
 }
 
-// pick chooses within the entry's subset of a group, and beyond it when nothing
-// of the subset is usable.
-func pick(g *fleet.Group, q *Query) (*fleet.Runner, float64) {
-	r, cost := pickWithin(g.Runners(), q)
+// pickFromGroup chooses from the entry's subset of a group, and from the rest of the group if no
+// runner of the subset is usable.
+func pickFromGroup(g *fleet.Group, q *Query) (*fleet.Runner, float64) {
+	r, cost := pickByPolicy(g.Runners(), q)
 	if (r == nil || !r.Usable(q.Now)) && len(g.All()) > len(g.Runners()) {
 		if other, otherCost := pickFrom(g.All(), q, q.Rand.IntN(len(g.All()))); other != nil {
 			return other, otherCost
@@ -194,10 +199,11 @@
 	return r, cost
 }
 
-func pickWithin(runners []*fleet.Runner, q *Query) (*fleet.Runner, float64) {
+// pickByPolicy chooses among runners as the query's policy says.
+func pickByPolicy(runners []*fleet.Runner, q *Query) (*fleet.Runner, float64) {
 	switch policy := q.Policy.(type) {
 	case LowestReportedLoad:
-		return pickLeastReported(runners, q)
+		return pickLowestReported(runners, q)
 	case RoundRobin:
 		*policy.Counter++
 		return pickFrom(runners, q, int(*policy.Counter%uint64(max(1, len(runners)))))
@@ -210,64 +216,65 @@
 	}
 }
 
-// pickByCost compares all runners of the subset, from a random one on, so that
-// equals are taken alike.
+// pickByCost compares all runners of the subset. It begins at a random one, so that runners of
+// equal cost are taken equally often.
 func pickByCost(runners []*fleet.Runner, q *Query) (*fleet.Runner, float64) {
 	if len(runners) == 0 {
 		return nil, 0
 	}
 	var chosen *fleet.Runner
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	start := q.Rand.IntN(len(runners))
 	for i := range runners {
 		r := runners[(start+i)%len(runners)]
-		if !r.Usable(q.Now) || avoided(q.Avoid, r) {
+		if !r.Usable(q.Now) || contains(q.Avoid, r) {
 			continue
 		}
-		if cost := r.Cost(q.Now, q.Positions) + pledgeWeight*r.Backlog(); cost < least {
-			chosen, least = r, cost
+		if cost := r.Cost(q.Now, q.Positions) + backlogWeight*r.Backlog(); cost < lowest {
+			chosen, lowest = r, cost
 		}
 	}
 	if chosen != nil {
-		return chosen, least
+		return chosen, lowest
 	}
 	return pickFrom(runners, q, start)
 }
 
-// pickFrom takes the first usable runner from a starting point on, one that was
-// not avoided if there is any. When every runner is ejected it takes the one
-// whose ejection ends first, so that ejection can't empty a group.
+// pickFrom returns the first usable runner from a starting point on. It prefers runners that are
+// not avoided. If no runner is usable, it returns the one whose ejection ends first, so that
+// ejections can't empty a group.
 func pickFrom(runners []*fleet.Runner, q *Query, start int) (*fleet.Runner, float64) {
-	var second, last *fleet.Runner
+	var fallback, ejected *fleet.Runner
 	for i := range runners {
 		r := runners[(start+i)%len(runners)]
 		switch {
 		case r.Leaving():
 		case !r.Usable(q.Now):
-			if last == nil || r.EjectedUntil().Before(last.EjectedUntil()) {
-				last = r
+			if ejected == nil || r.EjectedUntil().Before(ejected.EjectedUntil()) {
+				ejected = r
 			}
-		case avoided(q.Avoid, r):
-			second = r
+		case contains(q.Avoid, r):
+			fallback = r
 		default:
 			return r, r.Cost(q.Now, q.Positions)
 		}
 	}
-	if second == nil {
-		second = last
+	if fallback == nil {
+		fallback = ejected
 	}
-	if second == nil {
+	if fallback == nil {
 		return nil, 0
 	}
-	return second, second.Cost(q.Now, q.Positions)
+	return fallback, fallback.Cost(q.Now, q.Positions)
 }
 
-func pickLeastReported(runners []*fleet.Runner, q *Query) (*fleet.Runner, float64) {
+// pickLowestReported returns the usable runner with the lowest reported load for its speed.
+func pickLowestReported(runners []*fleet.Runner, q *Query) (*fleet.Runner, float64) {
 	var chosen *fleet.Runner
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for _, r := range runners {
-		if load := r.ReportedQueue() / r.Spec().Speed; r.Usable(q.Now) && !avoided(q.Avoid, r) && load < least {
-			chosen, least = r, load
+		if load := r.ReportedQueue() / r.Spec().Speed; r.Usable(q.Now) && !contains(q.Avoid, r) && load < lowest {
+			chosen, lowest = r, load
 		}
 	}
 	if chosen == nil {
@@ -276,8 +283,8 @@
 	return chosen, chosen.Cost(q.Now, q.Positions)
 }
 
-func avoided(avoid []*fleet.Runner, r *fleet.Runner) bool {
-	for _, a := range avoid {
+func contains(runners []*fleet.Runner, r *fleet.Runner) bool {
+	for _, a := range runners {
 		if a == r {
 			return true
 		}
--- a/coordination/path/path_test.go
+++ b/coordination/path/path_test.go
@@ -31,11 +31,11 @@
 	return fleet.NewViewFromConfig(nil, c, fleet.Entry{Name: "e1", DataCenter: "dc"})
 }
 
-func draw() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
+func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
-// TestAPathCoversEveryLayerOnce holds for any fleet, load and policy, unless
-// some layer can't be reached.
-func TestAPathCoversEveryLayerOnce(t *testing.T) {
+// TestPathCoversEveryLayerOnce draws fleets, loads and policies. A path covers every layer once,
+// unless some layer can't be reached.
+func TestPathCoversEveryLayerOnce(t *testing.T) {
 	var turn uint64
 	policies := []path.Policy{nil, path.LowestCost{}, path.LowestReportedLoad{}, path.Random{}, path.RoundRobin{Counter: &turn}, path.FixedPipeline{Index: &turn}}
 	rapid.Check(t, func(t *rapid.T) {
@@ -58,7 +58,7 @@
 			}
 		}
 		d := path.Choose(v.Model("m"), path.Query{
-			Now: now, Positions: 3, Rand: draw(), Policy: rapid.SampledFrom(policies).Draw(t, "policy"),
+			Now: now, Positions: 3, Rand: newRand(), Policy: rapid.SampledFrom(policies).Draw(t, "policy"),
 		})
 		switch d := d.(type) {
 		case *path.Found:
@@ -76,36 +76,35 @@
 	})
 }
 
-func TestNothingToChooseFrom(t *testing.T) {
-	require.IsType(t, path.Missing{}, path.Choose(nil, path.Query{Now: now, Rand: draw()}))
+func TestChooseWithoutPath(t *testing.T) {
+	require.IsType(t, path.Missing{}, path.Choose(nil, path.Query{Now: now, Rand: newRand()}))
 	v := view(t, 4, []protocol.Runner{{From: 0, To: 2, Speed: 1}})
-	missing, ok := path.Choose(v.Model("m"), path.Query{Now: now, Rand: draw()}).(path.Missing)
+	missing, ok := path.Choose(v.Model("m"), path.Query{Now: now, Rand: newRand()}).(path.Missing)
 	require.True(t, ok)
 	require.Equal(t, 2, missing.Layer())
 }
 
-func TestChoiceAvoidsWhatFailedUnlessItIsAlone(t *testing.T) {
+func TestAvoidedRunnerIsTakenOnlyIfAlone(t *testing.T) {
 	v := view(t, 4, []protocol.Runner{{From: 0, To: 4, Speed: 9}, {From: 0, To: 4, Speed: 1}})
 	bad := v.Runner("r0")
-	q := path.Query{Now: now, Positions: 1, Rand: draw(), Avoid: []*fleet.Runner{bad}}
+	q := path.Query{Now: now, Positions: 1, Rand: newRand(), Avoid: []*fleet.Runner{bad}}
 	require.Equal(t, "r1", path.Choose(v.Model("m"), q).(*path.Found).Path().Runner(0).Name())
 	v.Runner("r1").MarkLeaving()
 	require.Equal(t, "r0", path.Choose(v.Model("m"), q).(*path.Found).Path().Runner(0).Name())
 }
 
-func TestEjectionCannotEmptyAGroup(t *testing.T) {
+func TestEjectionCantEmptyGroup(t *testing.T) {
 	v := view(t, 4, []protocol.Runner{{From: 0, To: 4, Speed: 9}, {From: 0, To: 4, Speed: 9}})
 	v.Runner("r0").Failed(now)
 	v.Runner("r0").Failed(now)
 	v.Runner("r1").Failed(now)
-	found := path.Choose(v.Model("m"), path.Query{Now: now, Positions: 1, Rand: draw()}).(*path.Found)
+	found := path.Choose(v.Model("m"), path.Query{Now: now, Positions: 1, Rand: newRand()}).(*path.Found)
 	require.Equal(t, "r1", found.Path().Runner(0).Name(), "the ejection that ends first")
 }
 
-// TestBeyondTheSubsetOnlyWhenItIsUnusable: an entry stays within its own runners
-// of a large group, other entries have others, and when all of its own are out
-// it takes another.
-func TestBeyondTheSubsetOnlyWhenItIsUnusable(t *testing.T) {
+// TestOtherRunnersOnlyIfSubsetIsUnusable checks that an entry keeps to its own subset of a large
+// group, and takes another runner only if the whole subset is ejected.
+func TestOtherRunnersOnlyIfSubsetIsUnusable(t *testing.T) {
 	runners := make([]protocol.Runner, 100)
 	for i := range runners {
 		runners[i] = protocol.Runner{From: 0, To: 4, Speed: 9}
@@ -113,7 +112,7 @@
 	v := view(t, 4, runners)
 	own := v.Model("m").Groups()[0].Runners()
 	require.Len(t, own, fleet.SubsetSize)
-	q := path.Query{Now: now, Positions: 1, Rand: draw()}
+	q := path.Query{Now: now, Positions: 1, Rand: newRand()}
 	used := map[*fleet.Runner]bool{}
 	for range 200 {
 		used[path.Choose(v.Model("m"), q).(*path.Found).Path().Runner(0)] = true
@@ -126,8 +125,8 @@
 	require.NotContains(t, own, other)
 }
 
-// bench returns a view of n runners, ten to each stage's span.
-func bench(b *testing.B, n int) *fleet.View {
+// benchView returns a view of n runners, ten for the span of each stage.
+func benchView(b *testing.B, n int) *fleet.View {
 	const layers = 80
 	stages := max(1, min(16, n/10))
 	runners := make([]protocol.Runner, n)
@@ -141,8 +140,8 @@
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{40, 160, 640, 1600, 4900} {
 		b.Run(fmt.Sprint("runners=", n), func(b *testing.B) {
-			v := bench(b, n)
-			q := path.Query{Now: now, Positions: 64, Rand: draw()}
+			v := benchView(b, n)
+			q := path.Query{Now: now, Positions: 64, Rand: newRand()}
 			var p path.Path
 			b.ReportAllocs()
 			for b.Loop() {
--- a/coordination/path/replace.go
+++ b/coordination/path/replace.go
@@ -9,11 +9,11 @@
 	"pinerun.example/pinerun/state/fleet"
 )
 
-// ReplaceStages fills p with a path in which runners of a model run the layers of the stages
-// that are lost, each hole on its cheapest way, while the other stages stay as they are.
-// It reports whether there is one. Runners that are left out, to be avoided or leaving are
-// never taken, nor one that the path keeps: engines refuse a path that names one twice.
-// Its cost is that of the new stages. It does not allocate.
+// ReplaceStages fills p with a path in which runners of a model run the layers of the lost stages,
+// and reports whether there is one. It takes the cheapest runners for each gap. The other stages
+// stay as they are. It never takes a runner that is not usable or is listed in q.Avoid, nor one
+// that keeps a stage, because engines refuse a path with the same runner twice. The cost of p is
+// that of the new stages. It does not allocate.
 func ReplaceStages(m *fleet.Model, q *Query, old *Path, lost []*fleet.Runner, p *Path) bool {
 	if m == nil || m.Layers() <= 0 || m.Layers() > MaxLayers {
 		return false
@@ -22,7 +22,7 @@
 	s := search{kept: &kept}
 	p.length, p.cost = 0, 0
 	for i := 0; i < old.length; {
-		end := old.lostFrom(i, lost)
+		end := old.endOfLost(i, lost)
 		if end == i {
 			if !p.add(old.runners[i], old.spans[i]) {
 				return false
@@ -30,7 +30,7 @@
 			i++
 			continue
 		}
-		if !s.fill(m, q, protocol.Span{From: old.spans[i].From, To: old.spans[end-1].To}, p) {
+		if !s.fillGap(m, q, protocol.Span{From: old.spans[i].From, To: old.spans[end-1].To}, p) {
 			return false
 		}
 		i = end
@@ -38,20 +38,20 @@
 	return true
 }
 
-// lostFrom returns the end of the row of lost stages that begins at a stage, the stage itself
-// if it is not lost.
-func (p *Path) lostFrom(stage int, lost []*fleet.Runner) int {
+// endOfLost returns the end of the run of lost stages that begins at a stage. It returns the stage
+// itself if that stage is not lost.
+func (p *Path) endOfLost(stage int, lost []*fleet.Runner) int {
 	for stage < p.length && slices.Contains(lost, p.runners[stage]) {
 		stage++
 	}
 	return stage
 }
 
-// fill adds to a path the cheapest way over a hole, whose runners are kept from then on. It
-// reports whether there is one.
-func (s *search) fill(m *fleet.Model, q *Query, hole protocol.Span, p *Path) bool {
+// fillGap adds the cheapest stages over a gap to a path and reports whether there are any. Their
+// runners are kept from then on.
+func (s *search) fillGap(m *fleet.Model, q *Query, gap protocol.Span, p *Path) bool {
 	begin := p.length
-	s.prepare(m, hole)
+	s.prepare(m, gap)
 	if !s.run(m, q, false) || !s.collect(p) {
 		return false
 	}
@@ -63,7 +63,7 @@
 	return true
 }
 
-// HasStage reports whether a runner runs just that span in the path.
+// HasStage reports whether a runner runs exactly that span in the path.
 func (p *Path) HasStage(r *fleet.Runner, span protocol.Span) bool {
 	for i := range p.length {
 		if p.runners[i] == r && p.spans[i] == span {
@@ -73,7 +73,7 @@
 	return false
 }
 
-// Contains reports whether a runner stands in the path.
+// Contains reports whether a runner runs some stage of the path.
 func (p *Path) Contains(r *fleet.Runner) bool { return slices.Contains(p.runners[:p.length], r) }
 
 // without returns the stages of the path whose runners are not lost.
@@ -87,7 +87,7 @@
 	return kept
 }
 
-// add adds a stage, and reports whether there is room for it.
+// add appends a stage and reports whether the path is not too long for it.
 func (p *Path) add(r *fleet.Runner, span protocol.Span) bool {
 	if p.length == MaxStages {
 		return false
--- a/coordination/path/parts.go
+++ b/coordination/path/subspans.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// tieSeconds spreads equal runners: entries that believe the same must not all
-	// take the same path.
-	tieSeconds = 0.0005
-	// desperateSeconds is what a runner costs that should be left out.
-	desperateSeconds = 10
+	// tieBreakSeconds bounds the random cost that separates equal runners, so that entries with the
+	// same view of the fleet don't all choose the same path.
+	tieBreakSeconds = 0.0005
+	// lastResortSeconds is the cost of a runner that should be excluded.
+	lastResortSeconds = 10
 )
 
-// ChooseSubspans fills p with the cheapest path on which a runner may run a part of the
-// layers that it holds, and returns -1, or the first layer that can't be reached.
-// It is for engines that take the layers of each stage with the request. A stage
-// begins and ends only where some runner's span does, so that the work is bounded
-// by the number of runners. It does not allocate.
+// ChooseSubspans fills p with the cheapest path on which a runner may run only a part of the layers
+// that it holds, and returns -1. If there is no path, it returns the first layer that can't be
+// reached. It is for engines that receive the layers of each stage with the request. A stage begins
+// and ends only where the span of some runner does, so that the work is bounded by the number of
+// runners. It does not allocate.
 //
-// Runners that are left out or to be avoided are taken only when no path does
-// without them, those that are leaving never.
+// Runners that are not usable or are listed in q.Avoid are taken only if there is no path without
+// them. Runners that are leaving are never taken.
 func ChooseSubspans(m *fleet.Model, q *Query, p *Path) int {
 	if m == nil || m.Layers() <= 0 || m.Layers() > MaxLayers {
 		return 0
@@ -45,8 +45,8 @@
 // search is the state of one search over the layers of a span.
 type search struct {
 	span   protocol.Span
-	kept   *Path              // its runners can't run a further stage, nil for none
-	bounds [MaxLayers + 1]int // where spans begin or end, in order
+	kept   *Path              // path whose runners can't run another stage, or nil
+	bounds [MaxLayers + 1]int // layers where spans begin or end, in order
 	count  int
 	best   [MaxLayers + 1]float64
 	via    [MaxLayers + 1]*fleet.Runner
@@ -55,27 +55,27 @@
 }
 
 // prepare lists the layers of a span at which a stage may begin or end.
-func (s *search) prepare(m *fleet.Model, over protocol.Span) {
-	var marks [MaxLayers + 1]bool
-	marks[over.From], marks[over.To] = true, true
+func (s *search) prepare(m *fleet.Model, span protocol.Span) {
+	var isBound [MaxLayers + 1]bool
+	isBound[span.From], isBound[span.To] = true, true
 	groups := m.Groups()
 	for i := range groups {
-		if span := groups[i].Span(); span.Valid(m.Layers()) {
-			marks[span.From], marks[span.To] = true, true
+		if held := groups[i].Span(); held.Valid(m.Layers()) {
+			isBound[held.From], isBound[held.To] = true, true
 		}
 	}
-	s.span, s.count = over, 0
-	for l := over.From; l <= over.To; l++ {
-		if marks[l] {
+	s.span, s.count = span, 0
+	for l := span.From; l <= span.To; l++ {
+		if isBound[l] {
 			s.bounds[s.count] = l
 			s.count++
 		}
 	}
 }
 
-// run finds the cheapest way to each bound, and reports whether the end of the span
-// is reached. Desperate lets runners in that should be left out.
-func (s *search) run(m *fleet.Model, q *Query, desperate bool) bool {
+// run finds the cheapest way to each bound and reports whether it reaches the end of the span. With
+// lastResort it also takes runners that should be excluded.
+func (s *search) run(m *fleet.Model, q *Query, lastResort bool) bool {
 	for i := range s.count {
 		s.best[s.bounds[i]] = math.Inf(1)
 	}
@@ -88,7 +88,7 @@
 		}
 		for g := range groups {
 			if span := groups[g].Span(); span.From <= at && at < span.To && span.Valid(m.Layers()) {
-				s.extend(&groups[g], i, q, desperate)
+				s.extend(&groups[g], i, q, lastResort)
 			}
 		}
 	}
@@ -96,15 +96,15 @@
 }
 
 // extend tries the runners of a group for the stages that begin at a bound.
-func (s *search) extend(g *fleet.Group, begin int, q *Query, desperate bool) {
+func (s *search) extend(g *fleet.Group, begin int, q *Query, lastResort bool) {
 	at := s.bounds[begin]
 	for _, r := range g.Runners() {
-		penalty, ok := penaltyOf(r, q, desperate)
+		extra, ok := penalty(r, q, lastResort)
 		if !ok || s.kept != nil && s.kept.Contains(r) {
 			continue
 		}
 		fixed, layer := r.RequestCost(q.Now, q.Positions, q.OutputTokens, q.Entries)
-		fixed += penalty + q.Rand.Float64()*tieSeconds
+		fixed += extra + q.Rand.Float64()*tieBreakSeconds
 		for i := begin + 1; i < s.count && s.bounds[i] <= g.Span().To; i++ {
 			to := s.bounds[i]
 			if cost := s.best[at] + fixed + layer*float64(to-at); cost < s.best[to] {
@@ -114,19 +114,19 @@
 	}
 }
 
-// penaltyOf returns what it costs to take a runner beside its work, and whether
-// it may be taken at all.
-func penaltyOf(r *fleet.Runner, q *Query, desperate bool) (float64, bool) {
+// penalty returns the cost of a runner in addition to that of its work, and whether the runner may
+// be taken at all.
+func penalty(r *fleet.Runner, q *Query, lastResort bool) (float64, bool) {
 	if r.Leaving() {
 		return 0, false
 	}
-	if r.Usable(q.Now) && !avoided(q.Avoid, r) {
+	if r.Usable(q.Now) && !contains(q.Avoid, r) {
 		return 0, true
 	}
-	return desperateSeconds, desperate
+	return lastResortSeconds, lastResort
 }
 
-// furthest returns the last bound before the end that a path reaches.
+// furthest returns the last bound before the end of the span that a path reaches.
 func (s *search) furthest() int {
 	for i := s.count - 1; i > 0; i-- {
 		if at := s.bounds[i]; at < s.span.To && !math.IsInf(s.best[at], 1) {
@@ -136,8 +136,8 @@
 	return 0
 }
 
-// collect adds the stages found to a path. A runner that would stand in it twice, which
-// engines refuse, makes them void.
+// collect adds the stages of the result to a path. It reports false if a runner would run two
+// stages, because engines refuse such a path, or if the path would be too long.
 func (s *search) collect(p *Path) bool {
 	begin, end := p.length, p.length+s.stages[s.span.To]
 	if end > MaxStages {
--- a/coordination/path/parts_test.go
+++ b/coordination/path/subspans_test.go
@@ -16,20 +16,20 @@
 	"pinerun.example/pinerun/state/fleet"
 )
 
-const partsModel = "m"
+const testModel = "m"
 
 func gather(layers int, spans []protocol.Span) *fleet.View {
 	runners := make([]protocol.Runner, len(spans))
 	for i, s := range spans {
-		runners[i] = protocol.Runner{Name: fmt.Sprint("r", i), Model: partsModel, From: s.From, To: s.To, Speed: 1e6}
+		runners[i] = protocol.Runner{Name: fmt.Sprint("r", i), Model: testModel, From: s.From, To: s.To, Speed: 1e6}
 	}
-	return fleet.NewView(nil, []protocol.Model{{Name: partsModel, Layers: layers}}, runners, fleet.Entry{Name: "e1"})
+	return fleet.NewView(nil, []protocol.Model{{Name: testModel, Layers: layers}}, runners, fleet.Entry{Name: "e1"})
 }
 
-// TestPartsRunEveryLayerOnceInOrder draws holders and checks that a path is found
-// exactly when every layer has a holder that may be taken, and that its stages
-// meet without gap or overlap inside what each runner holds.
-func TestPartsRunEveryLayerOnceInOrder(t *testing.T) {
+// TestSubspansCoverEveryLayerOnce draws runners and checks that a path is found exactly if every
+// layer has a holder that may be taken, and that the stages meet without gap or overlap inside the
+// spans of their runners.
+func TestSubspansCoverEveryLayerOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layers := rapid.IntRange(1, 24).Draw(t, "layers")
 		var spans []protocol.Span
@@ -53,16 +53,16 @@
 				covered[l] = true
 			}
 		}
-		whole := true
+		complete := true
 		for _, c := range covered {
-			whole = whole && c
+			complete = complete && c
 		}
 		var p path.Path
 		q := path.Query{Now: now, Positions: 10, Rand: rand.New(rand.NewPCG(1, 2))}
-		missing := path.ChooseSubspans(view.Model(partsModel), &q, &p)
-		require.Equal(t, whole, missing < 0)
-		if !whole {
-			require.False(t, covered[missing], "layer %d is said to be missing", missing)
+		missing := path.ChooseSubspans(view.Model(testModel), &q, &p)
+		require.Equal(t, complete, missing < 0)
+		if !complete {
+			require.False(t, covered[missing], "layer %d has a holder but is reported as missing", missing)
 			return
 		}
 		at := 0
@@ -77,31 +77,31 @@
 	})
 }
 
-func TestPartsGoAroundARunnerThatIsLeftOut(t *testing.T) {
+func TestSubspansAvoidEjectedRunner(t *testing.T) {
 	view := gather(10, []protocol.Span{{From: 0, To: 10}, {From: 0, To: 6}, {From: 4, To: 10}})
 	now := time.Unix(100, 0)
 	q := path.Query{Now: now, Positions: 1000, Rand: rand.New(rand.NewPCG(1, 2))}
 	var p path.Path
-	require.Negative(t, path.ChooseSubspans(view.Model(partsModel), &q, &p))
-	require.Equal(t, 1, p.Len(), "one runner that holds all is cheapest")
+	require.Negative(t, path.ChooseSubspans(view.Model(testModel), &q, &p))
+	require.Equal(t, 1, p.Len(), "one runner that holds all layers is cheapest")
 	view.Runner("r0").Suspect(now.Add(time.Second))
-	require.Negative(t, path.ChooseSubspans(view.Model(partsModel), &q, &p))
+	require.Negative(t, path.ChooseSubspans(view.Model(testModel), &q, &p))
 	require.Equal(t, 2, p.Len())
 	view.Runner("r1").Exclude(now.Add(time.Second))
-	require.Negative(t, path.ChooseSubspans(view.Model(partsModel), &q, &p), "the last resort is taken rather than none")
+	require.Negative(t, path.ChooseSubspans(view.Model(testModel), &q, &p), "the last resort is taken rather than none")
 	view.Runner("r0").MarkWorking()
-	require.Negative(t, path.ChooseSubspans(view.Model(partsModel), &q, &p))
+	require.Negative(t, path.ChooseSubspans(view.Model(testModel), &q, &p))
 	require.Equal(t, "r0", p.Runner(0).Name())
 }
 
-func TestPartsDontAllocate(t *testing.T) {
-	view, q := partsFleet(14)
+func TestSubspansDontAllocate(t *testing.T) {
+	view, q := subspansFleet(14)
 	var p path.Path
-	require.Zero(t, testing.AllocsPerRun(100, func() { path.ChooseSubspans(view.Model(partsModel), &q, &p) }))
+	require.Zero(t, testing.AllocsPerRun(100, func() { path.ChooseSubspans(view.Model(testModel), &q, &p) }))
 }
 
-// partsFleet is a data center with that many runners for 80 layers.
-func partsFleet(runners int) (*fleet.View, path.Query) {
+// subspansFleet returns a data center with that many runners for 80 layers.
+func subspansFleet(runners int) (*fleet.View, path.Query) {
 	spans := make([]protocol.Span, runners)
 	for i := range spans {
 		from := (i * 7) % 75
@@ -111,23 +111,22 @@
 	return gather(80, spans), path.Query{Now: time.Unix(100, 0), Positions: 800, Rand: rand.New(rand.NewPCG(1, 2))}
 }
 
-func BenchmarkParts(b *testing.B) {
+func BenchmarkSubspans(b *testing.B) {
 	for _, n := range []int{14, 40, 400, 4900} {
-		view, q := partsFleet(n)
+		view, q := subspansFleet(n)
 		b.Run(fmt.Sprintf("runners=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			var p path.Path
 			for b.Loop() {
-				path.ChooseSubspans(view.Model(partsModel), &q, &p)
+				path.ChooseSubspans(view.Model(testModel), &q, &p)
 			}
 		})
 	}
 }
 
-// TestPriceLeavesNobodyWithoutAHolder draws which runners are slow: the same layers are
-// reached as if none were, whoever is slow, and a stage goes to a slow one only where it is
-// the cheapest left.
-func TestPriceLeavesNobodyWithoutAHolder(t *testing.T) {
+// TestSlownessNeverHidesOnlyHolder draws which runners are slow. The same layers can be reached as
+// if no runner were slow.
+func TestSlownessNeverHidesOnlyHolder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layers := rapid.IntRange(1, 24).Draw(t, "layers")
 		spans := []protocol.Span{}
@@ -139,18 +138,19 @@
 		now := time.Unix(100, 0)
 		q := path.Query{Now: now, Positions: 100, OutputTokens: 100, Rand: rand.New(rand.NewPCG(1, 2))}
 		var before, after path.Path
-		reached := path.ChooseSubspans(view.Model(partsModel), &q, &before)
+		reached := path.ChooseSubspans(view.Model(testModel), &q, &before)
 		for i := range spans {
 			if pace := rapid.SampledFrom([]float64{1, 1, 1.5, 12, 1000}).Draw(t, "pace"); pace > 1 {
 				view.Runner(fmt.Sprint("r", i)).MarkSlow(pace, now, now.Add(time.Second))
 			}
 		}
-		require.Equal(t, reached, path.ChooseSubspans(view.Model(partsModel), &q, &after))
+		require.Equal(t, reached, path.ChooseSubspans(view.Model(testModel), &q, &after))
 	})
 }
 
-// TestASlowHolderIsTakenOnlyWhenItIsTheOnlyOne.
-func TestASlowHolderIsTakenOnlyWhenItIsTheOnlyOne(t *testing.T) {
+// TestSlowHolderIsTakenOnlyIfAlone checks that a slow runner runs a stage only if no other runner
+// holds its layers.
+func TestSlowHolderIsTakenOnlyIfAlone(t *testing.T) {
 	view := gather(10, []protocol.Span{{From: 0, To: 5}, {From: 0, To: 5}, {From: 5, To: 10}})
 	now := time.Unix(100, 0)
 	view.Runner("r0").MarkSlow(12, now, now.Add(time.Second))
@@ -158,7 +158,7 @@
 	for seed := range uint64(20) {
 		q := path.Query{Now: now, Positions: 1000, OutputTokens: 100, Rand: rand.New(rand.NewPCG(seed, 2))}
 		var p path.Path
-		require.Equal(t, -1, path.ChooseSubspans(view.Model(partsModel), &q, &p))
+		require.Equal(t, -1, path.ChooseSubspans(view.Model(testModel), &q, &p))
 		require.Equal(t, "r1", p.Runner(0).Name())
 		require.Equal(t, "r2", p.Runner(1).Name())
 	}
