--- a/coordination/reroute/repath_test.go
+++ b/coordination/reroute/reroute_test.go
@@ -21,7 +21,7 @@
 
 var now = time.Unix(100, 0)
 
-// gather returns the view of runners a, b, c and so on that hold the spans.
+// gather returns a view of runners r0, r1, r2 and so on that hold the spans.
 func gather(layers int, spans ...protocol.Span) *fleet.View {
 	runners := make([]protocol.Runner, len(spans))
 	for i, s := range spans {
@@ -38,8 +38,8 @@
 	return path.Query{Now: now, Positions: 800, OutputTokens: 200, Entries: 1, Rand: rand.New(rand.NewPCG(1, 2))}
 }
 
-// whole returns the cheapest path through the view.
-func whole(t require.TestingT, v *fleet.View, avoid ...*fleet.Runner) path.Path {
+// cheapestPath returns the cheapest path through the view.
+func cheapestPath(t require.TestingT, v *fleet.View, avoid ...*fleet.Runner) path.Path {
 	var p path.Path
 	q := search()
 	q.Avoid = avoid
@@ -52,13 +52,13 @@
 	return reroute.Choose([]*fleet.Model{v.Model(model)}, q)
 }
 
-func TestOnlyTheLostStageIsReplaced(t *testing.T) {
+func TestOnlyLostStageIsReplaced(t *testing.T) {
 	v := gather(9, protocol.Span{From: 0, To: 3}, protocol.Span{From: 3, To: 6}, protocol.Span{From: 6, To: 9})
-	p := whole(t, v)
-	require.Equal(t, reroute.Wait{}, choose(v, &reroute.Query{Path: p, Lost: []*fleet.Runner{v.Runner("r1")}}), "nobody else holds its layers")
+	p := cheapestPath(t, v)
+	require.Equal(t, reroute.Wait{}, choose(v, &reroute.Query{Path: p, Lost: []*fleet.Runner{v.Runner("r1")}}), "no other runner holds its layers")
 
 	v = gather(9, protocol.Span{From: 0, To: 3}, protocol.Span{From: 3, To: 6}, protocol.Span{From: 6, To: 9}, protocol.Span{From: 2, To: 7})
-	p = whole(t, v, v.Runner("r3"))
+	p = cheapestPath(t, v, v.Runner("r3"))
 	d, ok := choose(v, &reroute.Query{Path: p, Lost: []*fleet.Runner{v.Runner("r1")}, Tokens: 900, RemainingTokens: 100}).(*reroute.Change)
 	require.True(t, ok)
 	require.Equal(t, 3, d.Path().Len())
@@ -67,20 +67,20 @@
 	require.True(t, d.Path().HasStage(v.Runner("r2"), protocol.Span{From: 6, To: 9}))
 }
 
-func TestALostFirstStageCantBeReplaced(t *testing.T) {
+func TestLostFirstStageCantBeReplaced(t *testing.T) {
 	v := gather(4, protocol.Span{From: 0, To: 2}, protocol.Span{From: 2, To: 4}, protocol.Span{From: 0, To: 2})
-	p := whole(t, v, v.Runner("r2"))
+	p := cheapestPath(t, v, v.Runner("r2"))
 	lost := []*fleet.Runner{v.Runner("r0")}
 	require.Equal(t, reroute.Wait{}, choose(v, &reroute.Query{Path: p, Lost: lost}))
-	other := whole(t, v, lost...)
+	other := cheapestPath(t, v, lost...)
 	require.Equal(t, reroute.Resend{}, choose(v, &reroute.Query{Path: p, Lost: lost, Alternative: &other}))
 }
 
-// TestAllAfterTheFirstStageIsReplacedWhereNoEngineFitsTheHole: the only other holder of the
-// lost layers runs a stage of the path already, and takes both.
-func TestAllAfterTheFirstStageIsReplacedWhereNoEngineFitsTheHole(t *testing.T) {
+// TestAllStagesAfterFirstAreReplacedIfGapCantBeFilled has a path in which the only other holder of
+// the lost layers runs a stage already. That runner takes the layers of both stages.
+func TestAllStagesAfterFirstAreReplacedIfGapCantBeFilled(t *testing.T) {
 	v := gather(6, protocol.Span{From: 0, To: 2}, protocol.Span{From: 2, To: 4}, protocol.Span{From: 2, To: 6}, protocol.Span{From: 4, To: 6})
-	three := whole(t, v, v.Runner("r2"))
+	three := cheapestPath(t, v, v.Runner("r2"))
 	var p path.Path
 	q := search()
 	q.Avoid = []*fleet.Runner{v.Runner("r3")}
@@ -93,12 +93,13 @@
 	require.True(t, d.Path().HasStage(v.Runner("r2"), protocol.Span{From: 2, To: 6}))
 }
 
-// TestASlowReplacementIsNotTaken where the whole request is done sooner elsewhere.
-func TestASlowReplacementIsNotTaken(t *testing.T) {
+// TestSlowReplacementIsNotTaken checks that the request is sent again if another path completes it
+// sooner.
+func TestSlowReplacementIsNotTaken(t *testing.T) {
 	v := gather(4, protocol.Span{From: 0, To: 2}, protocol.Span{From: 2, To: 4}, protocol.Span{From: 2, To: 4}, protocol.Span{From: 0, To: 4})
-	p := whole(t, v, v.Runner("r2"), v.Runner("r3"))
+	p := cheapestPath(t, v, v.Runner("r2"), v.Runner("r3"))
 	lost := []*fleet.Runner{v.Runner("r1")}
-	other := whole(t, v, v.Runner("r0"), v.Runner("r1"), v.Runner("r2"))
+	other := cheapestPath(t, v, v.Runner("r0"), v.Runner("r1"), v.Runner("r2"))
 	query := func() *reroute.Query {
 		return &reroute.Query{Path: p, Lost: lost, Tokens: 800, RemainingTokens: 200, Alternative: &other}
 	}
@@ -106,22 +107,22 @@
 	for range 40 {
 		v.Runner("r2").ObserveStep(time.Second, 0.01, now)
 	}
-	v.Runner("r3").Suspect(now.Add(time.Second)) // not for the hole either
+	v.Runner("r3").Suspect(now.Add(time.Second)) // it can't fill the gap either
 	require.Equal(t, reroute.Resend{}, choose(v, query()))
 }
 
-// TestAFullRunnerIsNoReplacement, since an order that finds no room was in vain.
-func TestAFullRunnerIsNoReplacement(t *testing.T) {
+// TestFullRunnerIsNoReplacement guards against orders to a runner without capacity, which are
+// wasted.
+func TestFullRunnerIsNoReplacement(t *testing.T) {
 	v := gather(4, protocol.Span{From: 0, To: 2}, protocol.Span{From: 2, To: 4}, protocol.Span{From: 2, To: 4})
-	p := whole(t, v, v.Runner("r2"))
+	p := cheapestPath(t, v, v.Runner("r2"))
 	v.Runner("r2").ReportUtilization(0.95, now)
 	require.Equal(t, reroute.Wait{}, choose(v, &reroute.Query{Path: p, Lost: []*fleet.Runner{v.Runner("r1")}, Tokens: 800}))
 }
 
-// TestAChangedPathIsWhole draws holders and losses: a changed path runs every layer once
-// and in order, keeps its first stage, names no runner twice and none that is lost, left
-// out or leaving.
-func TestAChangedPathIsWhole(t *testing.T) {
+// TestChangedPathIsComplete draws runners and losses. A changed path runs every layer once and in
+// order, keeps its first stage, contains no runner twice and none that is lost, ejected or leaving.
+func TestChangedPathIsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layers := rapid.IntRange(2, 24).Draw(t, "layers")
 		spans := []protocol.Span{{From: 0, To: layers}}
@@ -130,8 +131,8 @@
 			spans = append(spans, protocol.Span{From: from, To: rapid.IntRange(from+1, layers).Draw(t, "to")})
 		}
 		v := gather(layers, spans...)
-		v.Runner("r0").Exclude(now.Add(time.Second)) // it would be the whole path
-		p := whole(t, v)
+		v.Runner("r0").Exclude(now.Add(time.Second)) // it would be the complete path
+		p := cheapestPath(t, v)
 		v.Runner("r0").MarkWorking()
 		q := &reroute.Query{Path: p, Tokens: 800, RemainingTokens: 100}
 		for i := range p.Len() {
@@ -155,9 +156,9 @@
 			r, span := d.Path().Runner(i), d.Path().Span(i)
 			require.Equal(t, at, span.From)
 			require.True(t, r.Span().From <= span.From && span.To <= r.Span().To && span.Layers() > 0)
-			require.False(t, seen[r], "named twice")
+			require.False(t, seen[r], "the runner is in the path twice")
 			require.NotContains(t, q.Lost, r)
-			require.True(t, p.HasStage(r, span) || r.Usable(now), "new work for a runner that takes none")
+			require.True(t, p.HasStage(r, span) || r.Usable(now), "an unusable runner gets new work")
 			seen[r], at = true, span.To
 		}
 		require.Equal(t, layers, at)
@@ -166,8 +167,8 @@
 	})
 }
 
-// BenchmarkChoose measures the decision for a path of which the fourth stage is lost,
-// among engines that hold 75 different spans.
+// BenchmarkChoose measures the decision for a path of which the fourth stage is lost, among engines
+// that hold 75 different spans.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{98, 600} {
 		var spans []protocol.Span
@@ -176,8 +177,8 @@
 			spans = append(spans, protocol.Span{From: from, To: min(80, from+10)})
 		}
 		v := gather(80, spans...)
-		p := whole(b, v)
-		other := whole(b, v, p.Runner(0))
+		p := cheapestPath(b, v)
+		other := cheapestPath(b, v, p.Runner(0))
 		q := &reroute.Query{Path: p, Lost: []*fleet.Runner{p.Runner(3)}, Tokens: 900, RemainingTokens: 100, Alternative: &other, Search: search()}
 		models := []*fleet.Model{v.Model(model)}
 		b.Run(fmt.Sprintf("engines=%d", n), func(b *testing.B) {
