--- a/coordination/relay/relay_test.go
+++ b/coordination/relay/relay_test.go
@@ -25,24 +25,24 @@
 	return all
 }
 
-// TestNobodyFollowsInACircle draws entries that each know some of the others.
-func TestNobodyFollowsInACircle(t *testing.T) {
+// TestEntriesDontFollowInCircle draws entries that each know some of the others.
+func TestEntriesDontFollowInCircle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := records(rapid.IntRange(1, 20).Draw(t, "entries"))
 		follows := map[string]string{}
-		for _, m := range all {
+		for _, entry := range all {
 			var known []protocol.EntryRecord
-			for _, o := range all {
+			for _, other := range all {
 				if rapid.Bool().Draw(t, "known") {
-					known = append(known, o)
+					known = append(known, other)
 				}
 			}
-			before := relay.Candidates(m, known)
-			if len(before) > 0 {
-				follows[m.Name] = rapid.SampledFrom(before).Draw(t, "reached").Name
+			candidates := relay.Candidates(entry, known)
+			if len(candidates) > 0 {
+				follows[entry.Name] = rapid.SampledFrom(candidates).Draw(t, "reached").Name
 			}
-			for i, r := range before[:max(0, len(before)-1)] {
-				require.False(t, r.DataCenter != m.DataCenter && before[i+1].DataCenter == m.DataCenter, "the own data center comes first")
+			for i, r := range candidates[:max(0, len(candidates)-1)] {
+				require.False(t, r.DataCenter != entry.DataCenter && candidates[i+1].DataCenter == entry.DataCenter, "the own data center comes first")
 			}
 		}
 		for _, m := range all {
@@ -55,45 +55,45 @@
 	})
 }
 
-// TestOneEntryAsksThePlatformForAll has every entry follow the first that it would try:
-// one follows nobody, one of each other data center follows it, and the rest follow one
-// of their own data center.
-func TestOneEntryAsksThePlatformForAll(t *testing.T) {
+// TestOneEntryAsksPlatformForAll has every entry follow its first candidate. One entry follows
+// none, one of each other data center follows that one, and the rest follow one of their own data
+// center.
+func TestOneEntryAsksPlatformForAll(t *testing.T) {
 	all := records(71)
-	first := map[string]protocol.EntryRecord{}
-	alone := 0
-	for _, m := range all {
-		before := relay.Candidates(m, all)
-		if len(before) == 0 {
-			alone++
+	followed := map[string]protocol.EntryRecord{}
+	withoutCandidates := 0
+	for _, entry := range all {
+		candidates := relay.Candidates(entry, all)
+		if len(candidates) == 0 {
+			withoutCandidates++
 			continue
 		}
-		first[m.Name] = before[0]
+		followed[entry.Name] = candidates[0]
 	}
-	require.Equal(t, 1, alone)
+	require.Equal(t, 1, withoutCandidates)
 	across := map[string]int{}
 	for _, m := range all {
-		f, ok := first[m.Name]
+		f, ok := followed[m.Name]
 		if !ok {
 			continue
 		}
 		require.Equal(t, 100.0, f.MemoryMB, "a large VM is followed")
 		if f.DataCenter != m.DataCenter {
 			across[m.DataCenter]++
-			require.NotContains(t, first, f.Name, "the one that asks the platform")
+			require.NotContains(t, followed, f.Name, "the one that asks the platform")
 			continue
 		}
-		if second, ok := first[f.Name]; ok {
-			require.NotContains(t, first, second.Name, "two steps from the platform's caller at most")
+		if second, ok := followed[f.Name]; ok {
+			require.NotContains(t, followed, second.Name, "two steps from the platform's caller at most")
 		}
 	}
 	require.Len(t, across, 2)
-	for center, n := range across {
-		require.Equal(t, 1, n, center)
+	for dataCenter, n := range across {
+		require.Equal(t, 1, n, dataCenter)
 	}
 }
 
-func TestAnEntryWithoutAnAddressIsNotFollowed(t *testing.T) {
+func TestEntryWithoutAddressIsNotFollowed(t *testing.T) {
 	all := records(10)
 	for i := range all[1:] {
 		all[i+1].Peers = ""
@@ -104,8 +104,8 @@
 	require.Empty(t, relay.Candidates(all[0], all))
 }
 
-// TestOldWordsAreNeverTrusted draws every situation.
-func TestOldWordsAreNeverTrusted(t *testing.T) {
+// TestOldConfirmationsAreNotTrusted draws the ages of confirmations and calls, and the versions.
+func TestOldConfirmationsAreNotTrusted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ago := func(t *rapid.T, label string) time.Time {
 		return now.Add(-time.Duration(rapid.IntRange(0, 5000).Draw(t, label)) * time.Millisecond)
@@ -113,8 +113,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		q := relay.Query{
 			Now: now, ConfirmedAt: ago(t, "confirmed"), AskedAt: ago(t, "asked"),
-			HasFollowers: rapid.Bool().Draw(t, "followed"), Jitter: rapid.Float64Range(0, 1).Draw(t, "patience"),
-			Unanswered: rapid.IntRange(0, 3).Draw(t, "unanswered"), OwnVersion: uint64(rapid.IntRange(0, 3).Draw(t, "held")), PeerVersion: uint64(rapid.IntRange(0, 3).Draw(t, "told")),
+			HasFollowers: rapid.Bool().Draw(t, "has followers"), Jitter: rapid.Float64Range(0, 1).Draw(t, "jitter"),
+			Unanswered: rapid.IntRange(0, 3).Draw(t, "unanswered"), OwnVersion: uint64(rapid.IntRange(0, 3).Draw(t, "own version")), PeerVersion: uint64(rapid.IntRange(0, 3).Draw(t, "peer version")),
 		}
 		if rapid.Bool().Draw(t, "never") {
 			q.ConfirmedAt = time.Time{}
@@ -122,11 +122,11 @@
 		switch relay.Decide(q).(type) {
 		case relay.TrustPeer:
 			require.GreaterOrEqual(t, q.OwnVersion, q.PeerVersion, "changes are missing")
-			most := relay.MaxConfirmationAge
+			limit := relay.MaxConfirmationAge
 			if !q.HasFollowers {
-				most += relay.MaxTrustExtension
+				limit += relay.MaxTrustExtension
 			}
-			require.LessOrEqual(t, now.Sub(q.ConfirmedAt), most)
+			require.LessOrEqual(t, now.Sub(q.ConfirmedAt), limit)
 		case relay.Wait:
 			require.Less(t, now.Sub(q.AskedAt), relay.AskBackoffInterval)
 			require.True(t, q.Unanswered > 1 || now.Sub(q.AskedAt) < relay.AskInterval)
@@ -137,7 +137,7 @@
 	})
 }
 
-func TestAPeerIsLeftOnlyForAPlatformThatIsWell(t *testing.T) {
+func TestPeerIsLeftOnlyIfPlatformIsHealthy(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := relay.Query{Now: now, FollowedAt: now.Add(-time.Minute)}
 	require.True(t, relay.ShouldLeave(q, now.Add(10*time.Millisecond)))
--- a/coordination/relay/firsts.go
+++ b/coordination/relay/seed.go
@@ -8,10 +8,11 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// SeedEntries returns the entries that all others try to follow, those of each data center that rank
-// first, in order of rank. Who knows them need not know all.
+// SeedEntries returns the entries that all others try to follow: the highest-ranked entries of each
+// data center, in order of rank. An entry that knows the seed entries does not need to know the
+// others.
 func SeedEntries(records []protocol.EntryRecord) []protocol.EntryRecord {
 	ranked := slices.DeleteFunc(slices.Clone(records), func(r protocol.EntryRecord) bool { return r.Peers == "" })
-	slices.SortFunc(ranked, compare)
-	return leading(ranked, ownMost)
+	slices.SortFunc(ranked, compareRank)
+	return leadingOfEach(ranked, maxOwnCandidates)
 }
--- a/coordination/relay/share_test.go
+++ b/coordination/relay/share_test.go
@@ -11,26 +11,26 @@
 	"pinerun.example/pinerun/coordination/relay"
 )
 
-// TestCallsWhereNobodyConfirmsAreShared counts the calls of entries that are all out of touch for
-// a minute: some fifty each 2.8 s beside one by each, whatever their number, and each calls in time to
-// serve if the platform answers it alone.
-func TestCallsWhereNobodyConfirmsAreShared(t *testing.T) {
+// TestFallbackCallsAreShared counts the calls of entries that have no confirmation for a minute.
+// Together they make about fifty calls in 2.8 s and one more each, whatever their number. Each
+// calls in time to serve if the platform answers it alone.
+func TestFallbackCallsAreShared(t *testing.T) {
 	for _, entries := range []int{10, 50, 200, 985, 1970} {
-		begun := time.Unix(1000, 0)
+		start := time.Unix(1000, 0)
 		calls := 0
 		for i := range entries {
 			q := relay.Query{
-				ConfirmedAt: begun, LastConfirmedAt: begun, FollowedAt: begun.Add(-time.Hour), OwnVersion: 1, PeerVersion: 1,
+				ConfirmedAt: start, LastConfirmedAt: start, FollowedAt: start.Add(-time.Hour), OwnVersion: 1, PeerVersion: 1,
 				FallbackCallers: entries, Jitter: float64(i) / float64(entries),
 			}
 			asked := false
-			for at := begun; at.Before(begun.Add(time.Minute)); at = at.Add(100 * time.Millisecond) {
+			for at := start; at.Before(start.Add(time.Minute)); at = at.Add(100 * time.Millisecond) {
 				q.Now = at
 				if _, ask := relay.Decide(q).(relay.AskPlatform); !ask {
 					continue
 				}
 				if !asked {
-					require.LessOrEqual(t, at.Sub(begun), 10*time.Second)
+					require.LessOrEqual(t, at.Sub(start), 10*time.Second)
 				}
 				asked = true
 				q.AskedAt = at
@@ -40,21 +40,22 @@
 			require.True(t, asked)
 		}
 		t.Logf("%d calls of %d entries in a minute", calls, entries)
-		const shared = 50 * 60 * 10 / 28
-		require.LessOrEqual(t, calls, shared*5/4+entries)
+		const expected = 50 * 60 * 10 / 28
+		require.LessOrEqual(t, calls, expected*5/4+entries)
 	}
 }
 
-// TestWhoIsSoughtByOthersAsksAtOnce: the first four of a data center find out by themselves.
-func TestWhoIsSoughtByOthersAsksAtOnce(t *testing.T) {
+// TestSeedEntriesAskAtOnce checks that the first four entries of a data center ask the platform by
+// themselves.
+func TestSeedEntriesAskAtOnce(t *testing.T) {
 	all := records(300)
-	first := 0
-	for _, m := range all {
-		if relay.FallbackCallers(m, all) == 1 {
-			first++
+	seeds := 0
+	for _, entry := range all {
+		if relay.FallbackCallers(entry, all) == 1 {
+			seeds++
 		} else {
-			require.Equal(t, len(all), relay.FallbackCallers(m, all))
+			require.Equal(t, len(all), relay.FallbackCallers(entry, all))
 		}
 	}
-	require.Equal(t, 3*4, first, "of each of three data centers")
+	require.Equal(t, 3*4, seeds, "of each of three data centers")
 }
