--- a/coordination/bound/bound.go
+++ b/coordination/bound/bound.go
@@ -1,11 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package bound says how many positions a second the hardware allows.
+// Package bound computes upper bounds for the throughput of a fleet.
 //
-// Fleet is the limit if work could be divided at will; Flow is the limit with
-// the layers where they are, a maximum flow from layer 0 to the last. No
-// schedule over the same runners can be faster than Flow, and no placement
-// faster than Fleet.
+// Fleet is the bound in positions a second if work could be divided at will. Flow is the bound with
+// the layers as placed, a maximum flow from layer 0 to the last. No schedule over the same runners
+// can be faster than Flow, and no placement faster than Fleet.
 //
 //	b := bound.Of(layers, runners)
 //	b.Flow() <= b.Fleet()
@@ -13,17 +12,17 @@
 
 import "pinerun.example/pinerun/protocol"
 
-// Bound holds both limits in positions a second.
+// Bound holds both bounds in positions a second.
 type Bound struct{ fleet, flow float64 }
 
-// Fleet returns the divisible limit: all speed over the model's layers.
+// Fleet returns the bound for divisible work: the sum of all speeds divided by the model's layers.
 func (b Bound) Fleet() float64 { return b.fleet }
 
-// Flow returns the limit with the layers as placed.
+// Flow returns the bound with the layers as placed.
 func (b Bound) Flow() float64 { return b.flow }
 
-// Of returns the bounds of one model over runners that hold spans of it.
-// Runners with spans outside the model count for nothing.
+// Of returns the bounds of one model over runners that hold spans of it. Runners with spans outside
+// the model are ignored.
 func Of(layers int, runners []protocol.Runner) Bound {
 	if layers <= 0 {
 		return Bound{}
@@ -41,8 +40,8 @@
 	return Bound{fleet: total / float64(layers), flow: g.maxFlow()}
 }
 
-// graph has a node for each border between layers. Spans between the same
-// borders are one edge, for only the sum of their capacities matters.
+// graph has a node for each border between layers. Spans between the same borders are one edge,
+// since only the sum of their capacities matters.
 type graph struct {
 	capacity [][]float64
 	parent   []int
@@ -56,10 +55,10 @@
 	return g
 }
 
-// epsilon is the flow below which a path counts as full.
+// epsilon is the residual capacity below which an edge counts as full.
 const epsilon = 1e-9
 
-// maxFlow is the Edmonds-Karp algorithm. It spends the capacities.
+// maxFlow runs the Edmonds-Karp algorithm. It uses up the capacities.
 func (g *graph) maxFlow() float64 {
 	flow := 0.0
 	for g.search() {
@@ -68,7 +67,8 @@
 	return flow
 }
 
-// search finds a shortest path with room and notes it in parent.
+// search finds a shortest augmenting path and records it in parent. It reports whether there is
+// one.
 func (g *graph) search() bool {
 	for i := range g.parent {
 		g.parent[i] = -1
@@ -79,8 +79,8 @@
 	for len(queue) > 0 {
 		at := queue[0]
 		queue = queue[1:]
-		for to, room := range g.capacity[at] {
-			if room <= epsilon || g.parent[to] >= 0 {
+		for to, residual := range g.capacity[at] {
+			if residual <= epsilon || g.parent[to] >= 0 {
 				continue
 			}
 			g.parent[to] = at
@@ -93,15 +93,16 @@
 	return false
 }
 
+// augment sends as much flow as possible along the path in parent and returns the amount.
 func (g *graph) augment() float64 {
 	last := len(g.parent) - 1
-	room := g.capacity[g.parent[last]][last]
+	residual := g.capacity[g.parent[last]][last]
 	for at := last; at != 0; at = g.parent[at] {
-		room = min(room, g.capacity[g.parent[at]][at])
+		residual = min(residual, g.capacity[g.parent[at]][at])
 	}
 	for at := last; at != 0; at = g.parent[at] {
-		g.capacity[g.parent[at]][at] -= room
-		g.capacity[at][g.parent[at]] += room
+		g.capacity[g.parent[at]][at] -= residual
+		g.capacity[at][g.parent[at]] += residual
 	}
-	return room
+	return residual
 }
--- a/coordination/bound/fleet_test.go
+++ b/coordination/bound/data_center_test.go
@@ -14,7 +14,7 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// smallModel has ten layers of 100 MB; a token's cache takes 0.1 MB of each layer.
+// smallModel has ten layers of 100 MB. The KV cache of a token takes 0.1 MB in each layer.
 func smallModel() *protocol.EngineFacts {
 	return &protocol.EngineFacts{
 		Layers: 10, LayerMB: 100, TokenLayerMB: 0.1, StepMS: 10, SequenceMS: 0.1, ReadPerSecond: 1000, UsualPrompt: 8, UsualAnswer: 2,
@@ -30,7 +30,7 @@
 	return all
 }
 
-func TestOneEngineThatHoldsAll(t *testing.T) {
+func TestOneEngineHoldsAllLayers(t *testing.T) {
 	c := bound.DataCenters(smallModel(), engines("big", 1))[0]
 	require.InDelta(t, 1, c.Replicas(), 1e-9)
 	require.Equal(t, 1, c.Stages())
@@ -41,13 +41,13 @@
 	require.InDelta(t, 0, c.CapacityAfterLoss(), 1e-9)
 }
 
-func TestADataCenterWithoutACopyServesNothing(t *testing.T) {
+func TestDataCenterWithoutReplicaServesNothing(t *testing.T) {
 	c := bound.DataCenters(smallModel(), engines("small", 1))[0]
 	require.Zero(t, c.Capacity())
 	require.Zero(t, c.RequestsPerSecond())
 }
 
-// TestBoundsOfAnyFleet: a loss never leaves more room, and figures are never negative.
+// TestBoundsOfAnyFleet checks that a loss never raises the capacity, and that no bound is negative.
 func TestBoundsOfAnyFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := engines("big", rapid.IntRange(0, 3).Draw(t, "big"))
