--- a/state/registry/engine_state.go
+++ b/state/registry/engine_state.go
@@ -9,245 +9,249 @@
 	"pinerun.example/pinerun/state/addrowner"
 )
 
-// recordFresh is how long after a record has changed an engine's report says nothing against
-// it: reports are some hundred ms old.
-const recordFresh = 500 * time.Millisecond
+// maxReportAge is how long after a change of a record the engine's reports do not overrule it:
+// a report may be several hundred milliseconds old.
+const maxReportAge = 500 * time.Millisecond
 
-// UpdateResult is what a record told.
+// UpdateResult is the effect that a record had on the Registry.
 type UpdateResult uint8
 
-// What a record may tell.
+// The effects of a record.
 const (
-	// Changed is a change of an endpoint that is known.
+	// Changed means that the endpoint was already known.
 	Changed UpdateResult = iota
-	// Joined is an endpoint that was unknown.
+	// Joined means that the endpoint was unknown.
 	Joined
-	// Restarted is an endpoint that has started again and holds nothing of before.
+	// Restarted means that the endpoint has restarted and lost everything it held before.
 	Restarted
-	// Stale is a record of a life that is over, which changes nothing.
+	// Stale means that the record is of an earlier incarnation. It changes nothing.
 	Stale
 )
 
-// belief is what is believed of an endpoint against its record.
-type belief struct {
+// engineState is what is known of an endpoint beyond its record.
+type engineState struct {
 	restarts int
-	denied   bool          // the engine does not hold the layers of its record, but held
+	denied   bool          // the engine does not hold the layers of its record, but those in held
 	held     protocol.Span // empty unless denied
-	since    time.Time     // when it was first denied
-	orders   int           // taken by the engine, by its latest report
+	deniedAt time.Time     // when the layers were first denied
+	orders   int           // layer orders that the engine has accepted, by its latest report
 }
 
-// put takes one record. The mutex is held.
-func (r *Registry) put(e protocol.Endpoint, now time.Time) UpdateResult {
-	if e.Incarnation.Before(r.occupants.Incarnation(e.ID)) {
-		r.noteLate(e, now)
-		return Stale // written by an earlier life, and done late
+// putLocked applies one record. The caller holds the mutex.
+func (r *Registry) putLocked(e protocol.Endpoint, now time.Time) UpdateResult {
+	if e.Incarnation.Before(r.owners.Incarnation(e.ID)) {
+		r.addLateRecord(e, now)
+		return Stale // an earlier incarnation wrote it, and the write took effect late
 	}
-	delete(r.late, e.ID)
+	delete(r.lateRecords, e.ID)
 	if r.endpoints == nil {
 		r.endpoints = make(map[string]protocol.Endpoint)
 	}
-	old, there := r.endpoints[e.ID]
+	old, known := r.endpoints[e.ID]
 	r.endpoints[e.ID] = e
 	delete(r.vanished, e.ID)
 	delete(r.unrecorded, e.ID)
-	r.claim(&e, e.Layers, now)
+	r.recordClaim(&e, e.Layers, now)
 	switch {
-	case !there:
-		r.noteChange(e.ID, now)
+	case !known:
+		r.markRecordChanged(e.ID, now)
 		return Joined
-	case restarted(&old, &e):
-		r.restart(e.ID, now)
+	case hasRestarted(&old, &e):
+		r.resetState(e.ID, now)
 		return Restarted
 	}
 	if old.Layers != e.Layers {
-		r.trust(e.ID)
-		r.noteChange(e.ID, now)
+		r.trustRecord(e.ID)
+		r.markRecordChanged(e.ID, now)
 	}
 	return Changed
 }
 
-// claim enters an endpoint, which holds a span, as one that claims its address.
-func (r *Registry) claim(e *protocol.Endpoint, held protocol.Span, now time.Time) {
-	r.occupants.Record(addrowner.Claim{
+// recordClaim records the claim of an endpoint, which holds the given span, to its address.
+func (r *Registry) recordClaim(e *protocol.Endpoint, held protocol.Span, now time.Time) {
+	r.owners.Record(addrowner.Claim{
 		Endpoint: e.ID, Address: e.Address, Incarnation: e.Incarnation, HoldsLayers: held.Layers() > 0,
 	}, now)
 }
 
-// restarted reports whether the later of two records is of a later life. Where it is not
-// told, records are counted from none again.
-func restarted(before, after *protocol.Endpoint) bool {
+// hasRestarted reports whether the later of two records is of a later incarnation. If either
+// record lacks its incarnation, a lower heartbeat count shows the restart, as each process
+// counts its heartbeats from zero.
+func hasRestarted(before, after *protocol.Endpoint) bool {
 	if before.Incarnation.Known() && after.Incarnation.Known() {
 		return before.Incarnation.Before(after.Incarnation)
 	}
 	return after.Heartbeats < before.Heartbeats
 }
 
-// restart forgets what is believed and measured of an endpoint's earlier life.
-func (r *Registry) restart(id string, now time.Time) {
-	r.believe(id, belief{restarts: r.beliefs[id].restarts + 1})
-	r.noteChange(id, now)
+// resetState drops everything known and measured of an endpoint's earlier incarnation.
+func (r *Registry) resetState(id string, now time.Time) {
+	r.setState(id, engineState{restarts: r.engineStates[id].restarts + 1})
+	r.markRecordChanged(id, now)
 }
 
-// trust believes the record of an endpoint again.
-func (r *Registry) trust(id string) {
-	if b, there := r.beliefs[id]; there {
-		r.believe(id, belief{restarts: b.restarts, orders: b.orders})
+// trustRecord makes the layers of an endpoint's record count again.
+func (r *Registry) trustRecord(id string) {
+	if state, ok := r.engineStates[id]; ok {
+		r.setState(id, engineState{restarts: state.restarts, orders: state.orders})
 	}
 }
 
-// believe replaces what is believed of an endpoint.
-func (r *Registry) believe(id string, b belief) {
-	if r.beliefs == nil {
-		r.beliefs = make(map[string]belief)
+// setState replaces the state of an endpoint.
+func (r *Registry) setState(id string, state engineState) {
+	if r.engineStates == nil {
+		r.engineStates = make(map[string]engineState)
 	}
-	r.beliefs[id] = b
+	r.engineStates[id] = state
 }
 
-// noteChange notes when a record told something new: older reports say nothing against it.
-func (r *Registry) noteChange(id string, now time.Time) {
-	if r.changedAt == nil {
-		r.changedAt = make(map[string]time.Time)
+// markRecordChanged notes when a record last had new content: older reports do not overrule it.
+func (r *Registry) markRecordChanged(id string, now time.Time) {
+	if r.recordChangedAt == nil {
+		r.recordChangedAt = make(map[string]time.Time)
 	}
-	r.changedAt[id] = now
+	r.recordChangedAt[id] = now
 }
 
-// forget forgets what is believed of an endpoint whose record is gone.
+// forget drops the state of an endpoint whose record is gone.
 func (r *Registry) forget(id string, now time.Time) {
-	r.occupants.RecordRemoved(id, now)
-	delete(r.beliefs, id)
-	delete(r.changedAt, id)
-	delete(r.unused, id)
+	r.owners.RecordRemoved(id, now)
+	delete(r.engineStates, id)
+	delete(r.recordChangedAt, id)
+	delete(r.unusedRecords, id)
 }
 
-// believed returns an endpoint with the layers that it is believed to hold.
-func (r *Registry) believed(e protocol.Endpoint) protocol.Endpoint {
-	if b := r.beliefs[e.ID]; b.denied {
-		e.Layers = b.held
+// withHeldLayers returns an endpoint with the layers that its engine is known to hold.
+func (r *Registry) withHeldLayers(e protocol.Endpoint) protocol.Endpoint {
+	if state := r.engineStates[e.ID]; state.denied {
+		e.Layers = state.held
 	}
 	return e
 }
 
-// Incarnation returns the latest life of an endpoint that is known.
+// Incarnation returns the latest known incarnation of an endpoint.
 func (r *Registry) Incarnation(id string) protocol.Incarnation {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.occupants.Incarnation(id)
+	return r.owners.Incarnation(id)
 }
 
-// LayersDenied notes that an engine said that it does not hold the layers of its record, and
-// reports whether that was news. A record that has changed since stands.
-func (r *Registry) LayersDenied(id string, life protocol.Incarnation, at time.Time) bool {
+// LayersDenied handles an engine's statement that it does not hold the layers of its record,
+// and reports whether that changes anything. The statement is ignored if it is older than the
+// latest change of the record or comes from an earlier incarnation.
+func (r *Registry) LayersDenied(id string, incarnation protocol.Incarnation, at time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	e, there := r.endpoints[id]
-	if !there || e.Layers.Layers() == 0 || at.Before(r.changedAt[id]) || life.Before(e.Incarnation) {
+	e, ok := r.endpoints[id]
+	if !ok || e.Layers.Layers() == 0 || at.Before(r.recordChangedAt[id]) || incarnation.Before(e.Incarnation) {
 		return false
 	}
-	return r.deny(id, protocol.Span{}, at)
+	return r.denyRecord(id, protocol.Span{}, at)
 }
 
-// deny believes that an engine holds a span, whatever its record says.
-func (r *Registry) deny(id string, held protocol.Span, now time.Time) bool {
-	b := r.beliefs[id]
-	if b.denied && b.held == held {
+// denyRecord notes that an engine holds the given span, whatever its record says.
+func (r *Registry) denyRecord(id string, held protocol.Span, now time.Time) bool {
+	state := r.engineStates[id]
+	if state.denied && state.held == held {
 		return false
 	}
-	if !b.denied {
-		b.since = now
+	if !state.denied {
+		state.deniedAt = now
 	}
-	b.denied, b.held = true, held
-	r.believe(id, b)
-	r.changed()
+	state.denied, state.held = true, held
+	r.setState(id, state)
+	r.markChanged()
 	return true
 }
 
-// LayersConfirmed notes that an engine held what its record says after all when it was asked, and
-// reports whether that was news.
+// LayersConfirmed handles an answer by which an engine holds the layers of its record after
+// all, and reports whether that changes anything. Answers to probes sent before the layers
+// were denied are ignored.
 func (r *Registry) LayersConfirmed(id string, at time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if b := r.beliefs[id]; !b.denied || at.Before(b.since) {
+	if state := r.engineStates[id]; !state.denied || at.Before(state.deniedAt) {
 		return false
 	}
-	r.trust(id)
-	r.changed()
+	r.trustRecord(id)
+	r.markChanged()
 	return true
 }
 
-// ReportResult is what an engine's own report says of its record.
+// ReportResult is how an engine's own report compares with its record.
 type ReportResult uint8
 
-// What a report may say of a record.
+// The results of comparing a report with a record.
 const (
-	// ReportMatches is a report of the layers that the record names.
+	// ReportMatches means that the report names the layers of the record.
 	ReportMatches ReportResult = iota
-	// ReportDiffers is a report of other layers than were believed, or of another life.
+	// ReportDiffers means that the report names layers other than those known, or is of a later
+	// incarnation.
 	ReportDiffers
-	// ReportIgnored is a report that changes nothing: it tells no layers, or those believed
-	// already, is of an earlier life, or the record may be newer.
+	// ReportIgnored means that the report changes nothing: it names no layers, or only layers
+	// already known, it is of an earlier incarnation, or the record may be newer.
 	ReportIgnored
 )
 
-// Report takes an engine's own report.
-func (r *Registry) Report(id string, p *protocol.EngineReport, now time.Time) ReportResult {
+// Report applies an engine's own report.
+func (r *Registry) Report(id string, report *protocol.EngineReport, now time.Time) ReportResult {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	e, there := r.endpoints[id]
-	if !there || p.Incarnation.Before(e.Incarnation) {
+	e, ok := r.endpoints[id]
+	if !ok || report.Incarnation.Before(e.Incarnation) {
 		return ReportIgnored
 	}
-	b := r.beliefs[id]
-	sameLife := e.Incarnation.Known() && e.Incarnation == p.Incarnation
+	state := r.engineStates[id]
+	sameIncarnation := e.Incarnation.Known() && e.Incarnation == report.Incarnation
 	switch {
-	case p.Orders < b.orders && sameLife:
-		return ReportIgnored // two were asked for at a time, and this one came last
-	case p.Orders < b.orders, e.Incarnation.Before(p.Incarnation):
-		return r.startedAgain(e, p, now)
-	case p.Orders > b.orders:
-		b.orders = p.Orders
-		r.believe(id, b)
+	case report.Orders < state.orders && sameIncarnation:
+		return ReportIgnored // two reports were requested concurrently, and this is the older one
+	case report.Orders < state.orders, e.Incarnation.Before(report.Incarnation):
+		return r.handleRestart(e, report, now)
+	case report.Orders > state.orders:
+		state.orders = report.Orders
+		r.setState(id, state)
 	}
 	switch {
-	case !p.LayersKnown:
+	case !report.LayersKnown:
 		return ReportIgnored
-	case p.Layers == e.Layers:
-		if b.denied {
-			r.trust(id)
-			r.changed()
+	case report.Layers == e.Layers:
+		if state.denied {
+			r.trustRecord(id)
+			r.markChanged()
 		}
 		return ReportMatches
-	case b.denied && b.held == p.Layers, now.Before(r.changedAt[id].Add(recordFresh)):
+	case state.denied && state.held == report.Layers, now.Before(r.recordChangedAt[id].Add(maxReportAge)):
 		return ReportIgnored
 	default:
-		r.deny(id, p.Layers, now)
+		r.denyRecord(id, report.Layers, now)
 		return ReportDiffers
 	}
 }
 
-// startedAgain notes that an engine has started again since it wrote its record.
-func (r *Registry) startedAgain(e protocol.Endpoint, p *protocol.EngineReport, now time.Time) ReportResult {
-	if p.Incarnation.Known() {
-		e.Incarnation = p.Incarnation
+// handleRestart notes that an engine has restarted since it wrote its record.
+func (r *Registry) handleRestart(e protocol.Endpoint, report *protocol.EngineReport, now time.Time) ReportResult {
+	if report.Incarnation.Known() {
+		e.Incarnation = report.Incarnation
 	}
 	r.endpoints[e.ID] = e
-	r.occupants.NextBatch()
-	r.claim(&e, p.Layers, now)
-	r.restart(e.ID, now)
-	if p.LayersKnown {
-		r.deny(e.ID, p.Layers, now)
-	}
-	r.anew = append(r.anew, r.believed(e))
-	r.changed()
+	r.owners.NextBatch()
+	r.recordClaim(&e, report.Layers, now)
+	r.resetState(e.ID, now)
+	if report.LayersKnown {
+		r.denyRecord(e.ID, report.Layers, now)
+	}
+	r.restarted = append(r.restarted, r.withHeldLayers(e))
+	r.markChanged()
 	return ReportDiffers
 }
 
-// TakeRestarted returns the endpoints of which a report or a list showed since the last call that
-// they have started again.
+// TakeRestarted returns the endpoints whose restart was first seen in a report or in a list
+// since the last call.
 func (r *Registry) TakeRestarted() []protocol.Endpoint {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	all := r.anew
-	r.anew = nil
-	return all
+	endpoints := r.restarted
+	r.restarted = nil
+	return endpoints
 }
--- a/state/registry/late_record.go
+++ b/state/registry/late_record.go
@@ -9,57 +9,57 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// lateRecord is a record that looks like one of a life that is over, and until when that is
-// believed.
+// lateRecord is a record that seems to be of an earlier incarnation, and how long it is
+// ignored for that reason.
 type lateRecord struct {
 	endpoint protocol.Endpoint
-	till     time.Time
+	until    time.Time
 }
 
-// noteLate notes a record that looks like one of a life that is over. A living process writes
-// over it at its next heartbeat. One that stands for longer is of a process whose clock was set
-// back, or the later start that was told was not that of this endpoint.
-func (r *Registry) noteLate(e protocol.Endpoint, now time.Time) {
-	if r.late == nil {
-		r.late = make(map[string]lateRecord)
+// addLateRecord notes a record that seems to be of an earlier incarnation. A running process
+// overwrites such a record at its next heartbeat. If the record remains, either the clock of
+// the process was set back, or the later incarnation was reported of a different endpoint.
+func (r *Registry) addLateRecord(e protocol.Endpoint, now time.Time) {
+	if r.lateRecords == nil {
+		r.lateRecords = make(map[string]lateRecord)
 	}
-	l, there := r.late[e.ID]
-	if !there || l.endpoint.Incarnation != e.Incarnation {
-		l.till = now.Add(ProbeGrace)
+	l, ok := r.lateRecords[e.ID]
+	if !ok || l.endpoint.Incarnation != e.Incarnation {
+		l.until = now.Add(ProbeGrace)
 	}
 	l.endpoint = e
-	r.late[e.ID] = l
+	r.lateRecords[e.ID] = l
 }
 
-// keepLate forgets the late records that are not in a list.
-func (r *Registry) keepLate(list []protocol.Endpoint) {
-	if len(r.late) == 0 {
+// pruneLateRecords drops the late records that are not in a list.
+func (r *Registry) pruneLateRecords(list []protocol.Endpoint) {
+	if len(r.lateRecords) == 0 {
 		return
 	}
 	listed := make(map[string]bool, len(list))
 	for _, e := range list {
 		listed[e.ID] = true
 	}
-	maps.DeleteFunc(r.late, func(id string, _ lateRecord) bool { return !listed[id] })
+	maps.DeleteFunc(r.lateRecords, func(id string, _ lateRecord) bool { return !listed[id] })
 }
 
-// believeLate believes the late records that have stood for long enough. While the platform does
-// not answer nobody can write over them.
-func (r *Registry) believeLate(now time.Time) {
-	if r.unsettled(now) {
+// acceptLateRecords applies the late records that have remained for ProbeGrace. It waits while
+// the platform does not answer, because no process can overwrite its record then.
+func (r *Registry) acceptLateRecords(now time.Time) {
+	if r.inOutageGrace(now) {
 		return
 	}
-	for id, l := range r.late {
-		if now.Before(l.till) {
+	for id, l := range r.lateRecords {
+		if now.Before(l.until) {
 			continue
 		}
-		delete(r.late, id)
+		delete(r.lateRecords, id)
 		delete(r.endpoints, id)
-		r.occupants.NextBatch()
-		r.occupants.Forget(id)
-		r.put(l.endpoint, now)
-		r.restart(id, now)
-		r.anew = append(r.anew, l.endpoint)
-		r.changed()
+		r.owners.NextBatch()
+		r.owners.Forget(id)
+		r.putLocked(l.endpoint, now)
+		r.resetState(id, now)
+		r.restarted = append(r.restarted, l.endpoint)
+		r.markChanged()
 	}
 }
--- a/state/registry/model_test.go
+++ b/state/registry/model_test.go
@@ -17,87 +17,87 @@
 	"pinerun.example/pinerun/state/registry"
 )
 
-// process is one life of an engine.
+// process is one incarnation of an engine.
 type process struct {
-	id      string
-	address string
-	life    protocol.Incarnation // what it tells of its start
-	layers  protocol.Span
-	orders  int
-	beats   int
+	id          string
+	address     string
+	incarnation protocol.Incarnation // that it announces, 0 for none
+	layers      protocol.Span
+	orders      int
+	heartbeats  int
 }
 
-// beat returns the record that the engine writes now.
-func (p *process) beat() protocol.Endpoint {
-	p.beats++
+// record returns the record that the engine writes now.
+func (p *process) record() protocol.Endpoint {
+	p.heartbeats++
 
 	e := engine(p.id, "a", p.layers.From, p.layers.To)
-	e.Address, e.Incarnation, e.Heartbeats = p.address, p.life, p.beats
+	e.Address, e.Incarnation, e.Heartbeats = p.address, p.incarnation, p.heartbeats
 	return e
 }
 
-// word is news of who answers at an address, on its way to an entry.
-type word struct {
-	endpoint, occupant string
-	life               protocol.Incarnation
-	at                 time.Time
+// report is a report of which endpoint answers at an address, on its way to an entry.
+type report struct {
+	endpoint, owner string
+	incarnation     protocol.Incarnation
+	at              time.Time
 }
 
 // change is one change of the records.
 type change struct {
 	endpoint protocol.Endpoint
-	gone     bool
+	removed  bool
 }
 
-// reader is an entry: what it believes, how far it has read the changes, and what it will
-// be told.
-type reader struct {
-	roster *registry.Registry
-	read   int
-	words  []word
+// entry is an entry with its registry, the number of changes that it has read, and the
+// reports that it has not yet received.
+type entry struct {
+	registry *registry.Registry
+	read     int
+	reports  []report
 }
 
-// fleetWorld is engines at addresses, the records of them, and entries.
-type fleetWorld struct {
-	t       *rapid.T
-	now     time.Time
-	tells   bool // whether engines tell their starts
-	setBack bool // whether the clock of one was
-	alive   map[string]*process
-	used    []string // IDs
-	written []protocol.Endpoint
-	records map[string]protocol.Endpoint
-	changes []change
-	entries []*reader
+// fleetModel consists of engines at addresses, their records, and entries.
+type fleetModel struct {
+	t            *rapid.T
+	now          time.Time
+	announces    bool // whether engines announce their incarnations
+	clockSetBack bool // whether the clock of an engine was set back
+	running      map[string]*process
+	used         []string // IDs
+	written      []protocol.Endpoint
+	records      map[string]protocol.Endpoint
+	changes      []change
+	entries      []*entry
 }
 
-func newFleetWorld(t *rapid.T) *fleetWorld {
-	w := &fleetWorld{
-		t: t, now: time.Unix(1000, 0), tells: rapid.Bool().Draw(t, "tells"),
-		alive: make(map[string]*process), records: make(map[string]protocol.Endpoint),
+func newFleetModel(t *rapid.T) *fleetModel {
+	m := &fleetModel{
+		t: t, now: time.Unix(1000, 0), announces: rapid.Bool().Draw(t, "announces"),
+		running: make(map[string]*process), records: make(map[string]protocol.Endpoint),
 	}
 	for range 2 {
-		w.entries = append(w.entries, &reader{roster: newRoster()})
+		m.entries = append(m.entries, &entry{registry: newRegistry()})
 	}
 	for _, a := range []string{"x:1", "y:1"} {
-		w.begin(a, fmt.Sprint("e-", len(w.used)))
-		w.alive[a].layers, w.alive[a].orders = protocol.Span{From: 0, To: 5}, 1
-		w.put(w.alive[a].beat())
+		m.startProcess(a, fmt.Sprint("e-", len(m.used)))
+		m.running[a].layers, m.running[a].orders = protocol.Span{From: 0, To: 5}, 1
+		m.put(m.running[a].record())
 	}
-	for _, r := range w.entries {
-		w.readAll(r)
+	for _, r := range m.entries {
+		m.readAll(r)
 	}
-	return w
+	return m
 }
 
-func (w *fleetWorld) drawAddress() string {
-	return rapid.SampledFrom([]string{"x:1", "y:1"}).Draw(w.t, "address")
+func (m *fleetModel) drawAddress() string {
+	return rapid.SampledFrom([]string{"x:1", "y:1"}).Draw(m.t, "address")
 }
 
-func (w *fleetWorld) drawEntry() *reader { return rapid.SampledFrom(w.entries).Draw(w.t, "entry") }
+func (m *fleetModel) drawEntry() *entry { return rapid.SampledFrom(m.entries).Draw(m.t, "entry") }
 
-func (w *fleetWorld) living(id string) *process {
-	for _, p := range w.alive {
+func (m *fleetModel) processOf(id string) *process {
+	for _, p := range m.running {
 		if p.id == id {
 			return p
 		}
@@ -105,269 +105,272 @@
 	return nil
 }
 
-func (w *fleetWorld) drawLayers() protocol.Span {
-	from := rapid.IntRange(0, 4).Draw(w.t, "from")
-	return protocol.Span{From: from, To: from + rapid.IntRange(1, 5).Draw(w.t, "layers")}
+func (m *fleetModel) drawLayers() protocol.Span {
+	from := rapid.IntRange(0, 4).Draw(m.t, "from")
+	return protocol.Span{From: from, To: from + rapid.IntRange(1, 5).Draw(m.t, "layers")}
 }
 
-// setBack is how far the clock of an engine's machine may be behind that of an earlier life's.
-const setBack = 100 * time.Second
+// maxClockSetBack is how far the clock of an engine's machine may be behind that of an earlier
+// incarnation.
+const maxClockSetBack = 100 * time.Second
 
-// begin starts an engine at an address, in place of the one that is there.
-func (w *fleetWorld) begin(address, id string) {
+// startProcess starts an engine at an address, in place of the one there.
+func (m *fleetModel) startProcess(address, id string) {
 	p := &process{id: id, address: address}
-	w.now = w.now.Add(time.Millisecond) // no two lives of an ID start at the same time
-	if w.tells {
-		p.life = protocol.Incarnation(w.now.UnixMilli())
-		if rapid.Bool().Draw(w.t, "clock set back") {
-			p.life -= protocol.Incarnation(setBack.Milliseconds())
-			w.setBack = true
+	m.now = m.now.Add(time.Millisecond) // no two incarnations of an ID start at the same time
+	if m.announces {
+		p.incarnation = protocol.Incarnation(m.now.UnixMilli())
+		if rapid.Bool().Draw(m.t, "clock set back") {
+			p.incarnation -= protocol.Incarnation(maxClockSetBack.Milliseconds())
+			m.clockSetBack = true
 		}
 	}
-	w.alive[address] = p
-	if !slices.Contains(w.used, id) {
-		w.used = append(w.used, id)
+	m.running[address] = p
+	if !slices.Contains(m.used, id) {
+		m.used = append(m.used, id)
 	}
 }
 
-// start starts an engine at an address, under a new ID or one that was used before.
-func (w *fleetWorld) start(*rapid.T) {
-	a := w.drawAddress()
-	delete(w.alive, a)
-	id := fmt.Sprint("e-", len(w.used))
-	if rapid.Bool().Draw(w.t, "again") {
-		id = rapid.SampledFrom(w.used).Draw(w.t, "id")
+// start starts an engine at an address, under a new ID or a used one.
+func (m *fleetModel) start(*rapid.T) {
+	a := m.drawAddress()
+	delete(m.running, a)
+	id := fmt.Sprint("e-", len(m.used))
+	if rapid.Bool().Draw(m.t, "reuse an ID") {
+		id = rapid.SampledFrom(m.used).Draw(m.t, "id")
 	}
-	if w.living(id) == nil {
-		w.begin(a, id)
+	if m.processOf(id) == nil {
+		m.startProcess(a, id)
 	}
 }
 
-func (w *fleetWorld) crash(*rapid.T) { delete(w.alive, w.drawAddress()) }
+func (m *fleetModel) crash(*rapid.T) { delete(m.running, m.drawAddress()) }
 
-func (w *fleetWorld) order(*rapid.T) {
-	if p := w.alive[w.drawAddress()]; p != nil {
-		p.layers = w.drawLayers()
+func (m *fleetModel) order(*rapid.T) {
+	if p := m.running[m.drawAddress()]; p != nil {
+		p.layers = m.drawLayers()
 		p.orders++
 	}
 }
 
-// put writes a record. It is no change if only the number of writes differs.
-func (w *fleetWorld) put(e protocol.Endpoint) {
-	same := w.records[e.ID]
-	same.Heartbeats = e.Heartbeats
-	if same == e {
+// put writes a record. If only the number of heartbeats differs, that is not a change.
+func (m *fleetModel) put(e protocol.Endpoint) {
+	unchanged := m.records[e.ID]
+	unchanged.Heartbeats = e.Heartbeats
+	if unchanged == e {
 		return
 	}
-	w.now = w.now.Add(time.Millisecond)
-	w.records[e.ID] = e
-	w.written = append(w.written, e)
-	w.changes = append(w.changes, change{endpoint: e})
+	m.now = m.now.Add(time.Millisecond)
+	m.records[e.ID] = e
+	m.written = append(m.written, e)
+	m.changes = append(m.changes, change{endpoint: e})
 }
 
 // write lets an engine write its record.
-func (w *fleetWorld) write(*rapid.T) {
-	if p := w.alive[w.drawAddress()]; p != nil {
-		w.put(p.beat())
+func (m *fleetModel) write(*rapid.T) {
+	if p := m.running[m.drawAddress()]; p != nil {
+		m.put(p.record())
 	}
 }
 
-// writeLate does a write that was under way for long, of whichever life.
-func (w *fleetWorld) writeLate(*rapid.T) {
-	if len(w.written) > 0 {
-		w.put(rapid.SampledFrom(w.written).Draw(w.t, "late"))
+// writeLate completes a write that was in flight for long, of any incarnation.
+func (m *fleetModel) writeLate(*rapid.T) {
+	if len(m.written) > 0 {
+		m.put(rapid.SampledFrom(m.written).Draw(m.t, "late"))
 	}
 }
 
-// lapse takes away any record: also those of the living lapse while the platform is away.
-func (w *fleetWorld) lapse(*rapid.T) {
-	if len(w.records) > 0 {
-		w.remove(rapid.SampledFrom(slices.Sorted(maps.Keys(w.records))).Draw(w.t, "lapses"))
+// expire removes any record: even records of running engines expire while the platform is
+// unavailable.
+func (m *fleetModel) expire(*rapid.T) {
+	if len(m.records) > 0 {
+		m.remove(rapid.SampledFrom(slices.Sorted(maps.Keys(m.records))).Draw(m.t, "expires"))
 	}
 }
 
-func (w *fleetWorld) remove(id string) {
-	w.changes = append(w.changes, change{endpoint: w.records[id], gone: true})
-	delete(w.records, id)
+func (m *fleetModel) remove(id string) {
+	m.changes = append(m.changes, change{endpoint: m.records[id], removed: true})
+	delete(m.records, id)
 }
 
-func (w *fleetWorld) readOne(r *reader) {
-	if r.read == len(w.changes) {
+func (m *fleetModel) readOne(e *entry) {
+	if e.read == len(m.changes) {
 		return
 	}
-	c := w.changes[r.read]
-	r.read++
-	if c.gone {
-		r.roster.Remove(c.endpoint.ID, w.now)
+	c := m.changes[e.read]
+	e.read++
+	if c.removed {
+		e.registry.Remove(c.endpoint.ID, m.now)
 	} else {
-		r.roster.Update(c.endpoint, w.now)
+		e.registry.Update(c.endpoint, m.now)
 	}
 }
 
-func (w *fleetWorld) readAll(r *reader) {
-	for r.read < len(w.changes) {
-		w.readOne(r)
+func (m *fleetModel) readAll(e *entry) {
+	for e.read < len(m.changes) {
+		m.readOne(e)
 	}
 }
 
-func (w *fleetWorld) see(*rapid.T) { w.readAll(w.drawEntry()) }
+func (m *fleetModel) readChanges(*rapid.T) { m.readAll(m.drawEntry()) }
 
-// publish lets an engine take an order and write its record, and an entry see it.
-func (w *fleetWorld) publish(t *rapid.T) {
-	w.order(t)
-	w.write(t)
-	w.see(t)
+// publish lets an engine accept an order and write its record, and an entry read it.
+func (m *fleetModel) publish(t *rapid.T) {
+	m.order(t)
+	m.write(t)
+	m.readChanges(t)
 }
 
-// hear tells an entry some news, in any order.
-func (w *fleetWorld) hear(*rapid.T) {
-	r := w.drawEntry()
-	if len(r.words) == 0 {
+// deliver lets an entry receive one of its reports, in any order.
+func (m *fleetModel) deliver(*rapid.T) {
+	e := m.drawEntry()
+	if len(e.reports) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(r.words)-1).Draw(w.t, "news")
-	w.believe(r, r.words[i])
-	r.words = slices.Delete(r.words, i, i+1)
+	i := rapid.IntRange(0, len(e.reports)-1).Draw(m.t, "report")
+	m.applyReport(e, e.reports[i])
+	e.reports = slices.Delete(e.reports, i, i+1)
 }
 
-func (w *fleetWorld) believe(r *reader, n word) {
-	switch n.occupant {
+func (m *fleetModel) applyReport(e *entry, report report) {
+	switch report.owner {
 	case "":
-		r.roster.LayersDenied(n.endpoint, n.life, n.at)
-	case n.endpoint:
-		r.roster.OwnerAnswered(n.endpoint, n.occupant, n.life, n.at)
-		r.roster.LayersConfirmed(n.endpoint, n.at)
+		e.registry.LayersDenied(report.endpoint, report.incarnation, report.at)
+	case report.endpoint:
+		e.registry.OwnerAnswered(report.endpoint, report.owner, report.incarnation, report.at)
+		e.registry.LayersConfirmed(report.endpoint, report.at)
 	default:
-		r.roster.OwnerAnswered(n.endpoint, n.occupant, n.life, n.at)
+		e.registry.OwnerAnswered(report.endpoint, report.owner, report.incarnation, report.at)
 	}
 }
 
-// met lets an entry take what an answer told it, and tell the others.
-func (w *fleetWorld) met(r *reader, endpoint, occupant string) {
-	n := word{endpoint: endpoint, occupant: occupant, life: r.roster.Incarnation(endpoint), at: w.now}
-	w.believe(r, n)
-	for _, o := range w.entries {
-		if o != r {
-			o.words = append(o.words, n)
+// observe lets an entry apply what an answer showed, and sends the report to the other entries.
+func (m *fleetModel) observe(e *entry, endpoint, owner string) {
+	n := report{endpoint: endpoint, owner: owner, incarnation: e.registry.Incarnation(endpoint), at: m.now}
+	m.applyReport(e, n)
+	for _, o := range m.entries {
+		if o != e {
+			o.reports = append(o.reports, n)
 		}
 	}
 }
 
-// send sends a request to an engine that an entry uses. What its answer disproves the entry
-// does not use any more.
-func (w *fleetWorld) send(t *rapid.T) {
-	r := w.drawEntry()
-	if len(r.roster.Endpoints()) == 0 {
+// request sends a request to an engine that an entry uses. If the answer disproves the
+// record, the entry no longer uses it.
+func (m *fleetModel) request(t *rapid.T) {
+	r := m.drawEntry()
+	if len(r.registry.Endpoints()) == 0 {
 		return
 	}
-	e := rapid.SampledFrom(r.roster.Endpoints()).Draw(t, "endpoint")
-	p := w.alive[e.Address]
+	e := rapid.SampledFrom(r.registry.Endpoints()).Draw(t, "endpoint")
+	p := m.running[e.Address]
 	if p == nil || e.Layers.Layers() == 0 {
 		return
 	}
 	switch {
 	case p.id != e.ID:
-		w.met(r, e.ID, p.id)
-		require.NotContains(t, ids(r.roster.Endpoints()), e.ID)
+		m.observe(r, e.ID, p.id)
+		require.NotContains(t, ids(r.registry.Endpoints()), e.ID)
 	case p.layers != e.Layers:
-		w.met(r, e.ID, "")
-		require.NotContains(t, r.roster.Endpoints(), e)
+		m.observe(r, e.ID, "")
+		require.NotContains(t, r.registry.Endpoints(), e)
 	}
 }
 
-// inquire lets an entry ask where it is unclear.
-func (w *fleetWorld) inquire(r *reader, others bool) {
-	r.roster.TakeUseChanges()
-	for _, q := range r.roster.DueProbes(others, w.now) {
-		p := w.alive[q.Address()]
+// probeFrom sends the probes that an entry has due.
+func (m *fleetModel) probeFrom(e *entry, anotherProbes bool) {
+	e.registry.TakeUseChanges()
+	for _, due := range e.registry.DueProbes(anotherProbes, m.now) {
+		p := m.running[due.Address()]
 		if p == nil {
 			continue
 		}
-		if p.id == q.Endpoint() && q.AsksLayers() {
-			report := protocol.EngineReport{Layers: p.layers, LayersKnown: true, Incarnation: p.life, Orders: p.orders}
-			if r.roster.Report(p.id, &report, w.now) != registry.ReportMatches {
+		if p.id == due.Endpoint() && due.AsksLayers() {
+			report := protocol.EngineReport{Layers: p.layers, LayersKnown: true, Incarnation: p.incarnation, Orders: p.orders}
+			if e.registry.Report(p.id, &report, m.now) != registry.ReportMatches {
 				continue
 			}
 		}
-		w.met(r, q.Endpoint(), p.id)
+		m.observe(e, due.Endpoint(), p.id)
 	}
 }
 
-func (w *fleetWorld) ask(*rapid.T) {
-	for i, r := range w.entries {
-		w.inquire(r, i > 0)
+func (m *fleetModel) probe(*rapid.T) {
+	for i, r := range m.entries {
+		m.probeFrom(r, i > 0)
 	}
 }
 
-func (w *fleetWorld) pass(*rapid.T) {
-	w.now = w.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(w.t, "ms")) * time.Millisecond)
+func (m *fleetModel) advance(*rapid.T) {
+	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(m.t, "ms")) * time.Millisecond)
 }
 
 // check checks that no entry uses two engines of one address.
-func (w *fleetWorld) check(t *rapid.T) {
-	for _, r := range w.entries {
-		users := make(map[string]string)
-		for _, e := range r.roster.Endpoints() {
-			require.Empty(t, users[e.Address], "%s and %s at %s", users[e.Address], e.ID, e.Address)
-			users[e.Address] = e.ID
+func (m *fleetModel) check(t *rapid.T) {
+	for _, r := range m.entries {
+		owners := make(map[string]string)
+		for _, e := range r.registry.Endpoints() {
+			require.Empty(t, owners[e.Address], "%s and %s at %s", owners[e.Address], e.ID, e.Address)
+			owners[e.Address] = e.ID
 		}
 	}
 }
 
-// calm lets nothing happen but what engines and entries do by themselves.
-func (w *fleetWorld) calm(d time.Duration) {
-	for till := w.now.Add(d); w.now.Before(till); w.now = w.now.Add(250 * time.Millisecond) {
-		for _, id := range slices.Sorted(maps.Keys(w.records)) {
-			if w.living(id) == nil {
-				w.remove(id)
+// settle runs only the periodic work of engines and entries.
+func (m *fleetModel) settle(d time.Duration) {
+	for until := m.now.Add(d); m.now.Before(until); m.now = m.now.Add(250 * time.Millisecond) {
+		for _, id := range slices.Sorted(maps.Keys(m.records)) {
+			if m.processOf(id) == nil {
+				m.remove(id)
 			}
 		}
-		for _, a := range slices.Sorted(maps.Keys(w.alive)) {
-			w.put(w.alive[a].beat())
+		for _, a := range slices.Sorted(maps.Keys(m.running)) {
+			m.put(m.running[a].record())
 		}
-		for _, r := range w.entries {
-			w.readAll(r)
-			for _, n := range r.words {
-				w.believe(r, n)
+		for _, r := range m.entries {
+			m.readAll(r)
+			for _, n := range r.reports {
+				m.applyReport(r, n)
 			}
-			r.words = nil
+			r.reports = nil
 		}
-		w.ask(w.t)
-		for _, r := range w.entries {
-			r.roster.Sweep(w.now)
+		m.probe(m.t)
+		for _, r := range m.entries {
+			r.registry.Sweep(m.now)
 		}
 	}
 }
 
-// leftOut bounds how long an engine that lives, and whose record stands, may be left out or
-// taken for an earlier life.
-const leftOut = registry.ProbeGrace + addrowner.ProbeInterval
+// maxLeftOut bounds how long a running engine whose record remains may be left out or taken
+// for an earlier incarnation.
+const maxLeftOut = registry.ProbeGrace + addrowner.ProbeInterval
 
-// TestEnginesThatLiveAreUsedAndOnlyThose lets engines start, crash and start again, records
-// come late, lapse and come back, and entries see parts of it and hear news in any order.
-// Never are two engines of one address used; what an answer disproves is not used from then
-// on; and soon after everything is calm each entry uses the engines that live, with their layers.
-func TestEnginesThatLiveAreUsedAndOnlyThose(t *testing.T) {
+// TestOnlyRunningEnginesAreUsed is a model test. Engines start, crash and restart; records
+// arrive late, expire and come back; entries read parts of the changes and receive reports in
+// any order. No entry may use two engines of one address, or a record that an answer has
+// disproved. Once nothing else happens, each entry must soon use exactly the running engines,
+// with the layers that they hold.
+func TestOnlyRunningEnginesAreUsed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newFleetWorld(t)
+		m := newFleetModel(t)
 		t.Repeat(map[string]func(*rapid.T){
-			"start": w.start, "crash": w.crash, "order": w.order, "write": w.write, "late": w.writeLate,
-			"lapse": w.lapse, "see": w.see, "publish": w.publish, "hear": w.hear, "send": w.send, "ask": w.ask, "pass": w.pass,
-			"": w.check,
+			"start": m.start, "crash": m.crash, "order": m.order, "write": m.write, "late": m.writeLate,
+			"expire": m.expire, "read": m.readChanges, "publish": m.publish, "deliver": m.deliver, "request": m.request, "probe": m.probe, "advance": m.advance,
+			"": m.check,
 		})
-		if w.setBack {
-			w.calm(registry.ProbeGrace) // until a record that stands is believed
+		if m.clockSetBack {
+			m.settle(registry.ProbeGrace) // until late records that remain are accepted
 		}
-		w.calm(leftOut)
-		var living []string
-		for _, p := range w.alive {
-			living = append(living, p.id)
+		m.settle(maxLeftOut)
+		var running []string
+		for _, p := range m.running {
+			running = append(running, p.id)
 		}
-		slices.Sort(living)
-		for _, r := range w.entries {
-			require.Equal(t, living, ids(r.roster.Endpoints()))
-			for _, e := range r.roster.Endpoints() {
-				require.Equal(t, w.alive[e.Address].layers, e.Layers, e.ID)
+		slices.Sort(running)
+		for _, r := range m.entries {
+			require.Equal(t, running, ids(r.registry.Endpoints()))
+			for _, e := range r.registry.Endpoints() {
+				require.Equal(t, m.running[e.Address].layers, e.Layers, e.ID)
 			}
 		}
 	})
--- a/state/registry/probe.go
+++ b/state/registry/probe.go
@@ -6,76 +6,79 @@
 	"time"
 )
 
-// ProbeGrace is how long an entry leaves asking to the entry that asks for all. It does not wait
-// for ever, as that one may have missed what this one heard. With occupant.AskEvery it bounds
-// how long an endpoint that lives is left out. A late record is believed after it, too.
+// ProbeGrace is how long an entry leaves probing to the entry that probes for all others. It
+// does not wait longer, because that entry may have missed a report that this entry received.
+// Together with addrowner.ProbeInterval it bounds how long a running endpoint is left out. It
+// is also how long a late record is ignored.
 const ProbeGrace = 5 * time.Second
 
-// Probe asks who has the address of an endpoint's record.
+// Probe is a request to the address of an endpoint's record for the ID of the endpoint there.
 type Probe struct {
-	endpoint string
-	address  string
-	service  string
-	layers   bool
+	endpoint   string
+	address    string
+	service    string
+	asksLayers bool
 }
 
-// ProbeOf returns the question who has the address of an endpoint's record, if there is one.
+// ProbeOf returns the probe for the address of an endpoint's record, and whether there is such
+// a record.
 func (r *Registry) ProbeOf(id string) (Probe, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	_, there := r.endpoints[id]
-	return r.ask(id), there
+	_, ok := r.endpoints[id]
+	return r.probe(id), ok
 }
 
-// ask returns the question about an endpoint. The mutex is held.
-func (r *Registry) ask(id string) Probe {
+// probe returns the probe for an endpoint. The caller holds the mutex.
+func (r *Registry) probe(id string) Probe {
 	e := r.endpoints[id]
-	return Probe{endpoint: id, address: e.Address, service: e.Service, layers: r.beliefs[id].denied}
+	return Probe{endpoint: id, address: e.Address, service: e.Service, asksLayers: r.engineStates[id].denied}
 }
 
-// Service returns the service that the record names.
-func (q Probe) Service() string { return q.service }
+// Service returns the service in the record.
+func (p Probe) Service() string { return p.service }
 
 // Endpoint returns the ID in the record.
-func (q Probe) Endpoint() string { return q.endpoint }
+func (p Probe) Endpoint() string { return p.endpoint }
 
-// Address returns the address to ask.
-func (q Probe) Address() string { return q.address }
+// Address returns the address to probe.
+func (p Probe) Address() string { return p.address }
 
-// AsksLayers reports whether it is also in doubt what the engine holds.
-func (q Probe) AsksLayers() bool { return q.layers }
+// AsksLayers reports whether the probe also has to find out which layers the engine holds.
+func (p Probe) AsksLayers() bool { return p.asksLayers }
 
-// DueProbes returns what should be asked now: who has an address that several records name,
-// or whose record is out of use, and what engines hold that deny their records. If another
-// entry asks for all, this one asks only what is still unclear after Patience.
-func (r *Registry) DueProbes(others bool, now time.Time) []Probe {
+// DueProbes returns the probes to send now: for addresses that several records name, for
+// addresses whose records are all out of use, and for engines that deny the layers of their
+// records. If another entry probes for all, only what is still unclear after ProbeGrace is
+// due here.
+func (r *Registry) DueProbes(anotherProbes bool, now time.Time) []Probe {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	patience := time.Duration(0)
-	if others {
-		patience = ProbeGrace
+	grace := time.Duration(0)
+	if anotherProbes {
+		grace = ProbeGrace
 	}
-	var all []Probe
-	for id := range r.unused {
-		if r.occupants.ProbeDue(id, patience, now) {
-			all = append(all, r.ask(id))
+	var probes []Probe
+	for id := range r.unusedRecords {
+		if r.owners.ProbeDue(id, grace, now) {
+			probes = append(probes, r.probe(id))
 		}
 	}
-	for id, b := range r.beliefs {
-		if b.denied && !r.unused[id] && !now.Before(b.since.Add(patience)) && r.occupants.MayProbe(id, patience, now) {
-			all = append(all, r.ask(id))
+	for id, state := range r.engineStates {
+		if state.denied && !r.unusedRecords[id] && !now.Before(state.deniedAt.Add(grace)) && r.owners.MayProbe(id, grace, now) {
+			probes = append(probes, r.probe(id))
 		}
 	}
-	return all
+	return probes
 }
 
-// ProbeIfDue returns the question who has the address of an endpoint that may be lost, if it was
-// not asked lately.
+// ProbeIfDue returns the probe for the address of an endpoint that may be lost, unless the
+// address was probed within the last addrowner.ProbeInterval.
 func (r *Registry) ProbeIfDue(id string, now time.Time) (Probe, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if _, there := r.endpoints[id]; !there || !r.occupants.MayProbe(id, 0, now) {
+	if _, ok := r.endpoints[id]; !ok || !r.owners.MayProbe(id, 0, now) {
 		return Probe{}, false
 	}
-	return r.ask(id), true
+	return r.probe(id), true
 }
--- a/state/registry/record_use.go
+++ b/state/registry/record_use.go
@@ -10,87 +10,88 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// RecordUse tells that a record went out of use, or came back into it.
+// RecordUse says whether a record is in use, and which endpoint owns its address.
 type RecordUse struct {
 	endpoint string
 	address  string
-	occupant string
+	owner    string
 	used     bool
 }
 
 // Endpoint returns the ID in the record.
-func (n RecordUse) Endpoint() string { return n.endpoint }
+func (u RecordUse) Endpoint() string { return u.endpoint }
 
-// Address returns the address that the record names.
-func (n RecordUse) Address() string { return n.address }
+// Address returns the address in the record.
+func (u RecordUse) Address() string { return u.address }
 
-// Owner returns the ID of the endpoint that has the address.
-func (n RecordUse) Owner() string { return n.occupant }
+// Owner returns the ID of the endpoint that owns the address.
+func (u RecordUse) Owner() string { return u.owner }
 
 // Used reports whether the record is in use now.
-func (n RecordUse) Used() bool { return n.used }
+func (u RecordUse) Used() bool { return u.used }
 
-// inUse reports whether an endpoint has its address, and notes when that has changed.
-func (r *Registry) inUse(e protocol.Endpoint) bool {
-	used := r.occupants.InUse(e.ID)
-	if used == r.unused[e.ID] {
-		r.notices = append(r.notices, RecordUse{endpoint: e.ID, address: e.Address, occupant: r.occupants.Owner(e.ID), used: used})
-		if r.unused == nil {
-			r.unused = make(map[string]bool)
+// updateUse reports whether an endpoint owns its address, and notes when that has changed.
+func (r *Registry) updateUse(e protocol.Endpoint) bool {
+	used := r.owners.InUse(e.ID)
+	if used == r.unusedRecords[e.ID] {
+		r.useChanges = append(r.useChanges, RecordUse{endpoint: e.ID, address: e.Address, owner: r.owners.Owner(e.ID), used: used})
+		if r.unusedRecords == nil {
+			r.unusedRecords = make(map[string]bool)
 		}
 		if used {
-			delete(r.unused, e.ID)
+			delete(r.unusedRecords, e.ID)
 		} else {
-			r.unused[e.ID] = true
+			r.unusedRecords[e.ID] = true
 		}
 	}
 	return used
 }
 
-// TakeUseChanges returns which records went out of use or came back into it since the last call.
+// TakeUseChanges returns the records that went out of use or came back into use since the
+// last call.
 func (r *Registry) TakeUseChanges() []RecordUse {
-	r.derive()
+	r.refresh()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	all := r.notices
-	r.notices = nil
-	return all
+	changes := r.useChanges
+	r.useChanges = nil
+	return changes
 }
 
-// SupersededRecords returns the records out of use because another endpoint has their address, in
-// order of ID.
+// SupersededRecords returns the records that are out of use because another endpoint owns
+// their address, in order of ID.
 func (r *Registry) SupersededRecords() []RecordUse {
-	r.derive()
+	r.refresh()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	all := make([]RecordUse, 0, len(r.unused))
-	for id := range r.unused {
-		if e, there := r.endpoints[id]; there {
-			all = append(all, RecordUse{endpoint: id, address: e.Address, occupant: r.occupants.Owner(id)})
+	records := make([]RecordUse, 0, len(r.unusedRecords))
+	for id := range r.unusedRecords {
+		if e, ok := r.endpoints[id]; ok {
+			records = append(records, RecordUse{endpoint: id, address: e.Address, owner: r.owners.Owner(id)})
 		}
 	}
-	slices.SortFunc(all, func(a, b RecordUse) int { return strings.Compare(a.endpoint, b.endpoint) })
-	return all
+	slices.SortFunc(records, func(a, b RecordUse) int { return strings.Compare(a.endpoint, b.endpoint) })
+	return records
 }
 
-// OwnerAnswered notes that an endpoint, the occupant, answered at the address of an endpoint's
-// record. It reports whether that changes which record is in use.
-func (r *Registry) OwnerAnswered(id, occupant string, life protocol.Incarnation, at time.Time) bool {
+// OwnerAnswered notes that the owner answered at the address of an endpoint's record. It
+// reports whether that changes which record is in use.
+func (r *Registry) OwnerAnswered(id, owner string, incarnation protocol.Incarnation, at time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	e, there := r.endpoints[id]
-	if !there {
+	e, ok := r.endpoints[id]
+	if !ok {
 		return false
 	}
-	if occupant != id {
-		life = 0 // it is of the endpoint that was asked for
-		r.noteUnrecorded(occupant, e, at)
+	if owner != id {
+		incarnation = 0 // the incarnation is that of the endpoint that was addressed
+		r.addUnrecorded(owner, e, at)
 	}
-	before := r.occupants.Owner(id)
-	r.occupants.Answered(e.Address, occupant, life, at)
-	if r.occupants.Owner(id) == before {
+	before := r.owners.Owner(id)
+	r.owners.Answered(e.Address, owner, incarnation, at)
+	if r.owners.Owner(id) == before {
 		return false
 	}
-	r.changed()
+	r.markChanged()
 	return true
 }
--- a/state/registry/registry.go
+++ b/state/registry/registry.go
@@ -1,16 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package roster is what an entry believes of the live endpoints of all
-// services, as each recorded itself in the platform.
+// Package registry holds the live endpoints of all services as an entry knows them. Each
+// endpoint registers itself in the platform.
 //
-// A Roster takes whole lists and single changes, and derives from them a
-// fleet.View in which paths are chosen. An engine stands in the model of its
-// service and data center; an endpoint of a plain service is a runner of a model
-// with one layer:
+// A Registry applies whole lists and single changes. From them it derives a fleet.View, in
+// which request paths are chosen. The engines of a service in one data center form a model;
+// an endpoint of a plain service is a runner of a model with one layer:
 //
-//	r.Services(table.Services())
+//	r.SetServices(table.Services())
 //	gone := r.Replace(endpoints, now)
-//	m := r.View().Model(roster.ModelName("fares-llm", "jhb-a"))
+//	m := r.View().Model(registry.ModelName("fares-llm", "jhb-a"))
 package registry
 
 import (
@@ -26,93 +25,94 @@
 	"pinerun.example/pinerun/state/fleet"
 )
 
-// settle is how long endpoints that vanish right after an outage of the platform
-// are still believed in. Their records lapse while they can't renew them, and a
-// live endpoint is back in the list within two seconds of the platform's return;
-// the rest is for the way of the news.
-const settle = 1500 * time.Millisecond
+// outageGrace is how long endpoints that vanish right after an outage of the platform are
+// kept. Their records expire while the endpoints cannot renew them. A live endpoint is back
+// in the list within two seconds of the platform's return; the rest is for the change to
+// reach the entry.
+const outageGrace = 1500 * time.Millisecond
 
-// everywhere is the data center in the name of a model whose runners may be
-// chosen from every data center.
-const everywhere = ""
+// anyDataCenter is the data center in the name of a model whose runners may be chosen from
+// all data centers.
+const anyDataCenter = ""
 
-// ModelName returns the name under which the view holds the runners of a service
-// in a data center. Plain services have one model for all data centers, "".
+// ModelName returns the name under which the view holds the runners of a service in a data
+// center. A plain service has one model for all data centers, with the data center "".
 func ModelName(service, dataCenter string) string { return service + "@" + dataCenter }
 
-// Registry holds the live endpoints. Set the exported fields before use.
+// Registry holds the live endpoints. The exported fields must be set before use.
 type Registry struct {
+	// Entry is the local entry.
 	Entry fleet.Entry
-	// DataCenters are those in which an endpoint may be; empty when they are not known.
+	// DataCenters are the valid data centers of endpoints; empty if they are not known.
 	DataCenters []string
 
-	mutex      sync.Mutex
-	endpoints  map[string]protocol.Endpoint
-	vanished   map[string]time.Time // gone from the list, until when still believed in
-	outage     time.Time            // when the platform was last known not to answer
-	services   []protocol.RoutedService
-	known      atomic.Bool
-	stale      atomic.Bool // what is derived does not hold the latest changes yet
-	occupants  addrowner.Tracker
-	beliefs    map[string]belief     // of endpoints whose record is not believed as it stands
-	changedAt  map[string]time.Time  // when a record last told something new
-	unused     map[string]bool       // records out of use when it was last derived
-	notices    []RecordUse           // not told yet
-	unrecorded map[string]unrecorded // by ID: answered at an address, and have no record
-	late       map[string]lateRecord // not believed, but the latest of their endpoints
-	anew       []protocol.Endpoint   // that have started again, not told yet
-	changes    atomic.Uint64
-	derived    atomic.Uint64
-	view       atomic.Pointer[fleet.View]
-	list       atomic.Pointer[[]protocol.Endpoint]
-	misfits    atomic.Pointer[[]UnusableEndpoint]
-	centers    atomic.Pointer[map[string][]string] // by service
+	mutex             sync.Mutex
+	endpoints         map[string]protocol.Endpoint
+	vanished          map[string]time.Time // endpoints gone from the list, and until when they are kept
+	outage            time.Time            // when the platform last failed to answer
+	services          []protocol.RoutedService
+	hasList           atomic.Bool
+	stale             atomic.Bool // the derived values do not include the latest changes
+	owners            addrowner.Tracker
+	engineStates      map[string]engineState // of endpoints whose record alone does not describe them
+	recordChangedAt   map[string]time.Time   // when a record last had new content
+	unusedRecords     map[string]bool        // records out of use at the last rebuild
+	useChanges        []RecordUse            // not yet returned by TakeUseChanges
+	unrecorded        map[string]unrecorded  // by ID: endpoints that answered at an address and have no record
+	lateRecords       map[string]lateRecord  // the latest record of its endpoint, ignored for now
+	restarted         []protocol.Endpoint    // endpoints not yet returned by TakeRestarted
+	revision          atomic.Uint64
+	rebuilds          atomic.Uint64
+	view              atomic.Pointer[fleet.View]
+	list              atomic.Pointer[[]protocol.Endpoint]
+	unusable          atomic.Pointer[[]UnusableEndpoint]
+	engineDataCenters atomic.Pointer[map[string][]string] // by service
 }
 
 // View returns the runners of all models, or nil before the first list.
 func (r *Registry) View() *fleet.View {
-	r.derive()
+	r.refresh()
 	return r.view.Load()
 }
 
-// Revision returns a number that rises with each change of the endpoints.
-func (r *Registry) Revision() uint64 { return r.changes.Load() }
+// Revision returns a number that grows with each change of the endpoints.
+func (r *Registry) Revision() uint64 { return r.revision.Load() }
 
-// Rebuilds returns how often what follows from the changes was worked out.
-func (r *Registry) Rebuilds() uint64 { return r.derived.Load() }
+// Rebuilds returns how often the derived values were rebuilt.
+func (r *Registry) Rebuilds() uint64 { return r.rebuilds.Load() }
 
-// HasList reports whether a list was ever taken.
-func (r *Registry) HasList() bool { return r.known.Load() }
+// HasList reports whether a whole list has ever been applied.
+func (r *Registry) HasList() bool { return r.hasList.Load() }
 
 // EngineDataCenters returns the data centers in which engines of a service hold layers, in
 // order of name. The caller must not change the slice.
 func (r *Registry) EngineDataCenters(service string) []string {
-	r.derive()
-	if c := r.centers.Load(); c != nil {
+	r.refresh()
+	if c := r.engineDataCenters.Load(); c != nil {
 		return (*c)[service]
 	}
 	return nil
 }
 
-// Endpoints returns every endpoint that can be used, in order of ID, with the layers that it is
-// believed to hold: one an address. The caller must not change the slice.
+// Endpoints returns all usable endpoints, at most one per address, in order of ID and with the
+// layers that they are known to hold. The caller must not change the slice.
 func (r *Registry) Endpoints() []protocol.Endpoint {
-	r.derive()
+	r.refresh()
 	if l := r.list.Load(); l != nil {
 		return *l
 	}
 	return nil
 }
 
-// SetServices takes the services that routes name.
+// SetServices sets the services that routes refer to.
 func (r *Registry) SetServices(services []protocol.RoutedService) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.services = services
-	r.changed()
+	r.markChanged()
 }
 
-// MarkOutage notes that the platform did not answer at that time.
+// MarkOutage notes that the platform did not answer at the given time.
 func (r *Registry) MarkOutage(at time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -121,8 +121,8 @@
 	}
 }
 
-// Count returns how many endpoints could be used when somebody last looked. It derives nothing:
-// of 4,900 endpoints that takes 8 ms, and news comes many at a time (a benchmark).
+// Count returns how many endpoints were usable at the last rebuild. It does not rebuild:
+// that takes 8 ms for 4,900 endpoints (measured in a benchmark), and reports come in bursts.
 func (r *Registry) Count() int {
 	if l := r.list.Load(); l != nil {
 		return len(*l)
@@ -130,82 +130,82 @@
 	return 0
 }
 
-// Replace takes a whole list. It returns the endpoints that are gone.
+// Replace applies a whole list and returns the endpoints that are gone.
 func (r *Registry) Replace(list []protocol.Endpoint, now time.Time) []protocol.Endpoint {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	before := r.endpoints
 	r.endpoints = make(map[string]protocol.Endpoint, len(list))
-	r.occupants.NextBatch()
+	r.owners.NextBatch()
 	for _, e := range list {
-		if old, there := before[e.ID]; there {
+		if old, ok := before[e.ID]; ok {
 			r.endpoints[e.ID] = old
 		}
-		if r.put(e, now) == Restarted {
-			r.anew = append(r.anew, e)
+		if r.putLocked(e, now) == Restarted {
+			r.restarted = append(r.restarted, e)
 		}
 	}
-	r.keepLate(list)
+	r.pruneLateRecords(list)
 	var gone []protocol.Endpoint
 	for id, e := range before {
-		if _, there := r.endpoints[id]; there || r.keep(e, now) {
+		if _, kept := r.endpoints[id]; kept || r.keepVanished(e, now) {
 			continue
 		}
 		r.forget(id, now)
 		gone = append(gone, e)
 	}
-	r.known.Store(true)
-	r.changed()
+	r.hasList.Store(true)
+	r.markChanged()
 	return gone
 }
 
-// Add takes one new or changed endpoint, and reports whether it was unknown.
+// Add applies one new or changed endpoint, and reports whether it was unknown.
 func (r *Registry) Add(e protocol.Endpoint) bool { return r.Update(e, clock.Now()) == Joined }
 
-// Update takes one new or changed endpoint.
+// Update applies one new or changed endpoint.
 func (r *Registry) Update(e protocol.Endpoint, now time.Time) UpdateResult {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.occupants.NextBatch()
-	t := r.put(e, now)
-	if t != Stale {
-		r.changed()
+	r.owners.NextBatch()
+	result := r.putLocked(e, now)
+	if result != Stale {
+		r.markChanged()
 	}
-	return t
+	return result
 }
 
 // Has reports whether the record of an endpoint is known, in use or not.
 func (r *Registry) Has(id string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	_, there := r.endpoints[id]
-	return there
+	_, ok := r.endpoints[id]
+	return ok
 }
 
-// Remove takes the news that an endpoint's record is gone. It reports whether
-// the endpoint is now taken as gone.
+// Remove handles the removal of an endpoint's record. It reports whether the endpoint now
+// counts as gone.
 func (r *Registry) Remove(id string, now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	delete(r.late, id)
-	e, there := r.endpoints[id]
-	if !there || r.keep(e, now) {
+	delete(r.lateRecords, id)
+	e, ok := r.endpoints[id]
+	if !ok || r.keepVanished(e, now) {
 		return false
 	}
 	delete(r.endpoints, id)
 	r.forget(id, now)
-	r.changed()
+	r.markChanged()
 	return true
 }
 
-// Sweep drops endpoints that vanished in an outage and did not come back in
-// time, and returns them.
+// Sweep drops the endpoints that vanished in an outage and did not come back in time, and
+// returns them.
 func (r *Registry) Sweep(now time.Time) []protocol.Endpoint {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var gone []protocol.Endpoint
-	for id, till := range r.vanished {
-		if now.Before(till) {
+	for id, until := range r.vanished {
+		if now.Before(until) {
 			continue
 		}
 		gone = append(gone, r.endpoints[id])
@@ -213,46 +213,46 @@
 		delete(r.endpoints, id)
 		r.forget(id, now)
 	}
-	r.occupants.Sweep(now)
+	r.owners.Sweep(now)
 	r.sweepUnrecorded(now)
-	r.believeLate(now)
+	r.acceptLateRecords(now)
 	if len(gone) > 0 {
-		r.changed()
+		r.markChanged()
 	}
 	return gone
 }
 
-// keep decides whether a vanished endpoint is still believed in, and holds on to
-// it. One that said that it is leaving is not.
-func (r *Registry) keep(e protocol.Endpoint, now time.Time) bool {
-	if e.Leaving || !r.unsettled(now) {
+// keepVanished decides whether a vanished endpoint is kept for now, and keeps it. An endpoint
+// that announced that it leaves is not kept.
+func (r *Registry) keepVanished(e protocol.Endpoint, now time.Time) bool {
+	if e.Leaving || !r.inOutageGrace(now) {
 		return false
 	}
 	if r.vanished == nil {
 		r.vanished = make(map[string]time.Time)
 	}
-	if _, there := r.vanished[e.ID]; !there {
-		r.vanished[e.ID] = now.Add(settle)
+	if _, ok := r.vanished[e.ID]; !ok {
+		r.vanished[e.ID] = now.Add(outageGrace)
 	}
 	r.endpoints[e.ID] = e
 	return true
 }
 
-// unsettled reports whether the platform did not answer lately.
-func (r *Registry) unsettled(now time.Time) bool {
-	return !r.outage.IsZero() && now.Sub(r.outage) <= settle
+// inOutageGrace reports whether the platform failed to answer within the last outageGrace.
+func (r *Registry) inOutageGrace(now time.Time) bool {
+	return !r.outage.IsZero() && now.Sub(r.outage) <= outageGrace
 }
 
-// changed notes that what is derived is stale. Changes come many at a time, with the
-// start of a fleet thousands of them, and deriving takes as long as there are
-// endpoints: so it waits until somebody looks. The mutex is held.
-func (r *Registry) changed() {
-	r.changes.Add(1)
+// markChanged marks the derived values as stale. Changes come in bursts, thousands of them
+// when a fleet starts, and a rebuild takes time proportional to the number of endpoints. So
+// the rebuild waits for the next read. The caller holds the mutex.
+func (r *Registry) markChanged() {
+	r.revision.Add(1)
 	r.stale.Store(true)
 }
 
-// derive brings what is derived up to date.
-func (r *Registry) derive() {
+// refresh rebuilds the derived values if they are stale.
+func (r *Registry) refresh() {
 	if !r.stale.Load() {
 		return
 	}
@@ -260,29 +260,29 @@
 	defer r.mutex.Unlock()
 	if r.stale.Load() {
 		r.rebuild()
-		r.derived.Add(1)
+		r.rebuilds.Add(1)
 		r.stale.Store(false)
 	}
 }
 
-// rebuild derives the view and the list anew. Measurements of runners that did
-// not change are kept.
+// rebuild derives the view and the lists from scratch. It keeps the measurements of runners
+// that did not change.
 func (r *Registry) rebuild() {
-	list, misfits := r.usable()
+	list, unusable := r.selectUsable()
 	slices.SortFunc(list, func(a, b protocol.Endpoint) int { return strings.Compare(a.ID, b.ID) })
 	r.list.Store(&list)
-	r.misfits.Store(&misfits)
+	r.unusable.Store(&unusable)
 	centers := make(map[string][]string)
 	var models []protocol.Model
 	var runners []protocol.Runner
 	for i := range r.services {
 		s := &r.services[i]
 		for _, e := range list {
-			spec, ok := runnerOf(s, e, r.Entry.DataCenter)
+			spec, ok := runnerSpec(s, e, r.Entry.DataCenter)
 			if !ok {
 				continue
 			}
-			spec.Restarts = r.beliefs[e.ID].restarts
+			spec.Restarts = r.engineStates[e.ID].restarts
 			runners = append(runners, spec)
 			if !hasModel(models, spec.Model) {
 				models = append(models, protocol.Model{Name: spec.Model, Layers: layersOf(s)})
@@ -293,6 +293,6 @@
 	for _, c := range centers {
 		slices.Sort(c)
 	}
-	r.centers.Store(&centers)
+	r.engineDataCenters.Store(&centers)
 	r.view.Store(fleet.NewView(r.view.Load(), models, runners, r.Entry))
 }
--- a/state/registry/runner.go
+++ b/state/registry/runner.go
@@ -8,14 +8,14 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// plainSpeed is the speed of an endpoint of a plain service, in requests a second
-// of one slot. Only its ratio to the expected times of links matters: 10 ms each.
-const plainSpeed = 100.0
+// plainServiceSpeed is the speed of an endpoint of a plain service, in requests per second
+// and slot. Only its ratio to the expected link times matters: a request counts as 10 ms.
+const plainServiceSpeed = 100.0
 
-// runnerOf describes an endpoint to the fleet, if it can serve the service. A
-// plain service's endpoints in other data centers count as far, so that those
-// nearby are taken while they are free.
-func runnerOf(s *protocol.RoutedService, e protocol.Endpoint, home string) (protocol.Runner, bool) {
+// runnerSpec returns the description of an endpoint as a runner, and whether it can serve the
+// service. Endpoints of plain services in other data centers get a far link, so that nearby
+// endpoints are preferred while they are free.
+func runnerSpec(s *protocol.RoutedService, e protocol.Endpoint, localDataCenter string) (protocol.Runner, bool) {
 	if e.Service != s.Name {
 		return protocol.Runner{}, false
 	}
@@ -23,10 +23,10 @@
 		Name: e.ID, VM: e.ID, DataCenter: e.DataCenter, Accelerator: e.Accelerator, Address: e.Address, Drain: e.Leaving,
 	}
 	if s.Engine == nil {
-		spec.Model = ModelName(s.Name, everywhere)
+		spec.Model = ModelName(s.Name, anyDataCenter)
 		spec.To = 1
-		spec.Speed = plainSpeed
-		if e.DataCenter != home {
+		spec.Speed = plainServiceSpeed
+		if e.DataCenter != localDataCenter {
 			spec.Link = "far"
 		}
 		return spec, true
@@ -37,9 +37,9 @@
 	spec.Model = ModelName(s.Name, e.DataCenter)
 	spec.From = e.Layers.From
 	spec.To = e.Layers.To
-	spec.Speed = engineSpeed(s.Engine, e.Accelerator)
-	spec.Room = engineRoom(s.Engine, e)
-	spec.Step = engineStep(s.Engine, e.Accelerator)
+	spec.Speed = prefillSpeed(s.Engine, e.Accelerator)
+	spec.Room = cacheCapacity(s.Engine, e)
+	spec.Step = decodeSeconds(s.Engine, e.Accelerator)
 	return spec, true
 }
 
@@ -47,7 +47,7 @@
 	return slices.ContainsFunc(models, func(m protocol.Model) bool { return m.Name == name })
 }
 
-// layersOf returns the layers of a service's model, one for a plain service.
+// layersOf returns the number of layers of a service's model, one for a plain service.
 func layersOf(s *protocol.RoutedService) int {
 	if s.Engine == nil {
 		return 1
@@ -55,31 +55,31 @@
 	return s.Engine.Layers
 }
 
-// engineSpeed returns the layer passes a second that an engine reads a prompt at.
-func engineSpeed(f *protocol.EngineFacts, accelerator string) float64 {
+// prefillSpeed returns the layer passes per second at which an engine processes a prompt.
+func prefillSpeed(facts *protocol.EngineFacts, accelerator string) float64 {
 	factor := 1.0
-	if a, ok := f.Accelerator(accelerator); ok && a.ReadFactor > 0 {
+	if a, ok := facts.Accelerator(accelerator); ok && a.ReadFactor > 0 {
 		factor = a.ReadFactor
 	}
-	return max(1, f.ReadPerSecond*float64(f.Layers)/factor)
+	return max(1, facts.ReadPerSecond*float64(facts.Layers)/factor)
 }
 
-// engineStep returns the seconds that a written token takes in one layer.
-func engineStep(f *protocol.EngineFacts, accelerator string) float64 {
-	a, ok := f.Accelerator(accelerator)
-	if !ok || f.Layers <= 0 {
+// decodeSeconds returns the seconds that one output token takes in one layer.
+func decodeSeconds(facts *protocol.EngineFacts, accelerator string) float64 {
+	a, ok := facts.Accelerator(accelerator)
+	if !ok || facts.Layers <= 0 {
 		return 0
 	}
-	return f.StepMS / 1000 * a.StepFactor / float64(f.Layers)
+	return facts.StepMS / 1000 * a.StepFactor / float64(facts.Layers)
 }
 
-// engineRoom returns how many tokens of requests fit into an engine beside the
-// layers that it holds.
-func engineRoom(f *protocol.EngineFacts, e protocol.Endpoint) float64 {
-	a, ok := f.Accelerator(e.Accelerator)
+// cacheCapacity returns how many tokens fit into an engine's KV cache beside the layers that
+// it holds.
+func cacheCapacity(facts *protocol.EngineFacts, e protocol.Endpoint) float64 {
+	a, ok := facts.Accelerator(e.Accelerator)
 	layers := float64(e.Layers.Layers())
-	if !ok || f.TokenLayerMB <= 0 {
+	if !ok || facts.TokenLayerMB <= 0 {
 		return 0
 	}
-	return max(0, (a.MemoryMB-layers*f.LayerMB)/(layers*f.TokenLayerMB))
+	return max(0, (a.MemoryMB-layers*facts.LayerMB)/(layers*facts.TokenLayerMB))
 }
--- a/state/registry/unrecorded.go
+++ b/state/registry/unrecorded.go
@@ -11,46 +11,46 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// unrecordedFor is how long an endpoint that answered, but has no record, is remembered. One
-// that is cut off from the platform may take some seconds to record itself.
-const unrecordedFor = 10 * time.Second
+// unrecordedTTL is how long an endpoint that answered, but has no record, is remembered. An
+// endpoint that is cut off from the platform may need some seconds to record itself.
+const unrecordedTTL = 10 * time.Second
 
-// unrecorded is an endpoint without a record, until when it is believed in.
+// unrecorded is an endpoint without a record, and until when it is remembered.
 type unrecorded struct {
 	endpoint protocol.Endpoint
-	till     time.Time
+	until    time.Time
 }
 
-// Unrecorded returns the endpoints that answered at the address of another one's record and have
-// none yet. They are given layers, so that they hold them when their records come, but serve
-// nothing before. Their service, accelerator and so on are guessed from the other's record, and
-// are checked before an order.
+// Unrecorded returns the endpoints that answered at the address of another endpoint's record
+// and have no record yet. They are assigned layers early, so that they hold them when their
+// records come, but they serve no requests before that. Their service, accelerator and other
+// properties are assumed to be those of the other record, and are checked before an order.
 func (r *Registry) Unrecorded(now time.Time) []protocol.Endpoint {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.sweepUnrecorded(now)
-	var all []protocol.Endpoint
+	var endpoints []protocol.Endpoint
 	for _, u := range r.unrecorded {
-		all = append(all, u.endpoint)
+		endpoints = append(endpoints, u.endpoint)
 	}
-	slices.SortFunc(all, func(a, b protocol.Endpoint) int { return strings.Compare(a.ID, b.ID) })
-	return all
+	slices.SortFunc(endpoints, func(a, b protocol.Endpoint) int { return strings.Compare(a.ID, b.ID) })
+	return endpoints
 }
 
-// sweepUnrecorded forgets who has not answered for long.
+// sweepUnrecorded drops the endpoints that have not answered for unrecordedTTL.
 func (r *Registry) sweepUnrecorded(now time.Time) {
-	maps.DeleteFunc(r.unrecorded, func(_ string, u unrecorded) bool { return now.After(u.till) })
+	maps.DeleteFunc(r.unrecorded, func(_ string, u unrecorded) bool { return now.After(u.until) })
 }
 
-// noteUnrecorded notes an endpoint that answered at the address of another one's record.
-func (r *Registry) noteUnrecorded(id string, in protocol.Endpoint, at time.Time) {
-	if _, there := r.endpoints[id]; there {
+// addUnrecorded notes an endpoint that answered at the address of another endpoint's record.
+func (r *Registry) addUnrecorded(id string, record protocol.Endpoint, at time.Time) {
+	if _, ok := r.endpoints[id]; ok {
 		return
 	}
 	if r.unrecorded == nil {
 		r.unrecorded = make(map[string]unrecorded)
 	}
-	r.unrecorded[id] = unrecorded{till: at.Add(unrecordedFor), endpoint: protocol.Endpoint{
-		ID: id, Service: in.Service, Address: in.Address, DataCenter: in.DataCenter, Accelerator: in.Accelerator, Model: in.Model,
+	r.unrecorded[id] = unrecorded{until: at.Add(unrecordedTTL), endpoint: protocol.Endpoint{
+		ID: id, Service: record.Service, Address: record.Address, DataCenter: record.DataCenter, Accelerator: record.Accelerator, Model: record.Model,
 	}}
 }
--- a/state/registry/usable.go
+++ b/state/registry/usable.go
@@ -9,67 +9,68 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// UnusableEndpoint is an endpoint whose record can be read, but does not fit the services and
-// data centers that there are. It is left out for as long as it does not.
+// UnusableEndpoint is an endpoint whose record is readable, but does not fit the known
+// services and data centers. It is left out as long as that is so.
 type UnusableEndpoint struct {
 	endpoint protocol.Endpoint
 	fault    protocol.RecordFault
 }
 
 // Endpoint returns the endpoint.
-func (m UnusableEndpoint) Endpoint() protocol.Endpoint { return m.endpoint }
+func (u UnusableEndpoint) Endpoint() protocol.Endpoint { return u.endpoint }
 
 // Fault returns what does not fit.
-func (m UnusableEndpoint) Fault() protocol.RecordFault { return m.fault }
+func (u UnusableEndpoint) Fault() protocol.RecordFault { return u.fault }
 
 // Unusable returns the endpoints that are left out. The caller must not change the slice.
 func (r *Registry) Unusable() []UnusableEndpoint {
-	r.derive()
-	if m := r.misfits.Load(); m != nil {
-		return *m
+	r.refresh()
+	if list := r.unusable.Load(); list != nil {
+		return *list
 	}
 	return nil
 }
 
-// Discard takes an endpoint out at once, also in an outage: its record is there, and
-// names no endpoint to use. It reports whether the endpoint was known.
+// Discard drops an endpoint at once, even during an outage: its record exists, but does not
+// describe a usable endpoint. It reports whether the endpoint was known.
 func (r *Registry) Discard(id string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	delete(r.late, id)
-	if _, there := r.endpoints[id]; !there {
+	delete(r.lateRecords, id)
+	if _, ok := r.endpoints[id]; !ok {
 		return false
 	}
 	delete(r.endpoints, id)
 	delete(r.vanished, id)
 	r.forget(id, clock.Now())
-	r.changed()
+	r.markChanged()
 	return true
 }
 
-// usable divides the endpoints into those to use and those that don't fit.
-func (r *Registry) usable() ([]protocol.Endpoint, []UnusableEndpoint) {
+// selectUsable splits the endpoints into those to use and those that don't fit.
+func (r *Registry) selectUsable() ([]protocol.Endpoint, []UnusableEndpoint) {
 	services := make(map[string]*protocol.RoutedService, len(r.services))
 	for i := range r.services {
 		services[r.services[i].Name] = &r.services[i]
 	}
 	list := make([]protocol.Endpoint, 0, len(r.endpoints))
-	var misfits []UnusableEndpoint
+	var unusable []UnusableEndpoint
 	for _, e := range r.endpoints {
-		if fault := r.fault(services, e); fault != "" {
-			misfits = append(misfits, UnusableEndpoint{endpoint: e, fault: fault})
+		if fault := r.recordFault(services, e); fault != "" {
+			unusable = append(unusable, UnusableEndpoint{endpoint: e, fault: fault})
 			continue
 		}
-		if r.inUse(e) {
-			list = append(list, r.believed(e))
+		if r.updateUse(e) {
+			list = append(list, r.withHeldLayers(e))
 		}
 	}
-	return list, misfits
+	return list, unusable
 }
 
-// fault returns what of an endpoint does not fit. Records may come before the table that
-// names their services: nothing is judged by services before the first one.
-func (r *Registry) fault(services map[string]*protocol.RoutedService, e protocol.Endpoint) protocol.RecordFault {
+// recordFault returns what does not fit in an endpoint's record. Records may arrive before
+// the routing table that names their services, so services are not checked before the first
+// table.
+func (r *Registry) recordFault(services map[string]*protocol.RoutedService, e protocol.Endpoint) protocol.RecordFault {
 	if len(r.DataCenters) > 0 && e.DataCenter != r.Entry.DataCenter && !slices.Contains(r.DataCenters, e.DataCenter) {
 		return protocol.RecordDataCenterUnknown
 	}
--- a/state/registry/usable_test.go
+++ b/state/registry/usable_test.go
@@ -14,10 +14,10 @@
 	"pinerun.example/pinerun/state/registry"
 )
 
-// TestAnEndpointThatDoesNotFitIsLeftOut has records name what the table and the settings
-// do not know.
-func TestAnEndpointThatDoesNotFitIsLeftOut(t *testing.T) {
-	r := newRoster()
+// TestUnusableEndpointsAreLeftOut has records that refer to services, data centers, layers and
+// accelerators that are not known.
+func TestUnusableEndpointsAreLeftOut(t *testing.T) {
+	r := newRegistry()
 	r.DataCenters = []string{"b", "c"}
 	plain := protocol.Endpoint{ID: "plain", Service: "plain", DataCenter: "b"}
 	whole := engine("whole", "c", 0, 10)
@@ -25,12 +25,12 @@
 	nowhere := engine("nowhere", "z", 0, 10)
 	unknown := engine("unknown", "b", 0, 10)
 	unknown.Accelerator = "abacus"
-	untold := engine("untold", "b", 0, 10)
-	untold.Accelerator = ""
-	stranger := protocol.Endpoint{ID: "stranger", Service: "another", DataCenter: "b"}
-	layered := protocol.Endpoint{ID: "layered", Service: "plain", DataCenter: "b", Layers: protocol.Span{From: 0, To: 1}}
+	unspecified := engine("untold", "b", 0, 10)
+	unspecified.Accelerator = ""
+	otherService := protocol.Endpoint{ID: "stranger", Service: "another", DataCenter: "b"}
+	plainWithLayers := protocol.Endpoint{ID: "layered", Service: "plain", DataCenter: "b", Layers: protocol.Span{From: 0, To: 1}}
 	home := engine("home", "a", 0, 10)
-	r.Replace([]protocol.Endpoint{plain, whole, outside, nowhere, unknown, untold, stranger, layered, home}, time.Unix(100, 0))
+	r.Replace([]protocol.Endpoint{plain, whole, outside, nowhere, unknown, unspecified, otherService, plainWithLayers, home}, time.Unix(100, 0))
 	require.Equal(t, []string{"home", "plain", "untold", "whole"}, ids(r.Endpoints()))
 	faults := map[string]protocol.RecordFault{}
 	for _, m := range r.Unusable() {
@@ -43,12 +43,12 @@
 	}, faults)
 	require.Nil(t, r.View().Runner("outside"))
 	r.SetServices(append(services, protocol.RoutedService{Name: "another"}))
-	require.Contains(t, ids(r.Endpoints()), "stranger", "a later table names its service")
+	require.Contains(t, ids(r.Endpoints()), "stranger", "a later table names the service")
 }
 
-// TestWhoeverIsUsedFits: whatever records say, an endpoint in use has a service of the
-// table, a data center that there is, and layers of its model; and whoever fits is used.
-func TestWhoeverIsUsedFits(t *testing.T) {
+// TestUsedEndpointsFit checks, for any records, that each endpoint in use has a known service and
+// data center, and layers of its model.
+func TestUsedEndpointsFit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := &registry.Registry{Entry: fleet.Entry{Name: "e1", DataCenter: "a"}, DataCenters: []string{"a", "b"}}
 		r.SetServices(services)
