--- a/state/fleet/report.go
+++ b/state/fleet/report.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// reportTrust is the age at which a load report counts for nothing.
-	reportTrust = 5 * time.Second
-	// maxReportSkew is how far ahead a report's clock may run.
+	// reportTTL is the age from which a load report is ignored.
+	reportTTL = 5 * time.Second
+	// maxReportSkew is how far the clock of a report may run ahead.
 	maxReportSkew = 2 * time.Second
 )
 
-// ReportFault says why a load report was not believed.
+// ReportFault is the reason why a load report was ignored.
 type ReportFault uint8
 
-// The reasons to ignore a load report.
+// The results of checking a load report.
 const (
 	ReportAccepted ReportFault = iota
 	ReportWrongRunner
@@ -27,28 +27,28 @@
 	ReportExpired
 )
 
-// Report takes a load report, or says why it was ignored.
-func (r *Runner) Report(l protocol.LoadReport, now time.Time) ReportFault {
-	at := time.UnixMilli(l.UnixMS)
+// Report applies a load report, or returns why it was ignored.
+func (r *Runner) Report(report protocol.LoadReport, now time.Time) ReportFault {
+	at := time.UnixMilli(report.UnixMS)
 	switch {
-	case l.Runner != r.spec.Name:
+	case report.Runner != r.spec.Name:
 		return ReportWrongRunner
-	case l.Queued < 0 || l.Streams < 0 || l.From != r.spec.From || l.To != r.spec.To:
+	case report.Queued < 0 || report.Streams < 0 || report.From != r.spec.From || report.To != r.spec.To:
 		return ReportInvalid
 	case at.After(now.Add(maxReportSkew)):
 		return ReportFromFuture
-	case now.Sub(at) > reportTrust:
+	case now.Sub(at) > reportTTL:
 		return ReportExpired
 	}
-	r.queued.Store(l.Queued)
+	r.queued.Store(report.Queued)
 	r.sentSince.Store(0)
 	r.reportedAt.Store(min(at.UnixNano(), now.UnixNano()))
-	if l.Leaving {
+	if report.Leaving {
 		r.MarkLeaving()
 	}
 	return ReportAccepted
 }
 
-// ReportedQueue returns the layer passes queued at the runner by its last report,
-// uncorrected.
+// ReportedQueue returns the layer passes queued at the runner by its last report, without
+// correction for the time since.
 func (r *Runner) ReportedQueue() float64 { return float64(r.queued.Load()) }
--- a/state/fleet/slowdown_test.go
+++ b/state/fleet/slowdown_test.go
@@ -9,31 +9,32 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestASlowRunnerCostsMoreUntilItIsFast, and is left out never.
-func TestASlowRunnerCostsMoreUntilItIsFast(t *testing.T) {
-	r, now := roomy().Runner("a"), time.Unix(100, 0)
-	fixed, layer := r.RequestCost(now, 10, 100, 1)
+// TestSlowRunnerCostsMoreUntilCleared checks that a slow runner costs more, but stays usable.
+func TestSlowRunnerCostsMoreUntilCleared(t *testing.T) {
+	r, now := newTestView().Runner("a"), time.Unix(100, 0)
+	fixed, perLayer := r.RequestCost(now, 10, 100, 1)
 	cost := r.Cost(now, 10)
 	r.MarkSlow(12, now, now.Add(3*time.Second))
-	slowFixed, slowLayer := r.RequestCost(now, 10, 100, 1)
+	slowFixed, slowPerLayer := r.RequestCost(now, 10, 100, 1)
 	require.InDelta(t, 12*fixed, slowFixed, 1e-9)
-	require.InDelta(t, 12*layer, slowLayer, 1e-9)
+	require.InDelta(t, 12*perLayer, slowPerLayer, 1e-9)
 	require.InDelta(t, 12*cost, r.Cost(now, 10), 1e-9)
 	require.True(t, r.Usable(now))
 	require.False(t, r.Lost(now))
 	require.Equal(t, now.UnixNano(), r.SlowSince(now.Add(time.Second)).UnixNano())
 
-	_, lapsed := r.RequestCost(now.Add(3*time.Second), 10, 100, 1)
-	require.InDelta(t, layer, lapsed, 1e-9, "news that nobody renews lapse")
+	_, expired := r.RequestCost(now.Add(3*time.Second), 10, 100, 1)
+	require.InDelta(t, perLayer, expired, 1e-9, "a report that is not renewed expires")
 	r.ClearSlow()
-	_, again := r.RequestCost(now.Add(time.Second), 10, 100, 1)
-	require.InDelta(t, layer, again, 1e-9)
+	_, cleared := r.RequestCost(now.Add(time.Second), 10, 100, 1)
+	require.InDelta(t, perLayer, cleared, 1e-9)
 	require.True(t, r.SlowSince(now.Add(time.Second)).IsZero())
 }
 
-// TestTheWordOfOthersIsNotMeasured: what was measured here stays what it is.
-func TestTheWordOfOthersIsNotMeasured(t *testing.T) {
-	r, now := roomy().Runner("a"), time.Unix(100, 0)
+// TestReportedSlowdownIsNotMeasured checks that a reported slowdown leaves the entry's own
+// measurements alone.
+func TestReportedSlowdownIsNotMeasured(t *testing.T) {
+	r, now := newTestView().Runner("a"), time.Unix(100, 0)
 	r.MarkSlow(100, now, now.Add(3*time.Second))
 	r.ObserveStep(time.Second, 1, now)
 	r.ClearSlow()
--- a/state/fleet/utilization.go
+++ b/state/fleet/utilization.go
@@ -8,53 +8,54 @@
 )
 
 const (
-	// usedTrust is how long what a runner reported of its room is believed: some reports
-	// may be lost, and a stream lives for some seconds.
-	usedTrust = 1500 * time.Millisecond
-	// fullTrust is how long a runner that refused for want of room is taken to be full.
-	fullTrust = 250 * time.Millisecond
-	// writtenShare is the part of what a request will hold in the end that it holds on
-	// average while it runs: its prompt and half of its answer, at the usual sizes of 760
-	// and 240 tokens.
-	writtenShare = 0.88
+	// utilizationTTL is how long a runner's report of its utilization is trusted. Some reports
+	// may be lost, and a stream lasts some seconds.
+	utilizationTTL = 1500 * time.Millisecond
+	// refusalTTL is how long a runner that refused a request for lack of capacity counts as
+	// full.
+	refusalTTL = 250 * time.Millisecond
+	// meanCacheShare is the average share of its final KV cache that a running request
+	// occupies: its prompt and half of its answer, at the typical sizes of 760 and 240 tokens.
+	meanCacheShare = 0.88
 )
 
-// ReportUtilization takes which part of the runner's room is used by the requests of all
-// entries, as it reported.
-func (r *Runner) ReportUtilization(part float64, now time.Time) {
-	r.noteUsed(part*r.roomPasses(), now, usedTrust)
+// ReportUtilization applies the runner's report of the share of its capacity that the
+// requests of all entries use.
+func (r *Runner) ReportUtilization(share float64, now time.Time) {
+	r.setUsed(share*r.capacityPasses(), now, utilizationTTL)
 }
 
-// RefusedForCapacity notes that the runner had no room for a request just now.
-func (r *Runner) RefusedForCapacity(now time.Time) { r.noteUsed(r.roomPasses(), now, fullTrust) }
+// RefusedForCapacity notes that the runner just refused a request for lack of capacity.
+func (r *Runner) RefusedForCapacity(now time.Time) { r.setUsed(r.capacityPasses(), now, refusalTTL) }
 
-// noteUsed notes how many layer passes the requests of all entries held at that time.
-func (r *Runner) noteUsed(passes float64, now time.Time, trust time.Duration) {
-	r.used.Store(math.Float64bits(passes - writtenShare*float64(r.outstanding.Load())))
-	r.usedTill.Store(now.Add(trust).UnixNano())
+// setUsed notes how many layer passes the requests of all entries held at that time.
+func (r *Runner) setUsed(passes float64, now time.Time, ttl time.Duration) {
+	r.usedByOthers.Store(math.Float64bits(passes - meanCacheShare*float64(r.outstanding.Load())))
+	r.usedUntil.Store(now.Add(ttl).UnixNano())
 }
 
-// UtilizationUntil returns until when the last word on the runner's room is believed.
-func (r *Runner) UtilizationUntil() time.Time { return time.Unix(0, r.usedTill.Load()) }
+// UtilizationUntil returns until when the last report of utilization is trusted.
+func (r *Runner) UtilizationUntil() time.Time { return time.Unix(0, r.usedUntil.Load()) }
 
 // Outstanding returns how many layer passes of this entry's requests are open here.
 func (r *Runner) Outstanding() int64 { return r.outstanding.Load() }
 
-// Utilization returns which part of the runner's room is taken when a request of that many
-// layer passes comes to it: what all entries' requests held by the last word, and what
-// this entry has begun and ended since; without such a word only what this entry has
-// open. It is 0 when the runner's room is unknown.
+// Utilization returns the share of the runner's capacity in use after a request of that
+// many layer passes is added. It combines the last report for all entries with the requests
+// that this entry has started and finished since. Without a valid report only this entry's
+// open requests count. Utilization is 0 if the capacity is unknown.
 func (r *Runner) Utilization(now time.Time, passes float64) float64 {
-	room := r.roomPasses()
-	if room <= 0 {
+	capacity := r.capacityPasses()
+	if capacity <= 0 {
 		return 0
 	}
-	taken := writtenShare * (float64(r.outstanding.Load()) + passes)
-	if now.UnixNano() < r.usedTill.Load() {
-		taken += math.Float64frombits(r.used.Load())
+	used := meanCacheShare * (float64(r.outstanding.Load()) + passes)
+	if now.UnixNano() < r.usedUntil.Load() {
+		used += math.Float64frombits(r.usedByOthers.Load())
 	}
-	return max(0, taken) / room
+	return max(0, used) / capacity
 }
 
-// roomPasses returns how many tokens fit, each in every layer that the runner holds.
-func (r *Runner) roomPasses() float64 { return r.spec.Room * float64(r.Span().Layers()) }
+// capacityPasses returns the capacity in layer passes: tokens times the layers that the
+// runner holds.
+func (r *Runner) capacityPasses() float64 { return r.spec.Room * float64(r.Span().Layers()) }
--- a/state/fleet/utilization_test.go
+++ b/state/fleet/utilization_test.go
@@ -12,8 +12,9 @@
 	"pinerun.example/pinerun/state/fleet"
 )
 
-// roomy is a model of ten layers: two runners hold the first half, one the rest.
-func roomy() *fleet.View {
+// newTestView returns the view of a model with ten layers: two runners hold the first half, one
+// the rest.
+func newTestView() *fleet.View {
 	return fleet.NewView(nil, []protocol.Model{{Name: "m", Layers: 10}}, []protocol.Runner{
 		{Name: "a", Model: "m", From: 0, To: 5, Speed: 1000, Step: 0.001, Room: 1000},
 		{Name: "b", Model: "m", From: 0, To: 5, Speed: 1000, Step: 0.001, Room: 1000},
@@ -21,45 +22,45 @@
 	}, fleet.Entry{Name: "e1"})
 }
 
-func TestACrowdedRunnerCostsMore(t *testing.T) {
-	v, now := roomy(), time.Unix(100, 0)
+func TestCostGrowsWithUtilization(t *testing.T) {
+	v, now := newTestView(), time.Unix(100, 0)
 	r := v.Runner("a")
 	_, empty := r.RequestCost(now, 10, 100, 4)
 	require.InDelta(t, 10.0/1000+100*0.001, empty, 1e-9)
-	r.Sent(250 * 5) // 250 tokens through five layers, a quarter of the room for each of four
+	r.Sent(250 * 5) // 250 tokens in five layers, a quarter of the capacity, for each of four entries
 	_, full := r.RequestCost(now, 10, 100, 4)
-	require.InDelta(t, 37*empty, full, 1e-9, "a full runner refuses: rather one that is many times slower")
+	require.InDelta(t, 37*empty, full, 1e-9, "a full runner refuses requests, so a runner many times slower is preferred")
 	r.Settled(125 * 5)
 	_, half := r.RequestCost(now, 10, 100, 4)
-	require.InDelta(t, (1+6.0/4+30.0/64)*empty, half, 1e-9, "half of the room is hardly crowded")
+	require.InDelta(t, (1+6.0/4+30.0/64)*empty, half, 1e-9, "half of the capacity adds little")
 	r.Settled(125 * 5)
 	_, again := r.RequestCost(now, 10, 100, 4)
 	require.InDelta(t, empty, again, 1e-9)
 }
 
-func TestRefusalsRestLongerEachTime(t *testing.T) {
-	r, now := roomy().Runner("a"), time.Unix(100, 0)
-	rest := func() time.Duration { return r.EjectedUntil().Sub(now) }
+func TestRefusalBackoffDoubles(t *testing.T) {
+	r, now := newTestView().Runner("a"), time.Unix(100, 0)
+	backoff := func() time.Duration { return r.EjectedUntil().Sub(now) }
 	for _, want := range []time.Duration{150, 300, 600, 1200, 2400, 2400} {
 		r.Refused(now)
-		require.Equal(t, want*time.Millisecond, rest())
+		require.Equal(t, want*time.Millisecond, backoff())
 		now = r.EjectedUntil()
 		require.True(t, r.Usable(now))
 	}
 	r.Accepted()
 	r.Refused(now)
-	require.Equal(t, 150*time.Millisecond, rest())
+	require.Equal(t, 150*time.Millisecond, backoff())
 }
 
-func TestASuspectIsClearedByASignOfWork(t *testing.T) {
-	r, now := roomy().Runner("a"), time.Unix(100, 0)
+func TestMarkWorkingClearsSuspicion(t *testing.T) {
+	r, now := newTestView().Runner("a"), time.Unix(100, 0)
 	r.Suspect(now.Add(time.Second))
 	require.False(t, r.Usable(now))
 	r.MarkWorking()
 	require.True(t, r.Usable(now))
 	require.False(t, r.Lost(now))
 	r.Failed(now)
-	require.False(t, r.Lost(now), "one failure may be anything")
+	require.False(t, r.Lost(now), "one failure may have any cause")
 	r.Failed(now)
 	require.True(t, r.Lost(now))
 	r.MarkWorking()
@@ -67,10 +68,10 @@
 	require.True(t, r.Usable(now))
 }
 
-// TestWhatOthersFoundLostIsLeftOutUntilItIsHeard: what was under way when the sign was met
-// disproves nothing.
-func TestWhatOthersFoundLostIsLeftOutUntilItIsHeard(t *testing.T) {
-	r, now := roomy().Runner("a"), time.Unix(100, 0)
+// TestLostRunnerIsExcludedUntilHeard checks that a message which was in flight when the loss was
+// observed does not disprove the loss.
+func TestLostRunnerIsExcludedUntilHeard(t *testing.T) {
+	r, now := newTestView().Runner("a"), time.Unix(100, 0)
 	r.MarkLost(now, now.Add(4*time.Second))
 	require.True(t, r.Lost(now))
 	require.False(t, r.Usable(now))
@@ -79,40 +80,40 @@
 	require.False(t, r.Usable(now.Add(500*time.Millisecond)))
 	require.True(t, r.ClearLostIfHeard(now.Add(1500*time.Millisecond)))
 	require.True(t, r.Usable(now.Add(1500*time.Millisecond)))
-	require.False(t, r.ClearLostIfHeard(now.Add(1600*time.Millisecond)), "that is known")
+	require.False(t, r.ClearLostIfHeard(now.Add(1600*time.Millisecond)), "it is no longer lost")
 	r.MarkLost(now, now.Add(4*time.Second))
-	require.True(t, r.Usable(now.Add(4*time.Second)), "the signs count no longer")
-	require.False(t, r.ClearLostIfHeard(now.Add(5*time.Second)), "nobody takes it as lost any more")
+	require.True(t, r.Usable(now.Add(4*time.Second)), "the observations have expired")
+	require.False(t, r.ClearLostIfHeard(now.Add(5*time.Second)), "it is no longer lost by then")
 }
 
-// fillOf returns which part of a runner's room is taken.
-func fillOf(r *fleet.Runner, now time.Time) float64 { return r.Utilization(now, 0) }
+// utilization returns the runner's utilization without a further request.
+func utilization(r *fleet.Runner, now time.Time) float64 { return r.Utilization(now, 0) }
 
-func TestWhatIsReportedAndWhatWasSentSinceCountTogether(t *testing.T) {
-	r := roomy().Runner("a") // 1,000 tokens in each of five layers
+func TestUtilizationAddsReportAndOwnRequests(t *testing.T) {
+	r := newTestView().Runner("a") // 1,000 tokens in each of five layers
 	now := time.Unix(100, 0)
-	require.Zero(t, fillOf(r, now), "nothing is known and nothing is open")
+	require.Zero(t, utilization(r, now), "no report and no open requests")
 	r.Sent(1000)
-	own := fillOf(r, now)
-	require.InDelta(t, 0.2, own, 0.03, "what this entry has open")
+	own := utilization(r, now)
+	require.InDelta(t, 0.2, own, 0.03, "this entry's open requests")
 	r.ReportUtilization(0.5, now)
-	require.InDelta(t, 0.5, fillOf(r, now), 1e-9, "the report counts what was open then")
+	require.InDelta(t, 0.5, utilization(r, now), 1e-9, "the report includes the requests open then")
 	r.Sent(1000)
-	require.InDelta(t, 0.5+own, fillOf(r, now), 1e-9)
+	require.InDelta(t, 0.5+own, utilization(r, now), 1e-9)
 	r.Settled(2000)
-	require.InDelta(t, 0.5-own, fillOf(r, now), 1e-9, "what has ended since has left its room")
-	require.InDelta(t, 0, fillOf(r, now.Add(2*time.Second)), 1e-9, "an old report counts for nothing")
+	require.InDelta(t, 0.5-own, utilization(r, now), 1e-9, "requests finished since have freed their capacity")
+	require.InDelta(t, 0, utilization(r, now.Add(2*time.Second)), 1e-9, "an old report is ignored")
 }
 
-func TestARefusalForRoomTellsThatARunnerIsFull(t *testing.T) {
-	r := roomy().Runner("a")
+func TestRefusalForCapacityMeansFull(t *testing.T) {
+	r := newTestView().Runner("a")
 	now := time.Unix(100, 0)
 	r.RefusedForCapacity(now)
-	require.InDelta(t, 1, fillOf(r, now), 1e-9)
-	require.Zero(t, fillOf(r, now.Add(300*time.Millisecond)))
+	require.InDelta(t, 1, utilization(r, now), 1e-9)
+	require.Zero(t, utilization(r, now.Add(300*time.Millisecond)))
 }
 
-func TestARunnerOfUnknownRoomIsNeverFull(t *testing.T) {
+func TestRunnerOfUnknownCapacityIsNeverFull(t *testing.T) {
 	v := fleet.NewView(nil, []protocol.Model{{Name: "m", Layers: 1}}, []protocol.Runner{{Name: "p", Model: "m", To: 1, Speed: 1}}, fleet.Entry{Name: "e1"})
 	r := v.Runner("p")
 	r.Sent(1 << 20)
--- a/state/fleet/view.go
+++ b/state/fleet/view.go
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package fleet is what an entry believes of the runners: which layers each
-// holds, how loaded it is, how fast it answers, and whether it is leaving.
+// Package fleet holds an entry's view of the runners: the layers that each holds, its load,
+// its response times, and whether it is leaving.
 //
-// A View groups the runners of each model by the span that they hold. It is
-// rebuilt when the configuration changes and keeps what was measured:
+// A View groups the runners of each model by the span of layers that they hold. It is
+// rebuilt when the configuration changes, and keeps the measurements:
 //
-//	view := fleet.Build(nil, cfg, fleet.Home{Name: "entry-1", DataCenter: "jhb-a"})
+//	view := fleet.NewViewFromConfig(nil, cfg, fleet.Entry{Name: "entry-1", DataCenter: "jhb-a"})
 //	for _, g := range view.Model("fares").Groups() { ... }
 package fleet
 
@@ -20,15 +20,15 @@
 	"pinerun.example/pinerun/state/config"
 )
 
-// SubsetSize is how many runners of a group an entry uses as long as they are
-// usable. It bounds the connections and load reports of an entry; each entry has
-// a subset of its own, so that all runners are used.
+// SubsetSize is how many runners of a group an entry uses as long as they are usable. It
+// bounds the connections and load reports of an entry. Each entry has its own subset, so
+// that all runners are used.
 const SubsetSize = 12
 
-// Group is the runners that hold the same span of a model.
+// Group holds the runners with the same span of a model.
 type Group struct {
 	span    protocol.Span
-	runners []*Runner // those that this entry uses come first
+	runners []*Runner // the entry's subset comes first
 }
 
 // Span returns the layers that every runner of the group holds.
@@ -41,7 +41,7 @@
 // All returns every runner of the group. The caller must not change the slice.
 func (g *Group) All() []*Runner { return g.runners }
 
-// Model is the runners of one model, grouped by span and ordered by first layer.
+// Model holds the runners of one model, grouped by span and ordered by first layer.
 type Model struct {
 	layers int
 	groups []Group
@@ -53,24 +53,24 @@
 // Groups returns the groups in order of their first layer.
 func (m *Model) Groups() []Group { return m.groups }
 
-// View is the whole fleet under one configuration.
+// View holds the runners of all models under one configuration.
 type View struct {
 	models  map[string]*Model
 	runners map[string]*Runner
 }
 
-// Entry is where an entry is, and its name, by which its subsets are drawn.
+// Entry identifies the local entry: its name, which determines its subsets, and its data
+// center.
 type Entry struct{ Name, DataCenter string }
 
-// NewViewFromConfig returns the view of a configuration for an entry. Runners that the older
-// view knows unchanged keep their measurements.
-func NewViewFromConfig(older *View, c *config.Config, home Entry) *View {
-	return NewView(older, c.ModelList(), c.Runners(), home)
+// NewViewFromConfig returns the view of a configuration for an entry. Runners that are
+// unchanged since the older view keep their measurements.
+func NewViewFromConfig(older *View, c *config.Config, entry Entry) *View {
+	return NewView(older, c.ModelList(), c.Runners(), entry)
 }
 
-// NewView returns the view of runners that are known one by one, each under the
-// name of one of the models.
-func NewView(older *View, models []protocol.Model, runners []protocol.Runner, home Entry) *View {
+// NewView returns the view of a list of runners. Each runner names one of the models.
+func NewView(older *View, models []protocol.Model, runners []protocol.Runner, entry Entry) *View {
 	v := &View{models: make(map[string]*Model, len(models)), runners: make(map[string]*Runner, len(runners))}
 	for _, m := range models {
 		v.models[m.Name] = &Model{layers: m.Layers}
@@ -78,25 +78,25 @@
 	for _, spec := range runners {
 		r := older.Runner(spec.Name)
 		if r == nil || r.Spec() != spec {
-			r = NewRunner(spec, home.DataCenter)
+			r = NewRunner(spec, entry.DataCenter)
 		}
 		v.runners[spec.Name] = r
-		v.place(r)
+		v.addRunner(r)
 	}
 	for _, m := range v.models {
 		slices.SortFunc(m.groups, func(a, b Group) int {
 			return cmp.Or(cmp.Compare(a.span.From, b.span.From), cmp.Compare(a.span.To, b.span.To))
 		})
 		for i := range m.groups {
-			drawSubset(m.groups[i].runners, home.Name)
+			moveSubsetFirst(m.groups[i].runners, entry.Name)
 		}
 	}
 	return v
 }
 
-// drawSubset puts the entry's own runners first, by rendezvous hashing, so that
-// a change of one runner changes at most one place of the subset.
-func drawSubset(runners []*Runner, entry string) {
+// moveSubsetFirst puts the entry's subset first. It uses rendezvous hashing, so that a
+// change of one runner changes at most one member of the subset.
+func moveSubsetFirst(runners []*Runner, entry string) {
 	if len(runners) <= SubsetSize {
 		return
 	}
@@ -109,7 +109,7 @@
 	})
 }
 
-func (v *View) place(r *Runner) {
+func (v *View) addRunner(r *Runner) {
 	m := v.models[r.Spec().Model]
 	if m == nil {
 		m = &Model{}
@@ -140,7 +140,7 @@
 	return v.runners[name]
 }
 
-// Runners returns every runner by name. The caller must not change the map.
+// Runners returns all runners by name. The caller must not change the map.
 func (v *View) Runners() map[string]*Runner {
 	if v == nil {
 		return nil
--- a/state/fleet/view_test.go
+++ b/state/fleet/view_test.go
@@ -18,9 +18,9 @@
 
 var now = time.Unix(1_800_000_000, 0)
 
-var home = fleet.Entry{Name: "e1", DataCenter: "dc"}
+var localEntry = fleet.Entry{Name: "e1", DataCenter: "dc"}
 
-func configOf(t require.TestingT, n int) *config.Config {
+func newConfig(t require.TestingT, n int) *config.Config {
 	f := protocol.Fleet{Name: "dc"}
 	for i := range n {
 		f.Runners = append(f.Runners, protocol.Runner{
@@ -33,15 +33,15 @@
 	return c
 }
 
-// TestReportsAreCheckedBeforeTheyCount: reports of others, with impossible
-// figures, from the future or too old change nothing.
-func TestReportsAreCheckedBeforeTheyCount(t *testing.T) {
+// TestInvalidLoadReportsAreIgnored checks that a report changes nothing if it is of another
+// runner, has invalid values, comes from the future or is too old.
+func TestInvalidLoadReportsAreIgnored(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := fleet.NewViewFromConfig(nil, configOf(t, 8), home).Runner("runner-3")
+		r := fleet.NewViewFromConfig(nil, newConfig(t, 8), localEntry).Runner("runner-3")
 		good := protocol.LoadReport{Runner: "runner-3", From: 3, To: 4, Queued: 50, UnixMS: now.UnixMilli()}
 		require.Equal(t, fleet.ReportAccepted, r.Report(good, now))
-		wait := r.QueueDelay(now)
-		require.InDelta(t, 0.5, wait, 0.001)
+		delay := r.QueueDelay(now)
+		require.InDelta(t, 0.5, delay, 0.001)
 		bad := good
 		want := fleet.ReportInvalid
 		switch rapid.IntRange(0, 4).Draw(t, "kind") {
@@ -59,43 +59,43 @@
 			want = fleet.ReportExpired
 		}
 		require.Equal(t, want, r.Report(bad, now))
-		require.InDelta(t, wait, r.QueueDelay(now), 0)
+		require.InDelta(t, delay, r.QueueDelay(now), 0)
 	})
 }
 
-func TestMeasurementsOutliveAnUnrelatedChange(t *testing.T) {
-	c := configOf(t, 8)
-	before := fleet.NewViewFromConfig(nil, c, home)
+func TestRebuildKeepsMeasurements(t *testing.T) {
+	c := newConfig(t, 8)
+	before := fleet.NewViewFromConfig(nil, c, localEntry)
 	before.Runner("runner-1").ObserveStep(time.Second, 0.1, now)
-	after := fleet.NewViewFromConfig(before, c, home)
+	after := fleet.NewViewFromConfig(before, c, localEntry)
 	require.Same(t, before.Runner("runner-1"), after.Runner("runner-1"))
 }
 
-func TestAnOverdueRunnerGetsLonger(t *testing.T) {
-	r := fleet.NewViewFromConfig(nil, configOf(t, 1), home).Runner("runner-0")
+func TestTimeoutRaisesSlowdown(t *testing.T) {
+	r := fleet.NewViewFromConfig(nil, newConfig(t, 1), localEntry).Runner("runner-0")
 	r.ObserveTimeout(time.Second, 0.1, now)
 	mean, _ := r.Slowdown(now)
 	require.InDelta(t, 20, mean, 0.01)
 	mean, _ = r.Slowdown(now.Add(time.Minute))
-	require.InDelta(t, 1, mean, 0.1, "it fades")
+	require.InDelta(t, 1, mean, 0.1, "it decays")
 }
 
-// BenchmarkView measures what the view of a fleet costs, in memory for each
-// runner and in time for each rebuild.
+// BenchmarkView measures the cost of a fleet's view: the memory per runner and the time per
+// rebuild.
 func BenchmarkView(b *testing.B) {
 	for _, n := range []int{40, 160, 640, 1600, 4900} {
 		b.Run(fmt.Sprint("runners=", n), func(b *testing.B) {
 			var empty, before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&empty)
-			c := configOf(b, n)
+			c := newConfig(b, n)
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			v := fleet.NewViewFromConfig(nil, c, home)
+			v := fleet.NewViewFromConfig(nil, c, localEntry)
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			for b.Loop() {
-				v = fleet.NewViewFromConfig(v, c, home)
+				v = fleet.NewViewFromConfig(v, c, localEntry)
 			}
 			b.ReportMetric(float64(after.HeapAlloc)-float64(before.HeapAlloc), "heap-B")
 			b.ReportMetric(float64(before.HeapAlloc)-float64(empty.HeapAlloc), "config-heap-B")
