--- a/state/addrowner/address_state.go
+++ b/state/addrowner/address_state.go
@@ -8,45 +8,45 @@
 	"time"
 )
 
-// claim is a claim with its evidence.
+// claim is a Claim with its evidence.
 type claim struct {
 	Claim
 
-	recorded bool
-	number   uint64    // of the list or change that first showed this life
-	seen     time.Time // when that was
-	proven   time.Time // when it last answered from the address
-	till     time.Time // until when it is remembered without a record
+	recorded      bool
+	batch         uint64    // of the list or change in which this incarnation was first seen
+	firstSeen     time.Time // when this incarnation was first seen
+	answeredAt    time.Time // when the endpoint last answered from the address
+	retainedUntil time.Time // until when the claim is retained without a record
 }
 
-// latest returns when the last sure sign of this life at the address came.
-func (k *claim) latest() time.Time {
-	if k.proven.After(k.seen) {
-		return k.proven
+// lastEvidence returns the time of the latest evidence for this claim.
+func (c *claim) lastEvidence() time.Time {
+	if c.answeredAt.After(c.firstSeen) {
+		return c.answeredAt
 	}
-	return k.seen
+	return c.firstSeen
 }
 
-// outlived reports whether another claim tells a later start and this one has not answered
-// since the other was seen.
-func (k *claim) outlived(by *claim) bool {
-	return k.Incarnation.Before(by.Incarnation) && k.proven.Before(by.seen)
+// supersededBy reports whether another claim has a later incarnation and this endpoint has
+// not answered since that claim was first seen.
+func (c *claim) supersededBy(other *claim) bool {
+	return c.Incarnation.Before(other.Incarnation) && c.answeredAt.Before(other.firstSeen)
 }
 
-// compare orders two claims by their evidence, the better one last.
-func (k *claim) compare(than *claim) int {
+// compare orders two claims by their evidence, the stronger one last.
+func (c *claim) compare(other *claim) int {
 	return cmp.Or(
-		k.latest().Compare(than.latest()),
-		k.proven.Compare(than.proven),
-		cmp.Compare(k.number, than.number),
-		rank(k.recorded, than.recorded),
-		rank(than.HoldsLayers, k.HoldsLayers),
-		cmp.Compare(k.Endpoint, than.Endpoint),
+		c.lastEvidence().Compare(other.lastEvidence()),
+		c.answeredAt.Compare(other.answeredAt),
+		cmp.Compare(c.batch, other.batch),
+		compareBools(c.recorded, other.recorded),
+		compareBools(other.HoldsLayers, c.HoldsLayers),
+		cmp.Compare(c.Endpoint, other.Endpoint),
 	)
 }
 
-// rank orders false before true.
-func rank(a, b bool) int {
+// compareBools orders false before true.
+func compareBools(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -57,57 +57,57 @@
 	}
 }
 
-// site is an address with its claims.
-type site struct {
-	claims   []*claim
-	changed  time.Time // when a record last came, came back or told another life
-	asked    time.Time // when it was last asked, or answered
-	answered time.Time // when something last answered from it
+// addressState is an address with its claims.
+type addressState struct {
+	claims     []*claim
+	changedAt  time.Time // when a record last appeared, reappeared or changed its incarnation
+	probedAt   time.Time // when the address was last probed, or answered
+	answeredAt time.Time // when a process last answered from the address
 }
 
 // claimOf returns the claim of an endpoint, or nil.
-func (s *site) claimOf(endpoint string) *claim {
-	for _, k := range s.claims {
-		if k.Endpoint == endpoint {
-			return k
+func (s *addressState) claimOf(endpoint string) *claim {
+	for _, c := range s.claims {
+		if c.Endpoint == endpoint {
+			return c
 		}
 	}
 	return nil
 }
 
-// occupant returns the claim with the best evidence, whether its record is there or not: a
-// superseded record doesn't come into use again because that of the occupant has gone.
-func (s *site) occupant() *claim {
+// owner returns the claim with the strongest evidence, whether or not it still has a record.
+// So a superseded record does not come back into use when the record of the owner goes.
+func (s *addressState) owner() *claim {
 	if len(s.claims) == 1 {
 		return s.claims[0]
 	}
 	var best *claim
-	for _, k := range s.claims {
-		if slices.ContainsFunc(s.claims, k.outlived) {
+	for _, c := range s.claims {
+		if slices.ContainsFunc(s.claims, c.supersededBy) {
 			continue
 		}
-		if best == nil || k.compare(best) > 0 {
-			best = k
+		if best == nil || c.compare(best) > 0 {
+			best = c
 		}
 	}
 	return best
 }
 
-// unclear reports whether it should be asked who has the address.
-func (s *site) unclear(now time.Time) bool {
+// needsProbe reports whether the address should be probed for its owner.
+func (s *addressState) needsProbe(now time.Time) bool {
 	records := 0
-	for _, k := range s.claims {
-		if k.recorded {
+	for _, c := range s.claims {
+		if c.recorded {
 			records++
 		}
 	}
-	again := !now.Before(s.asked.Add(ProbeInterval))
-	switch o := s.occupant(); {
+	intervalOver := !now.Before(s.probedAt.Add(ProbeInterval))
+	switch o := s.owner(); {
 	case records == 0:
 		return false
 	case o == nil || !o.recorded:
-		return again
+		return intervalOver
 	default:
-		return records > 1 && s.answered.Before(s.changed) && (again || s.asked.Before(s.changed))
+		return records > 1 && s.answeredAt.Before(s.changedAt) && (intervalOver || s.probedAt.Before(s.changedAt))
 	}
 }
--- a/state/addrowner/addrowner.go
+++ b/state/addrowner/addrowner.go
@@ -1,22 +1,24 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package occupant decides which of several records of an address is that of the process
-// which has the address.
+// Package addrowner decides which of several records with the same address is that of the
+// process which owns the address.
 //
-// An endpoint that dies leaves its record behind, and a write of its that was under way may
-// bring it back after the next process at that address has recorded itself. A Ledger holds
-// every claim to an address, weighs the evidence for each and names one occupant at most:
+// An endpoint that crashes leaves its record behind. One of its writes that was still in
+// flight may bring the record back after the next process at that address has recorded
+// itself. A Tracker holds all claims to an address, compares the evidence for them and
+// selects at most one owner:
 //
-//	l.Next()
-//	l.Record(occupant.Claim{Endpoint: "x", Address: a}, now)
-//	l.Next()
-//	l.Record(occupant.Claim{Endpoint: "y", Address: a}, now) // x is superseded
-//	l.Gone("x", now)
-//	l.Record(occupant.Claim{Endpoint: "x", Address: a}, now) // and stays so
-//	l.Answered(a, "x", 0, now)                               // until it answers itself
+//	t.NextBatch()
+//	t.Record(addrowner.Claim{Endpoint: "x", Address: a}, now)
+//	t.NextBatch()
+//	t.Record(addrowner.Claim{Endpoint: "y", Address: a}, now) // x is superseded
+//	t.RecordRemoved("x", now)
+//	t.Record(addrowner.Claim{Endpoint: "x", Address: a}, now) // x stays superseded
+//	t.Answered(a, "x", 0, now)                                // x owns the address again
 //
-// What counts, the later before the earlier: an answer from the address that names its
-// process; the starts that two claims tell; which of them was seen first.
+// Three kinds of evidence count: an answer from the address that names its process, the
+// incarnations of two claims, and the order in which the claims were first seen. Later
+// evidence outweighs earlier evidence.
 package addrowner
 
 import (
@@ -26,212 +28,216 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// Retention is how long a claim counts after its record has gone. A write without an answer
-// may take effect seconds later and bring the record back.
+// Retention is how long a claim counts after its record has gone. A write that got no
+// response may take effect seconds later and bring the record back.
 const Retention = time.Minute
 
-// ProbeInterval is how often an address is asked whose records are all out of use. It bounds how
-// long an endpoint that lives is left out because its record looked like an earlier one's.
+// ProbeInterval is the least time between two probes of an address. It bounds how long a
+// running endpoint is left out because its record looked like that of an earlier process.
 const ProbeInterval = time.Second
 
-// Claim is what a record says of who has an address.
+// Claim is the claim of a record to an address.
 type Claim struct {
 	Endpoint    string
 	Address     string
 	Incarnation protocol.Incarnation
-	// HoldsLayers says that the record promises layers. Of claims that nothing else tells apart
-	// the one that promises nothing is the safer.
+	// HoldsLayers says that the record lists layers. Among claims without other evidence,
+	// the one without layers wins, because it is the safer choice.
 	HoldsLayers bool
 }
 
 // Tracker holds the claims to all addresses. The zero value is empty.
 type Tracker struct {
-	sites    map[string]*site
-	address  map[string]string // by endpoint, of its latest record
-	departed []departure       // in the order in which they are forgotten
-	number   uint64            // of Next calls, and of claims seen without a record
+	addresses map[string]*addressState
+	addressOf map[string]string // by endpoint, of its latest record
+	removed   []removedClaim    // claims without a record, in the order in which they expire
+	batch     uint64            // incremented by NextBatch and by each claim first seen without a record
 }
 
-// departure is a claim without a record.
-type departure struct{ endpoint, address string }
+// removedClaim is a claim without a record.
+type removedClaim struct{ endpoint, address string }
 
-// NextBatch begins a new list or change, whose records count as later than those before. Between
-// the records of one list there is no NextBatch: in which order they were written is not known.
-func (l *Tracker) NextBatch() { l.number++ }
+// NextBatch begins a new list or change, whose records count as later than those before.
+// Records of one list belong to one batch, because the order in which they were written is
+// not known.
+func (t *Tracker) NextBatch() { t.batch++ }
 
-// Record takes one record. One without an address counts as alone at an address of its own.
-func (l *Tracker) Record(c Claim, now time.Time) {
-	if c.Address == "" {
-		c.Address = c.Endpoint
+// Record applies one record. A record without an address counts as the only one at an
+// address of its own.
+func (t *Tracker) Record(update Claim, now time.Time) {
+	if update.Address == "" {
+		update.Address = update.Endpoint
 	}
-	if old, ok := l.address[c.Endpoint]; ok && old != c.Address {
-		l.RecordRemoved(c.Endpoint, now)
+	if old, ok := t.addressOf[update.Endpoint]; ok && old != update.Address {
+		t.RecordRemoved(update.Endpoint, now)
 	}
-	s := l.site(c.Address)
-	k := s.claimOf(c.Endpoint)
+	s := t.state(update.Address)
+	c := s.claimOf(update.Endpoint)
 	switch {
-	case k == nil:
-		k = &claim{Claim: c, number: l.number, seen: now}
-		s.claims = append(s.claims, k)
-		s.changed = now
-	case k.Incarnation.Before(c.Incarnation):
-		*k = claim{Claim: c, number: l.number, seen: now}
-		s.changed = now
-	case !k.recorded:
-		s.changed = now
+	case c == nil:
+		c = &claim{Claim: update, batch: t.batch, firstSeen: now}
+		s.claims = append(s.claims, c)
+		s.changedAt = now
+	case c.Incarnation.Before(update.Incarnation):
+		*c = claim{Claim: update, batch: t.batch, firstSeen: now}
+		s.changedAt = now
+	case !c.recorded:
+		s.changedAt = now
 	}
-	k.recorded = true
-	k.HoldsLayers = c.HoldsLayers
-	if !k.Incarnation.Known() {
-		k.Incarnation = c.Incarnation
+	c.recorded = true
+	c.HoldsLayers = update.HoldsLayers
+	if !c.Incarnation.Known() {
+		c.Incarnation = update.Incarnation
 	}
-	l.address[c.Endpoint] = c.Address
+	t.addressOf[update.Endpoint] = update.Address
 }
 
 // RecordRemoved notes that a record is gone.
-func (l *Tracker) RecordRemoved(endpoint string, now time.Time) {
-	if k := l.claimOf(endpoint); k != nil && k.recorded {
-		k.recorded = false
-		l.depart(k, now)
+func (t *Tracker) RecordRemoved(endpoint string, now time.Time) {
+	if c := t.claimOf(endpoint); c != nil && c.recorded {
+		c.recorded = false
+		t.retain(c, now)
 	}
 }
 
-// Forget takes back all that is known of the claim of an endpoint.
-func (l *Tracker) Forget(endpoint string) {
-	if k := l.claimOf(endpoint); k != nil {
-		l.drop(l.sites[k.Address], k)
+// Forget drops the claim of an endpoint.
+func (t *Tracker) Forget(endpoint string) {
+	if c := t.claimOf(endpoint); c != nil {
+		t.drop(t.addresses[c.Address], c)
 	}
 }
 
-// depart remembers a claim without a record for a while.
-func (l *Tracker) depart(k *claim, now time.Time) {
-	k.till = now.Add(Retention)
-	l.departed = append(l.departed, departure{endpoint: k.Endpoint, address: k.Address})
+// retain remembers a claim without a record for Retention.
+func (t *Tracker) retain(c *claim, now time.Time) {
+	c.retainedUntil = now.Add(Retention)
+	t.removed = append(t.removed, removedClaim{endpoint: c.Endpoint, address: c.Address})
 }
 
-// Answered notes that the process at an address named itself. The life is its present one, 0
-// if it did not tell.
-func (l *Tracker) Answered(address, endpoint string, life protocol.Incarnation, now time.Time) {
-	s := l.site(address)
-	k := s.claimOf(endpoint)
-	if k == nil {
-		l.number++
-		k = &claim{Claim: Claim{Endpoint: endpoint, Address: address, Incarnation: life}, number: l.number, seen: now}
-		s.claims = append(s.claims, k)
-		l.depart(k, now)
+// Answered notes that the process at an address named itself. The incarnation is that of the
+// process, 0 if it did not say.
+func (t *Tracker) Answered(address, endpoint string, incarnation protocol.Incarnation, now time.Time) {
+	s := t.state(address)
+	c := s.claimOf(endpoint)
+	if c == nil {
+		t.batch++
+		c = &claim{Claim: Claim{Endpoint: endpoint, Address: address, Incarnation: incarnation}, batch: t.batch, firstSeen: now}
+		s.claims = append(s.claims, c)
+		t.retain(c, now)
 	}
-	if life.Before(k.Incarnation) || now.Before(k.proven) {
-		return // an answer that was under way for long
+	if incarnation.Before(c.Incarnation) || now.Before(c.answeredAt) {
+		return // the answer is older than the evidence at hand
 	}
-	if life.Known() {
-		k.Incarnation = life
+	if incarnation.Known() {
+		c.Incarnation = incarnation
 	}
-	k.proven = now
-	s.asked = now
-	s.answered = now
+	c.answeredAt = now
+	s.probedAt = now
+	s.answeredAt = now
 }
 
-// InUse reports whether an endpoint is the occupant of its address.
-func (l *Tracker) InUse(endpoint string) bool {
-	s := l.sites[l.address[endpoint]]
+// InUse reports whether an endpoint owns its address.
+func (t *Tracker) InUse(endpoint string) bool {
+	s := t.addresses[t.addressOf[endpoint]]
 	if s == nil {
 		return false
 	}
-	o := s.occupant()
+	o := s.owner()
 	return o != nil && o.Endpoint == endpoint && o.recorded
 }
 
-// Owner returns the ID of the endpoint that has an endpoint's address, as far as is known.
-func (l *Tracker) Owner(endpoint string) string {
-	s := l.sites[l.address[endpoint]]
+// Owner returns the ID of the endpoint that owns the address of an endpoint, or "" if it is
+// not known.
+func (t *Tracker) Owner(endpoint string) string {
+	s := t.addresses[t.addressOf[endpoint]]
 	if s == nil {
 		return ""
 	}
-	if o := s.occupant(); o != nil {
+	if o := s.owner(); o != nil {
 		return o.Endpoint
 	}
 	return ""
 }
 
-// Incarnation returns the latest life of an endpoint that is known.
-func (l *Tracker) Incarnation(endpoint string) protocol.Incarnation {
-	if k := l.claimOf(endpoint); k != nil {
-		return k.Incarnation
+// Incarnation returns the latest known incarnation of an endpoint.
+func (t *Tracker) Incarnation(endpoint string) protocol.Incarnation {
+	if c := t.claimOf(endpoint); c != nil {
+		return c.Incarnation
 	}
 	return 0
 }
 
-// ProbeDue reports whether the address of an endpoint should be asked now who has it, and
-// notes that it is asked. It should be if several records name it and nothing has answered
-// since the last of them came, or if none that names it is in use. Patience is how long
-// asking is left to other entries.
-func (l *Tracker) ProbeDue(endpoint string, patience time.Duration, now time.Time) bool {
-	s := l.sites[l.address[endpoint]]
-	if s == nil || !s.unclear(now) || now.Before(s.changed.Add(patience)) || now.Before(s.asked.Add(patience)) {
+// ProbeDue reports whether to probe the address of an endpoint for its owner now, and notes
+// that it is probed. A probe is due if several records name the address and no process has
+// answered since the last of them came, or if none of the records is in use. For the
+// duration of patience, probing is left to other entries.
+func (t *Tracker) ProbeDue(endpoint string, patience time.Duration, now time.Time) bool {
+	s := t.addresses[t.addressOf[endpoint]]
+	if s == nil || !s.needsProbe(now) || now.Before(s.changedAt.Add(patience)) || now.Before(s.probedAt.Add(patience)) {
 		return false
 	}
-	s.asked = now
+	s.probedAt = now
 	return true
 }
 
-// MayProbe reports whether the address of an endpoint may be asked again, whatever is known of it:
-// the last time was AskEvery ago, or patience if that is longer. It notes that it is asked.
-func (l *Tracker) MayProbe(endpoint string, patience time.Duration, now time.Time) bool {
-	s := l.sites[l.address[endpoint]]
-	if s == nil || now.Before(s.asked.Add(max(ProbeInterval, patience))) {
+// MayProbe reports whether the address of an endpoint may be probed again, whatever is known
+// of it: the last probe was ProbeInterval ago, or patience if that is longer. It notes that
+// the address is probed.
+func (t *Tracker) MayProbe(endpoint string, patience time.Duration, now time.Time) bool {
+	s := t.addresses[t.addressOf[endpoint]]
+	if s == nil || now.Before(s.probedAt.Add(max(ProbeInterval, patience))) {
 		return false
 	}
-	s.asked = now
+	s.probedAt = now
 	return true
 }
 
-// Sweep forgets claims whose records went long ago.
-func (l *Tracker) Sweep(now time.Time) {
-	for len(l.departed) > 0 {
-		d := l.departed[0]
-		s := l.sites[d.address]
-		var k *claim
+// Sweep drops the claims whose records went more than Retention ago.
+func (t *Tracker) Sweep(now time.Time) {
+	for len(t.removed) > 0 {
+		oldest := t.removed[0]
+		s := t.addresses[oldest.address]
+		var c *claim
 		if s != nil {
-			k = s.claimOf(d.endpoint)
+			c = s.claimOf(oldest.endpoint)
 		}
-		if k != nil && !k.recorded && now.Before(k.till) {
+		if c != nil && !c.recorded && now.Before(c.retainedUntil) {
 			return
 		}
-		l.departed = l.departed[1:]
-		if k != nil && !k.recorded {
-			l.drop(s, k)
+		t.removed = t.removed[1:]
+		if c != nil && !c.recorded {
+			t.drop(s, c)
 		}
 	}
 }
 
-// drop forgets a claim, and its address if it was the last one there.
-func (l *Tracker) drop(s *site, k *claim) {
-	s.claims = slices.DeleteFunc(s.claims, func(o *claim) bool { return o == k })
-	if l.address[k.Endpoint] == k.Address {
-		delete(l.address, k.Endpoint)
+// drop removes a claim, and its address if it was the last claim there.
+func (t *Tracker) drop(s *addressState, c *claim) {
+	s.claims = slices.DeleteFunc(s.claims, func(o *claim) bool { return o == c })
+	if t.addressOf[c.Endpoint] == c.Address {
+		delete(t.addressOf, c.Endpoint)
 	}
 	if len(s.claims) == 0 {
-		delete(l.sites, k.Address)
+		delete(t.addresses, c.Address)
 	}
 }
 
-// site returns an address with its claims, and enters it if it is new.
-func (l *Tracker) site(address string) *site {
-	if l.sites == nil {
-		l.sites = make(map[string]*site)
-		l.address = make(map[string]string)
+// state returns the state of an address, which it creates if necessary.
+func (t *Tracker) state(address string) *addressState {
+	if t.addresses == nil {
+		t.addresses = make(map[string]*addressState)
+		t.addressOf = make(map[string]string)
 	}
-	s := l.sites[address]
+	s := t.addresses[address]
 	if s == nil {
-		s = &site{}
-		l.sites[address] = s
+		s = &addressState{}
+		t.addresses[address] = s
 	}
 	return s
 }
 
 // claimOf returns the claim that the latest record of an endpoint makes, or nil.
-func (l *Tracker) claimOf(endpoint string) *claim {
-	if s := l.sites[l.address[endpoint]]; s != nil {
+func (t *Tracker) claimOf(endpoint string) *claim {
+	if s := t.addresses[t.addressOf[endpoint]]; s != nil {
 		return s.claimOf(endpoint)
 	}
 	return nil
