--- a/state/mirror/mirror.go
+++ b/state/mirror/mirror.go
@@ -1,15 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package mirror is what an entry knows of the platform's objects, and the latest
-// changes of them, so that other entries can learn from it what the platform told.
+// Package mirror holds an entry's copy of the platform's objects and their latest changes,
+// so that other entries can read them from this entry instead of the platform.
 //
-// A Mirror takes whole lists and runs of changes, in whatever order they come from
-// the platform and from other entries, and tells the changes since a revision. It may
-// be used by several goroutines at once.
+// A Mirror applies whole lists and deltas, in any order, from the platform and from other
+// entries. It returns the changes since a revision. A Mirror is safe for concurrent use:
 //
-//	m.Listed("servers", listing)
-//	m.Took("servers", mirror.Run{After: 7, At: 9, Changes: changes})
-//	run, ok := m.Since("servers", 7)
+//	m.ApplyList("servers", listing)
+//	m.Apply("servers", mirror.Delta{After: 7, To: 9, Changes: changes})
+//	delta, ok := m.Since("servers", 7)
 package mirror
 
 import (
@@ -22,16 +21,16 @@
 )
 
 const (
-	// keptRuns and keptBytes (of values) bound the changes that are remembered of a
-	// kind: those of some ten seconds of a day on which the whole fleet changes.
-	keptRuns  = 128
-	keptBytes = 4 << 20
+	// maxDeltas and maxDeltaBytes (of values) bound the changes that are kept of a kind. They
+	// hold about ten seconds of changes on a day on which the whole fleet changes.
+	maxDeltas     = 128
+	maxDeltaBytes = 4 << 20
 )
 
-// Delta takes whoever knows a kind as it was at revision After to revision At. Changes
-// that were watched also serve who knows a later revision than After. A difference
-// between two lists does not: it lacks what came and went between them. A whole run
-// holds every object there is at At, and serves who knows anything else or nothing.
+// Delta leads from a kind's state at revision After to its state at revision To. A delta
+// that was watched also applies to states between After and To. A ListDiff, the difference
+// between two lists, does not: it lacks objects that came and went between them. A Snapshot
+// holds all objects at To, and applies to any state.
 type Delta struct {
 	After    uint64
 	To       uint64
@@ -40,10 +39,10 @@
 	Changes  []protocol.Change
 }
 
-// listing returns what a whole run holds.
-func (r *Delta) listing() protocol.Listing {
-	l := protocol.Listing{At: r.To}
-	for _, c := range r.Changes {
+// listing returns the objects of a snapshot.
+func (d *Delta) listing() protocol.Listing {
+	l := protocol.Listing{At: d.To}
+	for _, c := range d.Changes {
 		l.Objects = append(l.Objects, c.Object)
 	}
 	return l
@@ -52,16 +51,16 @@
 // Mirror holds the objects of several kinds. The zero value is empty.
 type Mirror struct {
 	mutex   sync.Mutex
-	kinds   map[string]*kind
+	kinds   map[string]*kindState
 	changed part.Signal
 }
 
-// kind is the objects of one kind.
-type kind struct {
-	objects map[string]protocol.Object
-	at      uint64
-	runs    []Delta // the latest, each going on where the one before it ends
-	bytes   int     // of the values in them
+// kindState holds the objects of one kind.
+type kindState struct {
+	objects  map[string]protocol.Object
+	revision uint64
+	deltas   []Delta // the latest deltas, each starting where the previous one ends
+	bytes    int     // of the values in the deltas
 }
 
 // Revision returns the revision up to which a kind is known, 0 before its first list.
@@ -69,12 +68,12 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if k := m.kinds[name]; k != nil {
-		return k.at
+		return k.revision
 	}
 	return 0
 }
 
-// Object returns an object and whether it is there.
+// Object returns an object and whether it exists.
 func (m *Mirror) Object(kindName, name string) (protocol.Object, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -89,60 +88,61 @@
 // Changed returns a channel that closes at the next change of any kind.
 func (m *Mirror) Changed() <-chan struct{} { return m.changed.Awaited() }
 
-// ApplyList takes a whole list. What it changes is remembered as a run, so that those
-// who learn from here need no list of their own.
+// ApplyList applies a whole list. It keeps the changes as a delta, so that entries that
+// follow this one need no list of their own.
 func (m *Mirror) ApplyList(name string, l protocol.Listing) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.listed(name, l)
+	m.applyList(name, l)
 }
 
-// listed is Listed with the mutex held.
-func (m *Mirror) listed(name string, l protocol.Listing) {
-	k := m.kind(name)
-	if k.at == 0 {
-		k.at = max(1, l.At)
+// applyList is ApplyList for a caller that holds the mutex.
+func (m *Mirror) applyList(name string, l protocol.Listing) {
+	k := m.state(name)
+	if k.revision == 0 {
+		k.revision = max(1, l.At)
 		for _, o := range l.Objects {
 			k.objects[o.Name] = o
 		}
 		m.changed.Tell()
 		return
 	}
-	if l.At <= k.at {
-		return // nothing new, or asked for before newer changes came
+	if l.At <= k.revision {
+		return // nothing new, or requested before newer changes arrived
 	}
-	k.append(k.difference(l))
-	k.at = l.At
+	k.append(k.diffTo(l))
+	k.revision = l.At
 	m.changed.Tell()
 }
 
-// List returns every object of a kind, and whether it was ever listed.
+// List returns all objects of a kind, and whether the kind was ever listed.
 func (m *Mirror) List(name string) (protocol.Listing, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	k := m.kinds[name]
-	if k == nil || k.at == 0 {
+	if k == nil || k.revision == 0 {
 		return protocol.Listing{}, false
 	}
-	l := protocol.Listing{At: k.at, Objects: make([]protocol.Object, 0, len(k.objects))}
+	l := protocol.Listing{At: k.revision, Objects: make([]protocol.Object, 0, len(k.objects))}
 	for _, o := range k.objects {
 		l.Objects = append(l.Objects, o)
 	}
 	return l, true
 }
 
-// Snapshot returns every object of a kind as one run, for who can't be told the changes.
+// Snapshot returns all objects of a kind as one delta, for a follower whose changes since
+// its revision are no longer kept.
 func (m *Mirror) Snapshot(name string) Delta {
 	l, _ := m.List(name)
-	r := Delta{To: l.At, Snapshot: true}
+	d := Delta{To: l.At, Snapshot: true}
 	for _, o := range l.Objects {
-		r.Changes = append(r.Changes, protocol.Change{Object: o})
+		d.Changes = append(d.Changes, protocol.Change{Object: o})
 	}
-	slices.SortFunc(r.Changes, func(a, b protocol.Change) int { return strings.Compare(a.Object.Name, b.Object.Name) })
-	return r
+	slices.SortFunc(d.Changes, func(a, b protocol.Change) int { return strings.Compare(a.Object.Name, b.Object.Name) })
+	return d
 }
 
-// Forget drops what is known of a kind, so that it has to be listed anew.
+// Forget drops a kind, which then has to be listed again.
 func (m *Mirror) Forget(name string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -150,55 +150,55 @@
 	m.changed.Tell()
 }
 
-// Apply takes a run of changes, and reports whether it goes on from what is known.
-// A run that ends before is known already.
-func (m *Mirror) Apply(name string, r Delta) bool {
+// Apply applies a delta, and reports whether it continues from the known state. A delta
+// that ends at or before the known revision is already known.
+func (m *Mirror) Apply(name string, d Delta) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if r.Snapshot {
-		m.listed(name, r.listing())
+	if d.Snapshot {
+		m.applyList(name, d.listing())
 		return true
 	}
-	k := m.kind(name)
-	if r.To <= k.at {
+	k := m.state(name)
+	if d.To <= k.revision {
 		return true
 	}
-	if k.at == 0 || r.After > k.at || r.ListDiff && r.After != k.at {
+	if k.revision == 0 || d.After > k.revision || d.ListDiff && d.After != k.revision {
 		return false
 	}
-	r.After = k.at
-	k.append(r)
-	k.at = r.To
+	d.After = k.revision
+	k.append(d)
+	k.revision = d.To
 	m.changed.Tell()
 	return true
 }
 
-// Since returns the changes after a revision as one run, and whether they are all
-// remembered. Of several changes of an object only the last is told.
+// Since returns the changes after a revision as one delta, and whether they are all kept.
+// If an object changed several times, the delta has only its last change.
 func (m *Mirror) Since(name string, after uint64) (Delta, bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	k := m.kinds[name]
-	if k == nil || after >= k.at {
+	if k == nil || after >= k.revision {
 		return Delta{After: after, To: after}, true
 	}
-	all := Delta{After: after, To: after}
-	if len(k.runs) == 0 || k.runs[0].After > after {
-		return all, false
+	merged := Delta{After: after, To: after}
+	if len(k.deltas) == 0 || k.deltas[0].After > after {
+		return merged, false
 	}
-	for _, r := range k.runs {
-		if r.To <= after {
+	for _, d := range k.deltas {
+		if d.To <= after {
 			continue
 		}
-		if r.ListDiff && r.After < after {
-			return all, false
+		if d.ListDiff && d.After < after {
+			return merged, false
 		}
-		all.Changes = append(all.Changes, r.Changes...)
-		all.To = r.To
-		all.ListDiff = all.ListDiff || r.ListDiff
+		merged.Changes = append(merged.Changes, d.Changes...)
+		merged.To = d.To
+		merged.ListDiff = merged.ListDiff || d.ListDiff
 	}
-	all.Changes = lastOfEach(all.Changes)
-	return all, true
+	merged.Changes = lastOfEach(merged.Changes)
+	return merged, true
 }
 
 // lastOfEach returns the last change of each object, in order.
@@ -219,40 +219,40 @@
 	return kept
 }
 
-// kind returns a kind, empty if nothing was known of it.
-func (m *Mirror) kind(name string) *kind {
+// state returns the state of a kind, which it creates if necessary.
+func (m *Mirror) state(name string) *kindState {
 	if m.kinds == nil {
-		m.kinds = make(map[string]*kind)
+		m.kinds = make(map[string]*kindState)
 	}
 	k := m.kinds[name]
 	if k == nil {
-		k = &kind{objects: make(map[string]protocol.Object)}
+		k = &kindState{objects: make(map[string]protocol.Object)}
 		m.kinds[name] = k
 	}
 	return k
 }
 
-// difference returns the run from what is known to a list.
-func (k *kind) difference(l protocol.Listing) Delta {
-	r := Delta{After: k.at, To: l.At, ListDiff: true}
+// diffTo returns the delta from the known state to a list.
+func (k *kindState) diffTo(l protocol.Listing) Delta {
+	d := Delta{After: k.revision, To: l.At, ListDiff: true}
 	listed := make(map[string]bool, len(l.Objects))
 	for _, o := range l.Objects {
 		listed[o.Name] = true
 		if known, ok := k.objects[o.Name]; !ok || known.Version < o.Version {
-			r.Changes = append(r.Changes, protocol.Change{Object: o})
+			d.Changes = append(d.Changes, protocol.Change{Object: o})
 		}
 	}
 	for _, o := range k.objects {
 		if !listed[o.Name] {
-			r.Changes = append(r.Changes, protocol.Change{Object: o, Gone: true})
+			d.Changes = append(d.Changes, protocol.Change{Object: o, Gone: true})
 		}
 	}
-	return r
+	return d
 }
 
-// append remembers a run that goes on from the last and applies it.
-func (k *kind) append(r Delta) {
-	for _, c := range r.Changes {
+// append keeps a delta that continues from the last one, and applies it.
+func (k *kindState) append(d Delta) {
+	for _, c := range d.Changes {
 		k.bytes += len(c.Object.Value)
 		if c.Gone {
 			delete(k.objects, c.Object.Name)
@@ -260,11 +260,11 @@
 			k.objects[c.Object.Name] = c.Object
 		}
 	}
-	k.runs = append(k.runs, r)
-	for len(k.runs) > 1 && (len(k.runs) > keptRuns || k.bytes > keptBytes) {
-		for _, c := range k.runs[0].Changes {
+	k.deltas = append(k.deltas, d)
+	for len(k.deltas) > 1 && (len(k.deltas) > maxDeltas || k.bytes > maxDeltaBytes) {
+		for _, c := range k.deltas[0].Changes {
 			k.bytes -= len(c.Object.Value)
 		}
-		k.runs = slices.Delete(k.runs, 0, 1)
+		k.deltas = slices.Delete(k.deltas, 0, 1)
 	}
 }
--- a/state/mirror/mirror_test.go
+++ b/state/mirror/mirror_test.go
@@ -15,54 +15,54 @@
 
 const kind = "servers"
 
-// platform is a model of the platform's objects of one kind with all its history.
+// platform models the platform's objects of one kind with their whole history.
 type platform struct {
-	objects map[string]protocol.Object
-	history []protocol.Change
-	at      []uint64 // revision of each change
-	now     uint64
+	objects   map[string]protocol.Object
+	history   []protocol.Change
+	revisions []uint64 // revision of each change
+	revision  uint64
 }
 
 func (p *platform) change(t *rapid.T) {
 	name := fmt.Sprint("o", rapid.IntRange(0, 4).Draw(t, "object"))
-	p.now += uint64(rapid.IntRange(1, 3).Draw(t, "step"))
-	_, there := p.objects[name]
-	if there && rapid.Bool().Draw(t, "goes") {
-		// The platform tells the last change of an object that went, or its own.
+	p.revision += uint64(rapid.IntRange(1, 3).Draw(t, "step"))
+	_, exists := p.objects[name]
+	if exists && rapid.Bool().Draw(t, "removed") {
+		// A removal has the revision of the object's last change, or one of its own.
 		o := p.objects[name]
 		if rapid.Bool().Draw(t, "own revision") {
-			o.Version = p.now
+			o.Version = p.revision
 		}
 		delete(p.objects, name)
 		p.history = append(p.history, protocol.Change{Object: o, Gone: true})
 	} else {
-		o := protocol.Object{Kind: kind, Name: name, Version: p.now}
+		o := protocol.Object{Kind: kind, Name: name, Version: p.revision}
 		p.objects[name] = o
 		p.history = append(p.history, protocol.Change{Object: o})
 	}
-	p.at = append(p.at, p.now)
+	p.revisions = append(p.revisions, p.revision)
 }
 
 func (p *platform) list() protocol.Listing {
-	l := protocol.Listing{At: p.now}
+	l := protocol.Listing{At: p.revision}
 	for _, o := range p.objects {
 		l.Objects = append(l.Objects, o)
 	}
 	return l
 }
 
-// run returns what a watch from a revision answers.
-func (p *platform) run(after uint64) mirror.Delta {
-	r := mirror.Delta{After: after, To: p.now}
+// delta returns the answer of a watch from a revision.
+func (p *platform) delta(after uint64) mirror.Delta {
+	d := mirror.Delta{After: after, To: p.revision}
 	for i, c := range p.history {
-		if p.at[i] > after {
-			r.Changes = append(r.Changes, c)
+		if p.revisions[i] > after {
+			d.Changes = append(d.Changes, c)
 		}
 	}
-	return r
+	return d
 }
 
-// apply replays changes over objects.
+// apply applies changes to objects.
 func apply(objects map[string]protocol.Object, changes []protocol.Change) {
 	for _, c := range changes {
 		if c.Gone {
@@ -73,17 +73,17 @@
 	}
 }
 
-// TestWhoFollowsKnowsWhatTheFollowedKnows draws lists, watches and follows in any
-// order: whoever takes the changes since what it knows has what the mirror has.
-func TestWhoFollowsKnowsWhatTheFollowedKnows(t *testing.T) {
+// TestFollowerMatchesSource applies lists, watches and deltas in any order. A follower that
+// applies the changes since its revision must have the same objects as the mirror it follows.
+func TestFollowerMatchesSource(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := &platform{objects: map[string]protocol.Object{}, now: 1}
+		p := &platform{objects: map[string]protocol.Object{}, revision: 1}
 		var source, follower mirror.Mirror
 		source.ApplyList(kind, p.list())
 		follower.ApplyList(kind, p.list())
-		seen := map[string]protocol.Object{} // what the follower's own follower has
-		apply(seen, p.run(0).Changes)
-		at := follower.Revision(kind)
+		downstream := map[string]protocol.Object{} // objects of a follower of the follower
+		apply(downstream, p.delta(0).Changes)
+		revision := follower.Revision(kind)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			switch rapid.IntRange(0, 6).Draw(t, "step") {
 			case 0, 1:
@@ -91,47 +91,47 @@
 			case 2:
 				source.ApplyList(kind, p.list())
 			case 3:
-				require.True(t, source.Apply(kind, p.run(source.Revision(kind))))
-			case 4: // a watch of the follower's own, which overlaps what came from the source
-				require.True(t, follower.Apply(kind, p.run(uint64(rapid.IntRange(1, int(follower.Revision(kind))).Draw(t, "from")))))
+				require.True(t, source.Apply(kind, p.delta(source.Revision(kind))))
+			case 4: // the follower's own watch, which overlaps the deltas from the source
+				require.True(t, follower.Apply(kind, p.delta(uint64(rapid.IntRange(1, int(follower.Revision(kind))).Draw(t, "from")))))
 			case 5:
 				catchUp(t, &source, &follower)
 			case 6:
 				require.True(t, follower.Apply(kind, source.Snapshot(kind)))
 			}
-			require.Equal(t, at, min(at, follower.Revision(kind)), "what is known never steps back")
-			if rapid.Bool().Draw(t, "looks") {
-				at = look(t, &follower, at, seen)
+			require.Equal(t, revision, min(revision, follower.Revision(kind)), "the revision never decreases")
+			if rapid.Bool().Draw(t, "reads") {
+				revision = readChanges(t, &follower, revision, downstream)
 			}
 		}
 		source.ApplyList(kind, p.list())
 		catchUp(t, &source, &follower)
-		look(t, &follower, at, seen)
-		require.Equal(t, p.objects, seen)
+		readChanges(t, &follower, revision, downstream)
+		require.Equal(t, p.objects, downstream)
 	})
 }
 
-// catchUp takes what the source knows to the follower, all of it where the source can't
-// tell the changes.
+// catchUp applies the source's changes to the follower, or a snapshot if the source no longer
+// keeps the changes.
 func catchUp(t *rapid.T, source, follower *mirror.Mirror) {
-	run, ok := source.Since(kind, follower.Revision(kind))
+	delta, ok := source.Since(kind, follower.Revision(kind))
 	if !ok {
-		run = source.Snapshot(kind)
+		delta = source.Snapshot(kind)
 	}
-	if run.To > follower.Revision(kind) {
-		require.True(t, follower.Apply(kind, run))
+	if delta.To > follower.Revision(kind) {
+		require.True(t, follower.Apply(kind, delta))
 	}
 }
 
-// look takes the changes since a revision, and returns the one that they lead to.
-func look(t *rapid.T, m *mirror.Mirror, at uint64, seen map[string]protocol.Object) uint64 {
-	run, ok := m.Since(kind, at)
+// readChanges applies the changes since a revision, and returns the revision that they lead to.
+func readChanges(t *rapid.T, m *mirror.Mirror, revision uint64, objects map[string]protocol.Object) uint64 {
+	delta, ok := m.Since(kind, revision)
 	require.True(t, ok)
-	apply(seen, run.Changes)
-	return run.To
+	apply(objects, delta.Changes)
+	return delta.To
 }
 
-func TestWhoKnowsNothingIsToldTheWhole(t *testing.T) {
+func TestSnapshotInitializesFollower(t *testing.T) {
 	var source, follower mirror.Mirror
 	_, ok := source.List(kind)
 	require.False(t, ok)
@@ -141,18 +141,18 @@
 	all, ok := follower.List(kind)
 	require.True(t, ok)
 	require.Len(t, all.Objects, 2)
-	require.Equal(t, "a", source.Snapshot(kind).Changes[0].Object.Name, "in order of name, whatever the map's")
+	require.Equal(t, "a", source.Snapshot(kind).Changes[0].Object.Name, "in order of name, not of the map")
 }
 
-func TestARunThatLeavesAGapIsRefused(t *testing.T) {
+func TestDeltaWithGapIsRejected(t *testing.T) {
 	var m mirror.Mirror
-	require.False(t, m.Apply(kind, mirror.Delta{After: 1, To: 2}), "nothing was listed yet")
+	require.False(t, m.Apply(kind, mirror.Delta{After: 1, To: 2}), "the kind was never listed")
 	m.ApplyList(kind, protocol.Listing{At: 5})
 	require.False(t, m.Apply(kind, mirror.Delta{After: 6, To: 8}))
 	require.Equal(t, uint64(5), m.Revision(kind))
 }
 
-func TestChangesThatWereForgottenAreNotMadeUp(t *testing.T) {
+func TestSinceFailsForDroppedChanges(t *testing.T) {
 	var m mirror.Mirror
 	m.ApplyList(kind, protocol.Listing{At: 1})
 	for n := uint64(2); n < 1000; n++ {
@@ -161,14 +161,14 @@
 	}
 	_, ok := m.Since(kind, 2)
 	require.False(t, ok)
-	run, ok := m.Since(kind, 990)
+	delta, ok := m.Since(kind, 990)
 	require.True(t, ok)
-	require.Equal(t, []protocol.Change{{Object: protocol.Object{Kind: kind, Name: "o", Version: 999}}}, run.Changes, "only the last of an object")
+	require.Equal(t, []protocol.Change{{Object: protocol.Object{Kind: kind, Name: "o", Version: 999}}}, delta.Changes, "only the last change of an object")
 	m.Forget(kind)
 	require.Zero(t, m.Revision(kind))
 }
 
-func TestLongValuesAreForgottenSooner(t *testing.T) {
+func TestLargeValuesAreDroppedEarlier(t *testing.T) {
 	var m mirror.Mirror
 	m.ApplyList(kind, protocol.Listing{At: 1})
 	value := make([]byte, 1<<20)
@@ -182,24 +182,24 @@
 	require.True(t, ok)
 }
 
-func TestAChangeWakesThoseWhoWait(t *testing.T) {
+func TestChangedClosesOnChange(t *testing.T) {
 	var m mirror.Mirror
 	changed := m.Changed()
 	m.ApplyList(kind, protocol.Listing{At: 1})
 	<-changed
 }
 
-// TestADifferenceServesOnlyWhoKnowsItsBeginning is the smallest case that rapid drew:
-// an object came and went between two lists of the source, and the follower had
-// seen it come.
-func TestADifferenceServesOnlyWhoKnowsItsBeginning(t *testing.T) {
+// TestListDiffAppliesOnlyToItsBaseRevision guards against a stale object in a follower. An object
+// came and went between two lists of the source, and the follower had seen it come. The
+// difference of the two lists does not remove it. Rapid found this case.
+func TestListDiffAppliesOnlyToItsBaseRevision(t *testing.T) {
 	var source, follower mirror.Mirror
 	source.ApplyList(kind, protocol.Listing{At: 1})
 	source.ApplyList(kind, protocol.Listing{At: 9})
 	follower.ApplyList(kind, protocol.Listing{At: 5, Objects: []protocol.Object{{Kind: kind, Name: "o", Version: 4}}})
 	_, ok := source.Since(kind, 5)
 	require.False(t, ok)
-	run, ok := source.Since(kind, 1)
+	delta, ok := source.Since(kind, 1)
 	require.True(t, ok)
-	require.False(t, follower.Apply(kind, run))
+	require.False(t, follower.Apply(kind, delta))
 }
