--- a/state/config/change.go
+++ b/state/config/change.go
@@ -10,28 +10,28 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// ChangeSince returns the change from an older configuration to c, or everything when
-// older is nil.
+// ChangeSince returns the change from an older configuration to c, or all of c if older is
+// nil.
 func (c *Config) ChangeSince(older *Config) protocol.ConfigChange {
 	change := protocol.ConfigChange{
 		Version: c.manifest.Version, Plan: c.manifest.Plan, Author: c.manifest.Author,
-		Sum: sumOf(c.manifest), Contents: map[string][]byte{},
+		Sum: manifestHash(c.manifest), Contents: map[string][]byte{},
 	}
 	var before []protocol.PartRef
 	if older != nil {
 		change.Base = older.Version()
 		before = older.manifest.Parts
 	}
-	held := refSet(before)
+	known := refSet(before)
 	for _, ref := range c.manifest.Parts {
-		if !held[ref] {
+		if !known[ref] {
 			change.Set = append(change.Set, ref)
 			change.Contents[ref.Hash] = c.contents[ref.Hash]
 		}
 	}
-	stays := refSet(c.manifest.Parts)
+	kept := refSet(c.manifest.Parts)
 	for _, ref := range before {
-		if !stays[ref] {
+		if !kept[ref] {
 			change.Removed = append(change.Removed, ref)
 		}
 	}
@@ -46,40 +46,41 @@
 	return set
 }
 
-// sumOf names a manifest by its content, whatever the order of its parts.
-func sumOf(m protocol.Manifest) string {
+// manifestHash returns a hash of a manifest's content, independent of the order of its parts.
+func manifestHash(m protocol.Manifest) string {
 	sorted := m
-	sorted.Accepted = nil // of use to who confirms, not to who follows
+	sorted.Accepted = nil // only the confirming entry uses it, the followers do not
 	sorted.Parts = slices.Clone(m.Parts)
 	slices.SortFunc(sorted.Parts, comparePart)
 	content, err := json.Marshal(sorted)
 	if err != nil {
-		return "" // a manifest always has a JSON form
+		return "" // a manifest can always be marshaled
 	}
 	return protocol.HashPart(content)
 }
 
-// BaseMismatchError is the error for a change that does not fit what is held: the whole
-// configuration must be asked for.
-type BaseMismatchError struct{ held, base uint64 }
+// BaseMismatchError is the error for a change that does not apply to the current
+// configuration, or leads to one with another hash than the change names. The caller has to
+// request the whole configuration.
+type BaseMismatchError struct{ current, base uint64 }
 
 // Error names both versions and the remedy.
-func (n *BaseMismatchError) Error() string {
-	return fmt.Sprintf("the change is from version %d and version %d is held; ask for the whole configuration", n.base, n.held)
+func (e *BaseMismatchError) Error() string {
+	return fmt.Sprintf("the change is based on version %d, but version %d is current; request the whole configuration", e.base, e.current)
 }
 
-// Apply returns the configuration that a change leads to from c, which may be
-// nil for a whole one.
+// Apply returns the configuration that results from applying a change to c. If the change
+// holds a whole configuration, c may be nil.
 func (c *Config) Apply(change protocol.ConfigChange) (*Config, error) {
 	m := protocol.Manifest{Version: change.Version, Plan: change.Plan, Author: change.Author}
 	contents := map[string][]byte{}
 	if change.Base != 0 {
 		if c == nil || c.Version() != change.Base {
-			return nil, &BaseMismatchError{held: c.version(), base: change.Base}
+			return nil, &BaseMismatchError{current: c.version(), base: change.Base}
 		}
-		gone := refSet(change.Removed)
+		removed := refSet(change.Removed)
 		for _, ref := range c.manifest.Parts {
-			if !gone[ref] {
+			if !removed[ref] {
 				m.Parts = append(m.Parts, ref)
 				contents[ref.Hash] = c.contents[ref.Hash]
 			}
@@ -89,8 +90,8 @@
 	for hash, content := range change.Contents {
 		contents[hash] = content
 	}
-	if sumOf(m) != change.Sum {
-		return nil, &BaseMismatchError{held: c.version(), base: change.Base}
+	if manifestHash(m) != change.Sum {
+		return nil, &BaseMismatchError{current: c.version(), base: change.Base}
 	}
 	return Build(m, contents)
 }
--- a/state/config/config.go
+++ b/state/config/config.go
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package config is what an entry believes the configuration to be.
+// Package config holds the configuration as an entry knows it.
 //
-// A Config is immutable and built from a manifest and its parts, every hash
-// checked. A Store holds the highest version seen and never steps back:
+// A Config is immutable. It is built from a manifest and its parts, after checking every
+// hash. A Store holds the highest version seen and never goes back to a lower one:
 //
 //	c, err := config.Build(manifest, parts)
-//	if err == nil && store.Offer(c) { ... } // in force from here on
+//	if err == nil && store.Offer(c) { ... } // c is now in force
 package config
 
 import (
@@ -23,7 +23,7 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// Config is one accepted configuration. It never changes once built.
+// Config is one accepted configuration. It is immutable.
 type Config struct {
 	manifest  protocol.Manifest
 	contents  map[string][]byte // of the parts, by hash
@@ -35,25 +35,25 @@
 	operators []protocol.Operator
 }
 
-// InvalidPartError is the error for a manifest or part that can't be taken.
+// InvalidPartError is the error for an invalid manifest or part.
 type InvalidPartError struct {
 	part  protocol.PartRef
 	cause error
 }
 
 // Error names the part and the remedy.
-func (i *InvalidPartError) Error() string {
-	return fmt.Sprintf("part %s/%s is not valid: %v; write the part anew and accept a higher manifest version",
-		i.part.Kind, i.part.Name, i.cause)
+func (e *InvalidPartError) Error() string {
+	return fmt.Sprintf("part %s/%s is not valid: %v; write the part again and accept a higher manifest version",
+		e.part.Kind, e.part.Name, e.cause)
 }
 
-// Unwrap returns what was wrong with the part.
-func (i *InvalidPartError) Unwrap() error { return i.cause }
+// Unwrap returns the fault of the part.
+func (e *InvalidPartError) Unwrap() error { return e.cause }
 
 var validate = validator.New(validator.WithRequiredStructEnabled())
 
-// Build checks every part's hash and content and returns the configuration.
-// Parts are keyed by hash.
+// Build checks the hash and the content of every part and returns the configuration. Parts
+// are keyed by hash.
 func Build(m protocol.Manifest, parts map[string][]byte) (*Config, error) {
 	c := &Config{
 		manifest: m,
@@ -62,14 +62,14 @@
 		services: map[string]protocol.Service{},
 	}
 	for _, ref := range m.Parts {
-		if err := c.add(ref, parts[ref.Hash]); err != nil {
+		if err := c.addPart(ref, parts[ref.Hash]); err != nil {
 			return nil, &InvalidPartError{part: ref, cause: err}
 		}
 	}
 	return c, c.checkRunners()
 }
 
-func (c *Config) add(ref protocol.PartRef, content []byte) error {
+func (c *Config) addPart(ref protocol.PartRef, content []byte) error {
 	if content == nil {
 		return fmt.Errorf("its content %.12s is missing", ref.Hash)
 	}
@@ -80,28 +80,28 @@
 	switch ref.Kind {
 	case protocol.TeamPart:
 		var t protocol.Team
-		err := readPart(content, &t)
+		err := decodePart(content, &t)
 		c.teams = append(c.teams, t)
 		return err
 	case protocol.ModelPart:
 		var m protocol.Model
-		err := readPart(content, &m)
+		err := decodePart(content, &m)
 		c.models[m.Name] = m
 		return err
 	case protocol.ServicePart:
 		var s protocol.Service
-		err := readPart(content, &s)
+		err := decodePart(content, &s)
 		c.services[s.Name] = s
 		return err
 	case protocol.FleetPart:
 		var f protocol.Fleet
-		err := readPart(content, &f)
+		err := decodePart(content, &f)
 		c.fleets = append(c.fleets, f)
 		c.runners = append(c.runners, f.Runners...)
 		return err
 	case protocol.OperatorPart:
 		var o protocol.Operator
-		err := readPart(content, &o)
+		err := decodePart(content, &o)
 		c.operators = append(c.operators, o)
 		return err
 	default:
@@ -109,7 +109,7 @@
 	}
 }
 
-func readPart(content []byte, into any) error {
+func decodePart(content []byte, into any) error {
 	if err := json.Unmarshal(content, into); err != nil {
 		return err
 	}
@@ -150,7 +150,7 @@
 	return m, ok
 }
 
-// ModelList returns every model, ordered by name.
+// ModelList returns all models, ordered by name.
 func (c *Config) ModelList() []protocol.Model {
 	list := slices.Collect(maps.Values(c.models))
 	slices.SortFunc(list, func(a, b protocol.Model) int { return cmp.Compare(a.Name, b.Name) })
@@ -163,18 +163,18 @@
 	return s, ok
 }
 
-// Teams returns every team. The caller must not change the slice.
+// Teams returns all teams. The caller must not change the slice.
 func (c *Config) Teams() []protocol.Team { return c.teams }
 
-// Runners returns every runner. The caller must not change the slice.
+// Runners returns all runners. The caller must not change the slice.
 func (c *Config) Runners() []protocol.Runner { return c.runners }
 
 // Fleets returns the runners of each data center. The caller must not change
 // the slice.
 func (c *Config) Fleets() []protocol.Fleet { return c.fleets }
 
-// TeamByKey returns the team that holds the key, comparing in constant time
-// with every known hash.
+// TeamByKey returns the team with the API key. It compares the key in constant time with
+// every known hash.
 func (c *Config) TeamByKey(key string) (protocol.Team, bool) {
 	hash := []byte(protocol.HashKey(key))
 	found := -1
@@ -191,7 +191,7 @@
 	return c.teams[found], true
 }
 
-// OperatorByKey returns the operator who holds the key.
+// OperatorByKey returns the operator with the key.
 func (c *Config) OperatorByKey(key string) (protocol.Operator, bool) {
 	hash := []byte(protocol.HashKey(key))
 	found := -1
@@ -209,15 +209,15 @@
 // Store holds the configuration in force. The zero value holds none.
 type Store struct{ current atomic.Pointer[Config] }
 
-// Offer puts c in force if its version is higher than the one held, and
-// reports whether it did.
+// Offer puts c in force if its version is higher than the current one, and reports whether
+// it did.
 func (s *Store) Offer(c *Config) bool {
 	for {
-		held := s.current.Load()
-		if held != nil && held.Version() >= c.Version() {
+		current := s.current.Load()
+		if current != nil && current.Version() >= c.Version() {
 			return false
 		}
-		if s.current.CompareAndSwap(held, c) {
+		if s.current.CompareAndSwap(current, c) {
 			return true
 		}
 	}
@@ -226,20 +226,20 @@
 // Current returns the configuration in force, or nil before the first.
 func (s *Store) Current() *Config { return s.current.Load() }
 
-// NewFromModels builds a configuration of models and fleets alone, for tests and
-// measurements that need no platform.
+// NewFromModels builds a configuration of models and fleets only, for tests and
+// measurements without a platform.
 func NewFromModels(version uint64, models []protocol.Model, fleets ...protocol.Fleet) (*Config, error) {
 	m := protocol.Manifest{Version: version}
 	parts := map[string][]byte{}
-	add := func(k protocol.PartKind, name string, part any) error {
+	add := func(kind protocol.PartKind, name string, part any) error {
 		content, err := json.Marshal(part)
 		hash := protocol.HashPart(content)
 		parts[hash] = content
-		m.Parts = append(m.Parts, protocol.PartRef{Kind: k, Name: name, Hash: hash})
+		m.Parts = append(m.Parts, protocol.PartRef{Kind: kind, Name: name, Hash: hash})
 		return err
 	}
-	for _, x := range models {
-		if err := add(protocol.ModelPart, x.Name, x); err != nil {
+	for _, model := range models {
+		if err := add(protocol.ModelPart, model.Name, model); err != nil {
 			return nil, err
 		}
 	}
--- a/state/config/config_test.go
+++ b/state/config/config_test.go
@@ -15,7 +15,7 @@
 	"pinerun.example/pinerun/state/config"
 )
 
-// teams returns a manifest of that many teams with their contents.
+// teams returns a manifest of teams with these shares, and the contents of its parts.
 func teams(t require.TestingT, version uint64, shares []float64) (protocol.Manifest, map[string][]byte) {
 	m := protocol.Manifest{Version: version}
 	contents := map[string][]byte{}
@@ -30,14 +30,13 @@
 	return m, contents
 }
 
-// TestAChangeLeadsToTheSameConfiguration: whatever changes between two versions,
-// the older one with the change applied equals the newer, and a change that does
-// not fit is never taken.
-func TestAChangeLeadsToTheSameConfiguration(t *testing.T) {
-	share := rapid.SliceOfN(rapid.Float64Range(1, 9), 0, 6)
+// TestChangeLeadsToSameConfiguration checks that an older version with the change applied equals
+// the newer one, whatever changes between them, and that a change from another base is rejected.
+func TestChangeLeadsToSameConfiguration(t *testing.T) {
+	shares := rapid.SliceOfN(rapid.Float64Range(1, 9), 0, 6)
 	rapid.Check(t, func(t *rapid.T) {
 		build := func(version uint64) *config.Config {
-			c, err := config.Build(teams(t, version, share.Draw(t, "shares")))
+			c, err := config.Build(teams(t, version, shares.Draw(t, "shares")))
 			require.NoError(t, err)
 			return c
 		}
@@ -49,12 +48,12 @@
 		require.NoError(t, err)
 		require.ElementsMatch(t, newer.Teams(), whole.Teams())
 		_, err = older.Apply(other.ChangeSince(newer))
-		var misfit *config.BaseMismatchError
-		require.ErrorAs(t, err, &misfit)
+		var mismatch *config.BaseMismatchError
+		require.ErrorAs(t, err, &mismatch)
 	})
 }
 
-func TestAStoreNeverStepsBack(t *testing.T) {
+func TestStoreKeepsHighestVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s config.Store
 		highest := uint64(0)
@@ -69,8 +68,8 @@
 	})
 }
 
-// FuzzBuild builds configurations of any parts: it must refuse them or return one
-// whose runners all fit their models.
+// FuzzBuild builds configurations of arbitrary parts. Build must reject them or return a
+// configuration whose runners all fit their models.
 func FuzzBuild(f *testing.F) {
 	f.Add("fleet", []byte(`{"name":"dc","runners":[{"name":"a","model":"m","from":0,"to":99}]}`))
 	f.Add("model", []byte(`{"name":"m","version":"1","layers":4,"open":1,"context":9}`))
@@ -89,14 +88,14 @@
 		for _, r := range c.Runners() {
 			model, ok := c.Model(r.Model)
 			if !ok || r.From < 0 || r.From >= r.To || r.To > model.Layers {
-				t.Fatalf("a runner that does not fit was taken: %+v", r)
+				t.Fatalf("a runner that does not fit its model was accepted: %+v", r)
 			}
 		}
 	})
 }
 
-// BenchmarkBuild measures a configuration by its teams: time to check and build
-// it, and heap held.
+// BenchmarkBuild measures, by the number of teams, the time to check and build a configuration
+// and the heap that it holds.
 func BenchmarkBuild(b *testing.B) {
 	for _, n := range []int{10, 70, 350, 700} {
 		b.Run(fmt.Sprint("teams=", n), func(b *testing.B) {
