--- a/state/routing/routing.go
+++ b/state/routing/routing.go
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package routing is the routing table that an entry believes to be in force.
+// Package routing holds the routing table that an entry considers to be in force.
 //
-// A Table is immutable and answers lookups without allocation. A Store holds the
-// highest version seen, never steps back, and remembers until when the platform
-// is known to have confirmed it:
+// A Table is immutable and answers lookups without allocation. A Store holds the highest
+// version seen and never goes back to a lower one. It also records when the platform last
+// confirmed that version:
 //
 //	t, err := routing.Build(decoded)
-//	if err == nil && store.Offer(t) { ... } // in force from here on
+//	if err == nil && store.Offer(t) { ... } // t is now in force
 //	route := store.Current().Match("fares.example", "/taps/12")
 package routing
 
@@ -18,18 +18,18 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// InvalidTableError is the error for a routing table that can't be taken.
+// InvalidTableError is the error for an invalid routing table.
 type InvalidTableError struct {
 	version uint64
-	what    string
+	problem string
 }
 
-// Error names the version, what is wrong and the remedy.
-func (i *InvalidTableError) Error() string {
-	return fmt.Sprintf("routing version %d %s; accept a higher version without that", i.version, i.what)
+// Error names the version, the fault and the remedy.
+func (e *InvalidTableError) Error() string {
+	return fmt.Sprintf("routing version %d %s; accept a higher version without that", e.version, e.problem)
 }
 
-// Table is one accepted routing table.
+// Table is one accepted routing table. It is immutable.
 type Table struct {
 	content  protocol.Routing
 	hosts    map[string][]*protocol.Route
@@ -37,7 +37,7 @@
 	services map[string]*protocol.RoutedService
 }
 
-// Build checks a routing table and returns it ready for lookups.
+// Build checks a routing table and prepares it for lookups.
 func Build(r protocol.Routing) (*Table, error) {
 	t := &Table{
 		content:  r,
@@ -63,11 +63,11 @@
 
 func (t *Table) addRoute(r *protocol.Route) error {
 	if len(r.Targets) == 0 {
-		return &InvalidTableError{version: t.content.Version, what: "has a route " + r.Name + " without a service"}
+		return &InvalidTableError{version: t.content.Version, problem: "has a route " + r.Name + " without a service"}
 	}
-	for _, g := range r.Targets {
-		if t.services[g.Service] == nil {
-			return &InvalidTableError{version: t.content.Version, what: "has a route " + r.Name + " to the unknown service " + g.Service}
+	for _, target := range r.Targets {
+		if t.services[target.Service] == nil {
+			return &InvalidTableError{version: t.content.Version, problem: "has a route " + r.Name + " to the unknown service " + target.Service}
 		}
 	}
 	t.hosts[r.Host] = append(t.hosts[r.Host], r)
@@ -80,11 +80,10 @@
 // CallerLimits returns the limits on callers.
 func (t *Table) CallerLimits() *protocol.CallerLimits { return &t.content.Callers }
 
-// Services returns every service. The caller must not change the slice.
+// Services returns all services. The caller must not change the slice.
 func (t *Table) Services() []protocol.RoutedService { return t.content.Services }
 
-// Match returns the route with the longest prefix of the path among those of the
-// host, or nil.
+// Match returns the route of the host with the longest matching path prefix, or nil.
 func (t *Table) Match(host, path string) *protocol.Route {
 	var best *protocol.Route
 	for _, r := range t.hosts[host] {
@@ -95,25 +94,25 @@
 	return best
 }
 
-// RequiresKey reports whether requests have to carry a key.
+// RequiresKey reports whether requests must carry an API key.
 func (t *Table) RequiresKey() bool { return len(t.content.Teams) > 0 }
 
-// Team returns the team that holds a key, or nil.
+// Team returns the team with the API key, or nil.
 func (t *Table) Team(key string) *protocol.RoutedTeam { return t.keys[key] }
 
 // Service returns a service by name, or nil.
 func (t *Table) Service(name string) *protocol.RoutedService { return t.services[name] }
 
-// PickService returns the service of a route for a draw between 0 and 1, by weight.
-func PickService(r *protocol.Route, draw float64) string {
+// PickService returns a service of a route, chosen by weight for a random number in [0, 1).
+func PickService(r *protocol.Route, random float64) string {
 	var sum float64
-	for _, g := range r.Targets {
-		sum += g.Weight
+	for _, target := range r.Targets {
+		sum += target.Weight
 	}
-	rest := draw * sum
-	for _, g := range r.Targets {
-		if rest -= g.Weight; rest < 0 && g.Weight > 0 {
-			return g.Service
+	remaining := random * sum
+	for _, target := range r.Targets {
+		if remaining -= target.Weight; remaining < 0 && target.Weight > 0 {
+			return target.Service
 		}
 	}
 	return r.Targets[0].Service
--- a/state/routing/routing_test.go
+++ b/state/routing/routing_test.go
@@ -24,7 +24,7 @@
 	return built
 }
 
-func TestTheLongestPrefixOfTheHostMatches(t *testing.T) {
+func TestMatchReturnsLongestPrefix(t *testing.T) {
 	tb := table(t, 1, "/a/", "/a/b/", "/c/")
 	require.Equal(t, "/a/b/", tb.Match("h", "/a/b/x").Prefix)
 	require.Equal(t, "/a/", tb.Match("h", "/a/bx").Prefix)
@@ -32,7 +32,7 @@
 	require.Nil(t, tb.Match("other", "/a/b/"))
 }
 
-func TestATableWithoutItsServicesIsRefused(t *testing.T) {
+func TestBuildRejectsRouteWithoutKnownService(t *testing.T) {
 	for _, r := range []protocol.Route{{Name: "none"}, {Name: "unknown", Targets: []protocol.Target{{Service: "x"}}}} {
 		_, err := routing.Build(protocol.Routing{Version: 3, Routes: []protocol.Route{r}})
 		require.ErrorAs(t, err, new(*routing.InvalidTableError))
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestTheVersionInForceNeverStepsBack(t *testing.T) {
+func TestStoreKeepsHighestVersion(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s routing.Store
 		highest := uint64(0)
@@ -52,7 +52,7 @@
 	})
 }
 
-func TestConfirmationNeverStepsBack(t *testing.T) {
+func TestConfirmedAtNeverDecreases(t *testing.T) {
 	var s routing.Store
 	require.True(t, s.ConfirmedAt().IsZero())
 	s.Confirm(time.Unix(5, 0))
@@ -60,7 +60,7 @@
 	require.Equal(t, time.Unix(5, 0), s.ConfirmedAt())
 }
 
-func TestPickFollowsTheWeights(t *testing.T) {
+func TestPickServiceFollowsWeights(t *testing.T) {
 	r := &protocol.Route{Targets: []protocol.Target{{Service: "a", Weight: 0}, {Service: "b", Weight: 1}, {Service: "c", Weight: 3}}}
 	var got strings.Builder
 	for i := range 8 {
--- a/state/routing/store.go
+++ b/state/routing/store.go
@@ -18,8 +18,8 @@
 // Current returns the table in force, or nil before the first.
 func (s *Store) Current() *Table { return s.current.Load() }
 
-// Offer puts a table in force if its version is higher than that of the one
-// before, and reports whether it did.
+// Offer puts a table in force if its version is higher than the current one, and reports
+// whether it did.
 func (s *Store) Offer(t *Table) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -30,8 +30,8 @@
 	return true
 }
 
-// Confirm notes that at that time no higher version had been accepted than the
-// one in force. Earlier times than the last are ignored.
+// Confirm notes that at the given time the version in force was the highest accepted one.
+// Times before the latest confirmation are ignored.
 func (s *Store) Confirm(at time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -40,8 +40,8 @@
 	}
 }
 
-// ConfirmedAt returns the last time at which the table is known to have been the
-// highest, the zero time when it never was.
+// ConfirmedAt returns the latest time at which the table was confirmed to be the highest
+// version, or the zero time if it never was.
 func (s *Store) ConfirmedAt() time.Time {
 	if c := s.confirmed.Load(); c != nil {
 		return *c
