--- a/state/trace/trace.go
+++ b/state/trace/trace.go
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package story keeps what happened to each recent request, to be read back by
-// the request's id.
+// Package trace records the events of each recent request, which can be read back by the
+// request's ID.
 //
-//	var book story.Book
-//	s := book.Open(id, now)
-//	s.Note(now, story.Path, "a1 b2 c3")
-//	lines, ok := book.Read(id)
+//	var log trace.Log
+//	t := log.Start(id)
+//	t.Add(now, trace.Path, "a1 b2 c3")
+//	events, dropped, ok := log.Read(id)
 package trace
 
 import (
@@ -17,16 +17,16 @@
 )
 
 const (
-	// kept is how many requests a book remembers.
-	kept = 4096
-	// maxLines bounds one story; what follows is counted, not kept.
-	maxLines = 64
+	// maxTraces is how many requests a Log keeps.
+	maxTraces = 4096
+	// maxEvents bounds one trace; further events are counted, but not kept.
+	maxEvents = 64
 )
 
-// Kind tells the sorts of lines apart.
+// Kind is the kind of an event.
 type Kind string
 
-// The sorts of lines in a story.
+// The kinds of events.
 const (
 	Arrived    Kind = "arrived"
 	Queued     Kind = "queued"
@@ -39,68 +39,68 @@
 	Answered   Kind = "answered"
 )
 
-// Event is one thing that happened.
+// Event is one event of a request.
 type Event struct {
 	At     time.Time `json:"at"`
 	Kind   Kind      `json:"what"`
 	Detail string    `json:"detail"`
 }
 
-// Trace is one request's lines. It is safe for use by many goroutines.
+// Trace holds the events of one request. It is safe for concurrent use.
 type Trace struct {
 	mutex   sync.Mutex
 	id      protocol.RequestID
-	lines   []Event
+	events  []Event
 	dropped int
 }
 
-// Add adds a line.
-func (s *Trace) Add(at time.Time, w Kind, detail string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if len(s.lines) >= maxLines {
-		s.dropped++
+// Add adds an event.
+func (t *Trace) Add(at time.Time, kind Kind, detail string) {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if len(t.events) >= maxEvents {
+		t.dropped++
 		return
 	}
-	s.lines = append(s.lines, Event{At: at, Kind: w, Detail: detail})
+	t.events = append(t.events, Event{At: at, Kind: kind, Detail: detail})
 }
 
-// Log holds the most recent stories. The zero value is empty.
+// Log holds the traces of the latest requests. The zero value is empty.
 type Log struct {
-	mutex   sync.Mutex
-	stories map[protocol.RequestID]*Trace
-	order   []protocol.RequestID
-	next    int
+	mutex  sync.Mutex
+	traces map[protocol.RequestID]*Trace
+	order  []protocol.RequestID
+	oldest int
 }
 
-// Start begins a story and forgets the oldest when the book is full.
-func (b *Log) Start(id protocol.RequestID) *Trace {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if b.stories == nil {
-		b.stories = map[protocol.RequestID]*Trace{}
+// Start begins a trace, and drops the oldest one if the log is full.
+func (l *Log) Start(id protocol.RequestID) *Trace {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.traces == nil {
+		l.traces = map[protocol.RequestID]*Trace{}
 	}
-	s := &Trace{id: id}
-	if len(b.order) < kept {
-		b.order = append(b.order, id)
+	t := &Trace{id: id}
+	if len(l.order) < maxTraces {
+		l.order = append(l.order, id)
 	} else {
-		delete(b.stories, b.order[b.next])
-		b.order[b.next] = id
-		b.next = (b.next + 1) % kept
+		delete(l.traces, l.order[l.oldest])
+		l.order[l.oldest] = id
+		l.oldest = (l.oldest + 1) % maxTraces
 	}
-	b.stories[id] = s
-	return s
+	l.traces[id] = t
+	return t
 }
 
-// Read returns a copy of a story's lines and how many more were not kept.
-func (b *Log) Read(id protocol.RequestID) (lines []Event, dropped int, ok bool) {
-	b.mutex.Lock()
-	s := b.stories[id]
-	b.mutex.Unlock()
-	if s == nil {
+// Read returns a copy of a trace's events and how many further events were dropped.
+func (l *Log) Read(id protocol.RequestID) (events []Event, dropped int, ok bool) {
+	l.mutex.Lock()
+	t := l.traces[id]
+	l.mutex.Unlock()
+	if t == nil {
 		return nil, 0, false
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return append([]Event(nil), s.lines...), s.dropped, true
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	return append([]Event(nil), t.events...), t.dropped, true
 }
--- a/state/trace/trace_test.go
+++ b/state/trace/trace_test.go
@@ -14,49 +14,49 @@
 	"pinerun.example/pinerun/state/trace"
 )
 
-func fill(b *trace.Log, stories, lines int) {
-	for i := range stories {
-		s := b.Start(protocol.RequestID(i + 1))
-		for l := range lines {
-			s.Add(time.Unix(int64(l), 0), trace.Path, fmt.Sprint("fast1-1 middle2-3 slow3-2 ", l))
+func fill(log *trace.Log, traces, events int) {
+	for i := range traces {
+		t := log.Start(protocol.RequestID(i + 1))
+		for j := range events {
+			t.Add(time.Unix(int64(j), 0), trace.Path, fmt.Sprint("fast1-1 middle2-3 slow3-2 ", j))
 		}
 	}
 }
 
-func TestABookForgetsTheOldestAndCountsLongStories(t *testing.T) {
-	var b trace.Log
-	fill(&b, 5000, 1)
-	_, _, ok := b.Read(1)
+func TestLogDropsOldestTraceAndCountsDroppedEvents(t *testing.T) {
+	var log trace.Log
+	fill(&log, 5000, 1)
+	_, _, ok := log.Read(1)
 	require.False(t, ok)
-	_, _, ok = b.Read(5000)
+	_, _, ok = log.Read(5000)
 	require.True(t, ok)
-	s := b.Start(9999)
+	tr := log.Start(9999)
 	for range 70 {
-		s.Add(time.Unix(1, 0), trace.Retried, "x")
+		tr.Add(time.Unix(1, 0), trace.Retried, "x")
 	}
-	lines, dropped, ok := b.Read(9999)
+	events, dropped, ok := log.Read(9999)
 	require.True(t, ok)
-	require.Len(t, lines, 64)
+	require.Len(t, events, 64)
 	require.Equal(t, 6, dropped)
 }
 
-// BenchmarkBook measures the memory of stories of six lines.
-func BenchmarkBook(b *testing.B) {
+// BenchmarkLog measures the memory of traces of six events.
+func BenchmarkLog(b *testing.B) {
 	for _, n := range []int{500, 2000, 4096} {
-		b.Run(fmt.Sprint("stories=", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("traces=", n), func(b *testing.B) {
 			var before, after runtime.MemStats
-			var book *trace.Log
+			var log *trace.Log
 			for b.Loop() {
-				book = nil //nolint:ineffassign // the older book must not count
+				log = nil //nolint:ineffassign // the previous log must not count
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				book = &trace.Log{}
-				fill(book, n, 6)
+				log = &trace.Log{}
+				fill(log, n, 6)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 			}
 			b.ReportMetric(float64(after.HeapAlloc)-float64(before.HeapAlloc), "heap-B")
-			runtime.KeepAlive(book)
+			runtime.KeepAlive(log)
 		})
 	}
 }
