--- a/transport/entry/suspects.go
+++ b/transport/entry/suspects.go
@@ -50,7 +50,7 @@
 	t := time.NewTicker(quarantine.IsolationPollInterval)
 	defer t.Stop()
 	for {
-		met, ticks := s.book.Met(), t.C
+		met, ticks := s.book.Changed(), t.C
 		if s.book.Empty() {
 			ticks = nil // there is nothing to look for
 		}
@@ -75,7 +75,7 @@
 
 // review counts and logs the work that is refused from now on.
 func (s *suspects) review() {
-	newly := s.book.Newly(clock.Now(), time.Now())
+	newly := s.book.NewRefusals(clock.Now(), time.Now())
 	for i := range newly {
 		r := &newly[i]
 		s.entry.counters.Add(metric.WorkRefused, 1)
@@ -86,7 +86,7 @@
 
 // tell tells every peer what is new, and each newsAgain the ends of a moment ago again.
 func (s *suspects) tell(now time.Time) {
-	news, last := s.book.News(s.told, now)
+	news, last := s.book.ReportsSince(s.told, now)
 	s.told = last
 	s.keep(news, now)
 	if now.Sub(s.againAt) >= newsAgain {
@@ -140,7 +140,7 @@
 // hear takes a peer's reports. Whether a runner has ended is found out here: a peer's word alone
 // refuses nobody.
 func (s *suspects) hear(all []protocol.RelayWork, from string) {
-	s.book.Hear(all, from)
+	s.book.Receive(all, from)
 	now := clock.Now()
 	s.mutex.Lock()
 	for _, n := range all {
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -104,7 +104,7 @@
 	f.forwarder = forward.Forwarder{
 		Home: home, Routing: &f.routing, Roster: &f.roster, Headers: f.Outside.Headers, Reporter: f.Outside.Engines,
 		Counters: f.Counters, Logger: f.Logger,
-		KeysTrustedUntil: s.KeyTrust, ReportFailure: f.source.Tell, ReportOccupant: f.source.Locate, MemoryBudget: &f.held, ReportPace: f.source.TellPace,
+		KeysTrustedUntil: s.KeyTrust, ReportFailure: f.source.ReportLoss, ReportOccupant: f.source.ReportOwner, MemoryBudget: &f.held, ReportPace: f.source.ReportSlowness,
 		Quarantine: f.source.Quarantine(), OnResume: f.woke,
 	}
 	if s.ChangePaths {
@@ -119,9 +119,9 @@
 	f.source = relay.Source{
 		Platform: f.Outside.Objects,
 		Self:     protocol.EntryRecord{Name: s.Name, DataCenter: s.DataCenter, MemoryMB: s.MemoryMB},
-		Kinds:    []string{f.Outside.RoutingKind, f.Outside.EndpointKind, entryKind, ownKind}, Kind: f.Outside.RoutingKind, Name: f.Outside.RoutingName,
-		Counters: f.Counters, Logger: f.Logger, Failed: f.roster.MarkOutage,
-		Endpoints: f.roster.Count, Judged: f.judged, Lifetime: f.roster.Incarnation, Paced: f.paced,
+		Kinds:    []string{f.Outside.RoutingKind, f.Outside.EndpointKind, entryKind, ownKind}, ConfirmedKind: f.Outside.RoutingKind, ConfirmedName: f.Outside.RoutingName,
+		Counters: f.Counters, Logger: f.Logger, OnPlatformFailure: f.roster.MarkOutage,
+		EndpointCount: f.roster.Count, OnLossChange: f.judged, Incarnation: f.roster.Incarnation, OnSlownessChange: f.paced,
 	}
 }
 
--- a/transport/front/occupants.go
+++ b/transport/front/occupants.go
@@ -57,7 +57,7 @@
 // not name it, its address is asked.
 func (f *Front) misdirected(endpoint string, by *director.Misdirected) {
 	if by.Occupant != "" {
-		f.source.Locate(endpoint, by.Occupant, clock.Now())
+		f.source.ReportOwner(endpoint, by.Occupant, clock.Now())
 		return
 	}
 	if q, there := f.roster.ProbeOf(endpoint); there {
@@ -98,7 +98,7 @@
 	if occupant == q.Endpoint() && q.AsksLayers() && !i.holds(ctx) {
 		return
 	}
-	f.source.Locate(q.Endpoint(), occupant, asked)
+	f.source.ReportOwner(q.Endpoint(), occupant, asked)
 }
 
 // occupant returns who has the address, "" if that is not known.
--- a/transport/front/occupants_test.go
+++ b/transport/front/occupants_test.go
@@ -49,7 +49,7 @@
 	} {
 		f := &Front{Counters: &metric.Set{}, Outside: Outside{Engines: &c.says}}
 		f.forwarder = forward.Forwarder{Roster: &f.roster, Counters: f.Counters}
-		f.source.Judged = f.judged
+		f.source.OnLossChange = f.judged
 		services := []protocol.RoutedService{{Name: "llm", HealthPath: "/health", Engine: &protocol.EngineFacts{Layers: 5}}}
 		table, err := routing.Build(protocol.Routing{Version: 1, Services: services})
 		require.NoError(t, err)
--- a/transport/front/refusals.go
+++ b/transport/front/refusals.go
@@ -69,7 +69,7 @@
 	t := time.NewTicker(refusalsLook)
 	defer t.Stop()
 	for {
-		met, learned := q.Met(), r.learned.Awaited()
+		met, learned := q.Changed(), r.learned.Awaited()
 		ticks := t.C
 		if q.Empty() && !r.any() {
 			ticks = nil // there is nothing to look for
@@ -89,7 +89,7 @@
 // look tells of work that is refused from now on, and writes and removes what is due.
 func (r *refusals) look(now time.Time) {
 	q := r.front.source.Quarantine()
-	newly := q.Newly(now, time.Now())
+	newly := q.NewRefusals(now, time.Now())
 	for i := range newly {
 		r.front.forwarder.ApplyRefusal(&newly[i])
 		r.plan(newly[i], now)
@@ -233,7 +233,7 @@
 		r.mutex.Unlock()
 		return
 	}
-	counts := r.front.source.Quarantine().Hold(work, &refused, now, time.Now())
+	counts := r.front.source.Quarantine().RestoreRefusal(work, &refused, now, time.Now())
 	r.kept[work] = keptRefusal{version: o.Version, counted: counts || r.kept[work].counted}
 	delete(r.write, work)
 	r.mutex.Unlock()
@@ -270,7 +270,7 @@
 // is a call.
 func (r *refusals) tidy() {
 	r.mutex.Lock()
-	counts := r.front.source.Quarantine().Kept() // asked before, it lacked a refusal that came meanwhile
+	counts := r.front.source.Quarantine().StoredRefusals() // asked before, it lacked a refusal that came meanwhile
 	var old protocol.Fingerprint
 	for work, k := range r.kept {
 		if k.counted && !slices.Contains(counts, work) {
--- a/transport/front/register.go
+++ b/transport/front/register.go
@@ -98,7 +98,7 @@
 func (r *register) look(ctx context.Context, now time.Time) time.Time {
 	source := &r.front.source
 	if source.Following() {
-		if at := source.At(entryKind); at != r.at {
+		if at := source.Revision(entryKind); at != r.at {
 			list, _ := source.Objects(entryKind)
 			r.take(ctx, list)
 		}
@@ -110,7 +110,7 @@
 		r.front.platformFailed("entries", err)
 		return now.Add(registerAgain)
 	}
-	source.Hold(entryKind, list)
+	source.ApplyList(entryKind, list)
 	r.take(ctx, list)
 	if source.Followed() {
 		return now.Add(lookFollowed)
--- a/transport/front/start.go
+++ b/transport/front/start.go
@@ -88,7 +88,7 @@
 // meanwhile go on from what it told: a list in between would break them off.
 func (r *register) takeFirst(ctx context.Context, list protocol.Listing) {
 	if !r.front.source.Following() {
-		r.front.source.Hold(entryKind, list)
+		r.front.source.ApplyList(entryKind, list)
 	}
 	r.take(ctx, list)
 }
@@ -123,7 +123,7 @@
 		}
 		r.version, r.beat = o.Version, record.Heartbeat
 		if record.Key != "" {
-			r.front.source.Keep(record.Key)
+			r.front.source.SetKey(record.Key)
 		}
 		own := r.front.source.Record()
 		own.Name, own.Heartbeat = "", record.Heartbeat
--- a/transport/relay/entry_test.go
+++ b/transport/relay/entry_test.go
@@ -144,8 +144,8 @@
 func newEntry(t testing.TB, s *store, name, key string) *entry {
 	e := &entry{outside: &outside{store: s, name: name}, believes: &believes{}, outages: make(chan time.Time, 1000)}
 	e.source = &transport.Source{
-		Platform: e.outside, Kinds: []string{kind}, Kind: kind, Name: table, Counters: &metric.Set{}, Dial: s.network.dial,
-		Failed: func(at time.Time) {
+		Platform: e.outside, Kinds: []string{kind}, ConfirmedKind: kind, ConfirmedName: table, Counters: &metric.Set{}, Dial: s.network.dial,
+		OnPlatformFailure: func(at time.Time) {
 			select {
 			case e.outages <- at:
 			default:
--- a/transport/relay/followed.go
+++ b/transport/relay/followed.go
@@ -71,7 +71,7 @@
 	if !s.listed() || p.failedAt.After(p.confirmed.at) && clock.Since(p.failedAt) < relay.MaxConfirmationAge {
 		return false // the next call of this entry's own will tell
 	}
-	_, err := s.readPlatform(ctx, s.Kind, s.Name)
+	_, err := s.readPlatform(ctx, s.ConfirmedKind, s.ConfirmedName)
 	return err == nil
 }
 
@@ -96,7 +96,7 @@
 // latest returns the confirmed object as it is known here: the platform's watch may bring
 // it first, or a reading.
 func (s *Source) latest() protocol.Object {
-	held, _ := s.mirror.Object(s.Kind, s.Name)
+	held, _ := s.mirror.Object(s.ConfirmedKind, s.ConfirmedName)
 	if c := s.passedOn().confirmed.object; c.Version > held.Version {
 		return c
 	}
--- a/transport/relay/follower.go
+++ b/transport/relay/follower.go
@@ -198,12 +198,12 @@
 		return nil
 	}
 	s := f.source
-	held, _ := s.mirror.Object(s.Kind, s.Name)
+	held, _ := s.mirror.Object(s.ConfirmedKind, s.ConfirmedName)
 	o := s.passedOn().confirmed.object
 	if o.Version != a.Version || o.Version <= max(held.Version, f.ahead) {
 		return nil
 	}
-	run, err := f.packer.encode(s.Kind, mirror.Delta{After: held.Version, To: o.Version, Changes: []protocol.Change{{Object: o}}})
+	run, err := f.packer.encode(s.ConfirmedKind, mirror.Delta{After: held.Version, To: o.Version, Changes: []protocol.Change{{Object: o}}})
 	if err != nil {
 		return err
 	}
--- a/transport/relay/follower_test.go
+++ b/transport/relay/follower_test.go
@@ -16,7 +16,7 @@
 // to it is told at once, what it knows when the time for which it may be held back ends.
 func TestAnAnswerWaitsForNewsOfTheConfirmation(t *testing.T) {
 	asked := time.Now()
-	s := &Source{Kind: "k", Name: "n"}
+	s := &Source{ConfirmedKind: "k", ConfirmedName: "n"}
 	f := &follower{source: s}
 	ask := func(number uint64, at time.Time) {
 		f.asked, f.askedAt, f.heldTill = &protocol.RelayAsk{Number: number}, at, at.Add(300*time.Millisecond)
@@ -41,7 +41,7 @@
 // TestAConfirmationNeverStepsBack takes an older one that a slower way brought.
 func TestAConfirmationNeverStepsBack(t *testing.T) {
 	now := time.Now()
-	s := &Source{Kind: "k", Name: "n"}
+	s := &Source{ConfirmedKind: "k", ConfirmedName: "n"}
 	s.confirm(protocol.Object{}, now)
 	s.confirm(protocol.Object{}, now.Add(-time.Second))
 	require.Equal(t, now, s.passedOn().confirmed.at)
--- a/transport/relay/link.go
+++ b/transport/relay/link.go
@@ -177,8 +177,8 @@
 	if err != nil {
 		return err
 	}
-	if f.FailedMS >= 0 && l.source.Failed != nil {
-		l.source.Failed(clock.Now().Add(-time.Duration(f.FailedMS) * time.Millisecond))
+	if f.FailedMS >= 0 && l.source.OnPlatformFailure != nil {
+		l.source.OnPlatformFailure(clock.Now().Add(-time.Duration(f.FailedMS) * time.Millisecond))
 	}
 	l.source.hearAll(f.Losses, l.peer.Name)
 	l.source.hearPaces(f.Slow, l.peer.Name)
@@ -247,7 +247,7 @@
 // told returns the object that an answer speaks of, its version alone if the answer does
 // not hold it.
 func (l *link) told(a *protocol.RelayAnswer) protocol.Object {
-	o := protocol.Object{Kind: l.source.Kind, Name: l.source.Name, Version: a.Version}
+	o := protocol.Object{Kind: l.source.ConfirmedKind, Name: l.source.ConfirmedName, Version: a.Version}
 	if a.Ahead == nil {
 		return o
 	}
--- a/transport/relay/news.go
+++ b/transport/relay/news.go
@@ -24,14 +24,14 @@
 	queue queue
 }
 
-// Tell passes on that this entry met a sign of an endpoint.
-func (s *Source) Tell(endpoint string, sign protocol.LossObservation, at time.Time) {
+// ReportLoss passes on that this entry met a sign of an endpoint.
+func (s *Source) ReportLoss(endpoint string, sign protocol.LossObservation, at time.Time) {
 	s.hear(loss.NewReport(endpoint, s.Self.Name, sign, at).WithIncarnation(s.lifetimeOf(endpoint)), "")
 }
 
-// Locate passes on which process answers at an endpoint's address: occupant is "" for one
+// ReportOwner passes on which process answers at an endpoint's address: occupant is "" for one
 // that does not hold the layers of the endpoint's record.
-func (s *Source) Locate(endpoint, occupant string, at time.Time) {
+func (s *Source) ReportOwner(endpoint, occupant string, at time.Time) {
 	sign := protocol.LossMisplaced
 	if occupant == endpoint {
 		sign = protocol.LossAnswered
@@ -41,27 +41,27 @@
 
 // lifetimeOf returns the lifetime of an endpoint as this entry knows it, 0 if it does not.
 func (s *Source) lifetimeOf(endpoint string) protocol.Incarnation {
-	if s.Lifetime == nil {
+	if s.Incarnation == nil {
 		return 0
 	}
-	return s.Lifetime(endpoint)
+	return s.Incarnation(endpoint)
 }
 
 // hear judges a report and passes it on if it changes anything.
 func (s *Source) hear(r loss.Report, via string) {
 	known := 0
-	if s.Endpoints != nil {
-		known = s.Endpoints()
+	if s.EndpointCount != nil {
+		known = s.EndpointCount()
 	}
 	now := clock.Now()
 	if r.Observation() == protocol.LossRefused {
 		s.quarantine.Ended(r.Endpoint(), r.Incarnation(), r.At())
 	}
 	v := s.news.take(r, via, known, now)
-	if _, nothing := v.(loss.NoChange); nothing || s.Judged == nil {
+	if _, nothing := v.(loss.NoChange); nothing || s.OnLossChange == nil {
 		return
 	}
-	s.Judged(r, v)
+	s.OnLossChange(r, v)
 }
 
 // hearAll takes what a peer tells.
--- a/transport/relay/news_test.go
+++ b/transport/relay/news_test.go
@@ -25,8 +25,8 @@
 func (t *told) listen(all []*entry) {
 	t.lost = map[string]time.Time{}
 	for _, e := range all {
-		e.source.Endpoints = func() int { return 80 }
-		e.source.Judged = func(_ loss.Report, v loss.Change) {
+		e.source.EndpointCount = func() int { return 80 }
+		e.source.OnLossChange = func(_ loss.Report, v loss.Change) {
 			t.mutex.Lock()
 			defer t.mutex.Unlock()
 			t.times++
@@ -56,18 +56,18 @@
 		var heard told
 		heard.listen(all)
 		met := time.Now()
-		all[17].source.Tell("engine", protocol.LossRefused, met)
+		all[17].source.ReportLoss("engine", protocol.LossRefused, met)
 		eventually(t, "all know", func() bool { return heard.count() == len(all) })
 		for name, at := range heard.lost {
 			require.Less(t, at.Sub(met), 50*time.Millisecond, name)
 		}
 		time.Sleep(2 * time.Second)
 		for i := range 10 {
-			all[i].source.Tell("engine", protocol.LossRefused, met)
+			all[i].source.ReportLoss("engine", protocol.LossRefused, met)
 		}
 		time.Sleep(time.Second)
 		require.Equal(t, len(all), heard.times, "what is known is not told again")
-		all[3].source.Tell("engine", protocol.LossAnswered, time.Now())
+		all[3].source.ReportLoss("engine", protocol.LossAnswered, time.Now())
 		eventually(t, "all know that it is back", func() bool { return heard.count() == 0 })
 	})
 }
@@ -81,10 +81,10 @@
 		all := newEntries(t, s, 6)
 		var heard told
 		heard.listen(all)
-		all[2].source.Tell("engine", protocol.LossSilent, time.Now())
+		all[2].source.ReportLoss("engine", protocol.LossSilent, time.Now())
 		time.Sleep(time.Second)
 		require.Zero(t, heard.count())
-		all[5].source.Tell("engine", protocol.LossSilent, time.Now())
+		all[5].source.ReportLoss("engine", protocol.LossSilent, time.Now())
 		eventually(t, "all know", func() bool { return heard.count() == len(all) })
 	})
 }
@@ -96,7 +96,7 @@
 		s := newStore()
 		s.put(table, "one")
 		all := newEntries(t, s, 2)
-		all[0].source.Tell("engine", protocol.LossRefused, time.Now())
+		all[0].source.ReportLoss("engine", protocol.LossRefused, time.Now())
 		var heard told
 		late := newEntry(t, s, rankedAfter(all[0].source.Self), "third")
 		heard.listen([]*entry{late})
@@ -122,18 +122,18 @@
 		var mutex sync.Mutex
 		heard := make(map[string][]loss.Report)
 		for _, e := range all {
-			e.source.Lifetime = func(string) protocol.Incarnation { return 7 }
-			e.source.Judged = func(r loss.Report, _ loss.Change) {
+			e.source.Incarnation = func(string) protocol.Incarnation { return 7 }
+			e.source.OnLossChange = func(r loss.Report, _ loss.Change) {
 				mutex.Lock()
 				defer mutex.Unlock()
 				heard[e.outside.name] = append(heard[e.outside.name], r)
 			}
 		}
 		met := time.Now()
-		all[17].source.Locate("engine", "other", met)
+		all[17].source.ReportOwner("engine", "other", met)
 		time.Sleep(50 * time.Millisecond)
 		for i := range 10 {
-			all[i].source.Locate("engine", "other", time.Now())
+			all[i].source.ReportOwner("engine", "other", time.Now())
 		}
 		time.Sleep(500 * time.Millisecond)
 		mutex.Lock()
--- a/transport/relay/pace.go
+++ b/transport/relay/pace.go
@@ -26,9 +26,9 @@
 	told  uint64 // number of the last report of this entry
 }
 
-// TellPace passes on that this entry met a sign of an endpoint's pace. It fills in the witness
+// ReportSlowness passes on that this entry met a sign of an endpoint's pace. It fills in the witness
 // and the number.
-func (s *Source) TellPace(news protocol.RelaySlow, at time.Time) {
+func (s *Source) ReportSlowness(news protocol.RelaySlow, at time.Time) {
 	news.Observer = s.Self.Name
 	news.Number = s.paces.next()
 	s.hearPace(slow.NewReport(news, at), "")
@@ -37,10 +37,10 @@
 // hearPace judges a report and passes it on if it changes anything.
 func (s *Source) hearPace(r slow.Report, via string) {
 	v := s.paces.take(r, via, clock.Now())
-	if _, nothing := v.(slow.NoChange); nothing || s.Paced == nil {
+	if _, nothing := v.(slow.NoChange); nothing || s.OnSlownessChange == nil {
 		return
 	}
-	s.Paced(r, v)
+	s.OnSlownessChange(r, v)
 }
 
 // hearPaces takes the reports that a peer tells.
--- a/transport/relay/pace_test.go
+++ b/transport/relay/pace_test.go
@@ -24,7 +24,7 @@
 func (n *slowNews) listen(all []*entry) {
 	n.at = map[string]time.Time{}
 	for _, e := range all {
-		e.source.Paced = func(_ slow.Report, v slow.Change) {
+		e.source.OnSlownessChange = func(_ slow.Report, v slow.Change) {
 			n.mutex.Lock()
 			defer n.mutex.Unlock()
 			n.times++
@@ -58,20 +58,20 @@
 		var heard slowNews
 		heard.listen(all)
 		met := time.Now()
-		all[17].source.TellPace(twelveTimes(), met)
+		all[17].source.ReportSlowness(twelveTimes(), met)
 		eventually(t, "all know", func() bool { return heard.count() == len(all) })
 		for name, at := range heard.at {
 			require.Less(t, at.Sub(met), 50*time.Millisecond, name)
 		}
 		time.Sleep(500 * time.Millisecond)
 		for i := range 10 {
-			all[i].source.TellPace(twelveTimes(), time.Now())
+			all[i].source.ReportSlowness(twelveTimes(), time.Now())
 		}
 		time.Sleep(time.Second)
 		require.Equal(t, len(all), heard.times, "what is known is not told again")
 		over := twelveTimes()
 		over.Pace = 1
-		all[3].source.TellPace(over, time.Now())
+		all[3].source.ReportSlowness(over, time.Now())
 		eventually(t, "all know that it is over", func() bool { return heard.count() == 0 })
 	})
 }
@@ -86,10 +86,10 @@
 		var heard slowNews
 		heard.listen(all)
 		late := protocol.RelaySlow{Endpoint: "plain", Observation: protocol.SlowSeen, Pace: 5}
-		all[2].source.TellPace(late, time.Now())
+		all[2].source.ReportSlowness(late, time.Now())
 		time.Sleep(300 * time.Millisecond)
 		require.Zero(t, heard.count())
-		all[5].source.TellPace(late, time.Now())
+		all[5].source.ReportSlowness(late, time.Now())
 		eventually(t, "all know", func() bool { return heard.count() == len(all) })
 	})
 }
@@ -100,7 +100,7 @@
 		s := newStore()
 		s.put(table, "one")
 		all := newEntries(t, s, 2)
-		all[0].source.TellPace(twelveTimes(), time.Now())
+		all[0].source.ReportSlowness(twelveTimes(), time.Now())
 		var heard slowNews
 		late := newEntry(t, s, rankedAfter(all[0].source.Self), "third")
 		heard.listen([]*entry{late})
--- a/transport/relay/quarantine.go
+++ b/transport/relay/quarantine.go
@@ -113,8 +113,8 @@
 	q.unsaid = left
 }
 
-// Met returns a channel that closes with the next report that changes anything.
-func (q *Quarantine) Met() <-chan struct{} { return q.met.Awaited() }
+// Changed returns a channel that closes with the next report that changes anything.
+func (q *Quarantine) Changed() <-chan struct{} { return q.met.Awaited() }
 
 // Empty reports whether nothing is known against any work.
 func (q *Quarantine) Empty() bool { return !q.known.Load() }
@@ -147,8 +147,8 @@
 	return q.book.MayStartIsolatedRun(now, rand.Float64())
 }
 
-// Newly returns the work that is refused since the last call. Day is the time of day.
-func (q *Quarantine) Newly(now, day time.Time) []quarantine.Refusal {
+// NewRefusals returns the work that is refused since the last call. Day is the time of day.
+func (q *Quarantine) NewRefusals(now, day time.Time) []quarantine.Refusal {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	all := q.book.NewRefusals(now, day)
@@ -156,8 +156,8 @@
 	return all
 }
 
-// Hold takes what the platform keeps of refused work, and reports whether that counts.
-func (q *Quarantine) Hold(work protocol.Fingerprint, r *protocol.RefusedWork, now, day time.Time) bool {
+// RestoreRefusal takes what the platform keeps of refused work, and reports whether that counts.
+func (q *Quarantine) RestoreRefusal(work protocol.Fingerprint, r *protocol.RefusedWork, now, day time.Time) bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	held := q.book.RestoreRefusal(work, r, now, day)
@@ -176,8 +176,8 @@
 	return true
 }
 
-// Kept returns the work that is refused by what the platform keeps.
-func (q *Quarantine) Kept() []protocol.Fingerprint {
+// StoredRefusals returns the work that is refused by what the platform keeps.
+func (q *Quarantine) StoredRefusals() []protocol.Fingerprint {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.book.StoredRefusals()
@@ -202,17 +202,17 @@
 	return life.Known() && (!now.Known() || life.Before(now))
 }
 
-// Hear takes the reports that a peer told just now.
-func (q *Quarantine) Hear(all []protocol.RelayWork, via string) {
+// Receive takes the reports that a peer told just now.
+func (q *Quarantine) Receive(all []protocol.RelayWork, via string) {
 	now := clock.Now()
 	for _, n := range all {
 		q.hear(quarantine.NewReport(n, n.At(now)).AsUnresolved(), via)
 	}
 }
 
-// News returns the reports to tell peers, of this entry and of others, after one's number, and the
+// ReportsSince returns the reports to tell peers, of this entry and of others, after one's number, and the
 // number of the last.
-func (q *Quarantine) News(after uint64, now time.Time) ([]protocol.RelayWork, uint64) {
+func (q *Quarantine) ReportsSince(after uint64, now time.Time) ([]protocol.RelayWork, uint64) {
 	return q.since(after, q.Self, now)
 }
 
--- a/transport/relay/quarantine_test.go
+++ b/transport/relay/quarantine_test.go
@@ -23,14 +23,14 @@
 	time.Sleep(time.Second)
 	now := time.Now()
 	e.source.Quarantine().Report(protocol.RelayWork{Work: deadly, Endpoint: engine, Incarnation: 1, Observation: protocol.WorkBroke}, now)
-	e.source.Tell(engine, protocol.LossRefused, now)
+	e.source.ReportLoss(engine, protocol.LossRefused, now)
 }
 
 // living has entries know that life of every engine.
 func living(all []*entry, life protocol.Incarnation) {
 	for _, e := range all {
-		e.source.Endpoints = func() int { return 80 }
-		e.source.Lifetime = func(string) protocol.Incarnation { return life }
+		e.source.EndpointCount = func() int { return 80 }
+		e.source.Incarnation = func(string) protocol.Incarnation { return life }
 	}
 }
 
@@ -74,7 +74,7 @@
 		for i, e := range all {
 			require.Equal(t, i != 2, e.source.Quarantine().Empty(), e.outside.name)
 		}
-		all[4].source.Tell("engine", protocol.LossRefused, time.Now())
+		all[4].source.ReportLoss("engine", protocol.LossRefused, time.Now())
 		eventually(t, "the end proves it", func() bool { return !all[0].source.Quarantine().Empty() })
 	})
 }
@@ -118,6 +118,6 @@
 		kept.Crashes = append(kept.Crashes, protocol.WorkCrash{Endpoint: fmt.Sprint("engine-", i), Incarnation: 1, AtMS: now.Add(time.Duration(i-3) * time.Second).UnixMilli()})
 	}
 	for _, e := range all {
-		e.source.Quarantine().Hold(deadly, &kept, now, now)
+		e.source.Quarantine().RestoreRefusal(deadly, &kept, now, now)
 	}
 }
--- a/transport/relay/read.go
+++ b/transport/relay/read.go
@@ -87,7 +87,7 @@
 // askPlatform reads the confirmed object beside a peer that can't confirm it.
 func (s *Source) askPlatform(ctx context.Context, peer *link, q relay.Query) (watch.Reading, error) {
 	s.setAsked(q.Now)
-	r, err := s.readPlatform(ctx, s.Kind, s.Name)
+	r, err := s.readPlatform(ctx, s.ConfirmedKind, s.ConfirmedName)
 	switch {
 	case err != nil:
 		// It may be that only some entries are turned away: another peer may know more.
--- a/transport/relay/source.go
+++ b/transport/relay/source.go
@@ -49,22 +49,22 @@
 	Platform Platform
 	Self     protocol.EntryRecord
 	Kinds    []string // that are passed on
-	// Kind and Name are of the object that is read to confirm that nothing changed.
-	Kind     string
-	Name     string
-	Counters *metric.Set
-	Logger   *slog.Logger
-	// Failed is told when the platform did not answer the peer that is followed, and
+	// ConfirmedKind and Name are of the object that is read to confirm that nothing changed.
+	ConfirmedKind string
+	ConfirmedName string
+	Counters      *metric.Set
+	Logger        *slog.Logger
+	// OnPlatformFailure is told when the platform did not answer the peer that is followed, and
 	// when.
-	Failed func(at time.Time)
-	// Endpoints returns how many endpoints are known, nil for none, and Judged is told what
+	OnPlatformFailure func(at time.Time)
+	// EndpointCount returns how many endpoints are known, nil for none, and Judged is told what
 	// a report of a lost endpoint changes.
-	Endpoints func() int
-	Judged    func(r loss.Report, v loss.Change)
-	// Lifetime returns the life of an endpoint that is known, nil for none ever.
-	Lifetime func(endpoint string) protocol.Incarnation
-	// Paced is told what a report of an endpoint's pace changes, nil for nobody.
-	Paced func(r slow.Report, v slow.Change)
+	EndpointCount func() int
+	OnLossChange  func(r loss.Report, v loss.Change)
+	// Incarnation returns the life of an endpoint that is known, nil for none ever.
+	Incarnation func(endpoint string) protocol.Incarnation
+	// OnSlownessChange is told what a report of an endpoint's pace changes, nil for nobody.
+	OnSlownessChange func(r slow.Report, v slow.Change)
 	// Dial connects to a peer's address, nil for TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
@@ -117,14 +117,14 @@
 // Objects returns what is known of a kind, and whether it ever was.
 func (s *Source) Objects(kind string) (protocol.Listing, bool) { return s.mirror.List(kind) }
 
-// At returns the revision up to which a kind is known, 0 for none.
-func (s *Source) At(kind string) uint64 { return s.mirror.Revision(kind) }
+// Revision returns the revision up to which a kind is known, 0 for none.
+func (s *Source) Revision(kind string) uint64 { return s.mirror.Revision(kind) }
 
-// Hold takes a list of a kind that nobody watches, to be passed on.
-func (s *Source) Hold(kind string, l protocol.Listing) { s.mirror.ApplyList(kind, l) }
+// ApplyList takes a list of a kind that nobody watches, to be passed on.
+func (s *Source) ApplyList(kind string, l protocol.Listing) { s.mirror.ApplyList(kind, l) }
 
-// Keep takes the key under which this entry was known before it started anew.
-func (s *Source) Keep(key string) {
+// SetKey takes the key under which this entry was known before it started anew.
+func (s *Source) SetKey(key string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.Self.Key = key
@@ -242,11 +242,11 @@
 
 // confirmListed takes a list as a reading of the confirmed object that is in it.
 func (s *Source) confirmListed(kind string, l protocol.Listing, asked time.Time) {
-	if kind != s.Kind {
+	if kind != s.ConfirmedKind {
 		return
 	}
 	for _, o := range l.Objects {
-		if o.Name == s.Name {
+		if o.Name == s.ConfirmedName {
 			s.confirm(o, asked)
 		}
 	}
