--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -143,9 +143,9 @@
 func (f *Front) watch() {
 	tables := &routingSink{front: f}
 	f.watchers = []*watch.Watcher{
-		{Source: &f.source, Kind: f.Outside.RoutingKind, Sink: tables, Entries: f.watching},
-		{Source: &f.source, Kind: f.Outside.EndpointKind, Sink: &endpointSink{front: f}, Entries: f.watching},
-		{Source: &f.source, Kind: ownKind, Sink: &ownSink{front: f}, Entries: f.watching},
+		{Source: &f.source, Kind: f.Outside.RoutingKind, Sink: tables, EntryCount: f.watching},
+		{Source: &f.source, Kind: f.Outside.EndpointKind, Sink: &endpointSink{front: f}, EntryCount: f.watching},
+		{Source: &f.source, Kind: ownKind, Sink: &ownSink{front: f}, EntryCount: f.watching},
 	}
 	f.confirmer = watch.Confirmer{
 		Source: &f.source, Kind: f.Outside.RoutingKind, Name: f.Outside.RoutingName,
--- a/transport/relay/read.go
+++ b/transport/relay/read.go
@@ -73,7 +73,7 @@
 		if held.Version == 0 {
 			return watch.Reading{}, nil
 		}
-		return watch.Read(held, q.ConfirmedAt), nil
+		return watch.NewReading(held, q.ConfirmedAt), nil
 	case relay.Wait:
 		return watch.Reading{}, errUnconfirmed
 	case relay.FindPeer:
@@ -118,7 +118,7 @@
 		return watch.Reading{}, err
 	}
 	s.confirm(o, asked)
-	return watch.Read(o, asked), nil
+	return watch.NewReading(o, asked), nil
 }
 
 // Next returns when to read again after a reading at last.
--- a/transport/watch/confirm.go
+++ b/transport/watch/confirm.go
@@ -18,8 +18,8 @@
 	at     time.Time
 }
 
-// Read returns the reading of an object.
-func Read(o protocol.Object, at time.Time) Reading { return Reading{object: o, at: at} }
+// NewReading returns the reading of an object.
+func NewReading(o protocol.Object, at time.Time) Reading { return Reading{object: o, at: at} }
 
 // At returns a time at which the platform held the object so, zero if it has none.
 func (r Reading) At() time.Time { return r.at }
--- a/transport/watch/watch.go
+++ b/transport/watch/watch.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	// Wait is how long one call waits for a change. Each call has its price; that a
+	// PollTimeout is how long one call waits for a change. Each call has its price; that a
 	// connection is dead is noticed sooner, by a Confirmer.
-	Wait = 5 * time.Second
+	PollTimeout = 5 * time.Second
 	// hush is how long before its end a watch may have missed a change: the
 	// platform's watches hear nothing for up to a second before it forgets.
 	hush = time.Second
@@ -67,8 +67,8 @@
 	Source Source
 	Kind   string
 	Sink   Sink
-	// Entries returns how many entries call the platform alike; nil counts as one.
-	Entries func() int
+	// EntryCount returns how many entries call the platform alike; nil counts as one.
+	EntryCount func() int
 
 	done      part.Done
 	from      uint64 // revision to watch from, 0 before a list
@@ -143,7 +143,7 @@
 
 func (w *Watcher) watch(ctx context.Context) error {
 	asked := clock.Now()
-	c, err := w.Source.Watch(ctx, w.Kind, w.from, Wait)
+	c, err := w.Source.Watch(ctx, w.Kind, w.from, PollTimeout)
 	if err != nil {
 		return err
 	}
@@ -171,7 +171,7 @@
 // what it tells ends with its answer: counted by the wait, keys would be trusted for a time to come
 // (3.99 s ahead after answers at once). One that comes much sooner is not asked for again at once.
 func (w *Watcher) heardNothing(asked, now time.Time) {
-	end := asked.Add(Wait)
+	end := asked.Add(PollTimeout)
 	if now.Before(end) {
 		w.Sink.Confirmed(now.Add(-hush))
 	} else {
@@ -185,8 +185,8 @@
 // gather returns how long to rest after news.
 func (w *Watcher) gather(now time.Time) time.Duration {
 	rest := gatherEach
-	if w.Entries != nil {
-		rest *= time.Duration(w.Entries())
+	if w.EntryCount != nil {
+		rest *= time.Duration(w.EntryCount())
 	}
 	if now.Before(w.startedBy) {
 		rest *= startingRests
--- a/transport/watch/watch_test.go
+++ b/transport/watch/watch_test.go
@@ -40,7 +40,7 @@
 		if from == 0 {
 			return list(7)
 		}
-		return step{after: watch.Wait, changes: &protocol.Changes{At: 999}}
+		return step{after: watch.PollTimeout, changes: &protocol.Changes{At: 999}}
 	}
 	next := s.steps[0]
 	s.steps = s.steps[1:]
@@ -109,7 +109,7 @@
 func list(at uint64) step { return step{list: &protocol.Listing{At: at}} }
 
 func TestAWatchGoesOnFromItsNewsOnly(t *testing.T) {
-	src, snk := play(t, 3*watch.Wait, list(7), news(9, "a"))
+	src, snk := play(t, 3*watch.PollTimeout, list(7), news(9, "a"))
 	require.Equal(t, []string{"a"}, snk.changed)
 	require.Equal(t, []uint64{0, 7, 9}, src.asked[:3])
 	require.Equal(t, uint64(9), src.asked[3], "a watch that heard nothing must not move on: it may have missed something")
@@ -134,10 +134,10 @@
 		src, snk := &source{steps: []step{list(7)}}, &sink{}
 		w := &watch.Watcher{Source: src, Kind: "k", Sink: snk}
 		w.Start()
-		time.Sleep(watch.Wait + time.Millisecond)
+		time.Sleep(watch.PollTimeout + time.Millisecond)
 		synctest.Wait()
 		snk.locked(func() {
-			require.Equal(t, began.Add(watch.Wait-time.Second), snk.confirmed, "its last second may have been deaf")
+			require.Equal(t, began.Add(watch.PollTimeout-time.Second), snk.confirmed, "its last second may have been deaf")
 		})
 		w.Close()
 		synctest.Wait()
@@ -185,7 +185,7 @@
 	if r.unwritten {
 		return watch.Reading{}, nil
 	}
-	good := watch.Read(protocol.Object{Name: "o"}, time.Now())
+	good := watch.NewReading(protocol.Object{Name: "o"}, time.Now())
 	if len(r.errs) == 0 {
 		return good, nil
 	}
@@ -244,8 +244,8 @@
 func TestWhatAPeerPassedOnProvesNothingAboutThePlatform(t *testing.T) {
 	relayed := news(9, "a")
 	relayed.changes.Relayed = true
-	quiet := step{changes: &protocol.Changes{At: 11, Relayed: true}, after: watch.Wait}
-	src, snk := play(t, watch.Wait+time.Second, list(7), relayed, quiet)
+	quiet := step{changes: &protocol.Changes{At: 11, Relayed: true}, after: watch.PollTimeout}
+	src, snk := play(t, watch.PollTimeout+time.Second, list(7), relayed, quiet)
 	require.Equal(t, []string{"a"}, snk.changed)
 	require.Equal(t, []uint64{0, 7, 9, 11}, src.asked[:4], "a peer tells the place to go on from")
 	require.Less(t, snk.confirmed.Sub(snk.listedAt), time.Second, "confirmed by the list alone")
