--- a/transport/entry/entry.go
+++ b/transport/entry/entry.go
@@ -151,7 +151,7 @@
 	e.follower.Mesh = &e.mesh
 	e.follower.Counters = &e.counters
 	e.follower.Logger = e.Logger
-	e.follower.InForce = e.inForce
+	e.follower.OnVersion = e.inForce
 	e.follower.Start()
 }
 
--- a/transport/follow/follow.go
+++ b/transport/follow/follow.go
@@ -40,11 +40,11 @@
 
 // Follower follows the configuration. Set the exported fields before Start.
 type Follower struct {
-	Platform *platform.Client
-	Mesh     *peer.Mesh
-	Counters *metric.Set
-	Logger   *slog.Logger
-	InForce  func(*config.Config) // called once for each version, in order
+	Platform  *platform.Client
+	Mesh      *peer.Mesh
+	Counters  *metric.Set
+	Logger    *slog.Logger
+	OnVersion func(*config.Config) // called once for each version, in order
 
 	done     part.Done
 	mutex    sync.Mutex // guards what follows and the order of versions
@@ -233,7 +233,7 @@
 		return
 	}
 	f.previous = held
-	f.InForce(c)
+	f.OnVersion(c)
 	f.mutex.Unlock()
 	f.Counters.Add(metric.ConfigAccepted, 1)
 	event.ConfigInForce.Log(f.Logger, slog.Uint64("version", c.Version()))
--- a/transport/follow/follow_test.go
+++ b/transport/follow/follow_test.go
@@ -126,7 +126,7 @@
 		n.mesh.Lose = func() bool { return rand.IntN(loseOneIn) == 0 }
 	}
 	n.follower.Platform = &platform.Client{Base: c.client.Base, Counters: &n.counters}
-	n.follower.Mesh, n.follower.Counters, n.follower.InForce = &n.mesh, &n.counters, n.inForce
+	n.follower.Mesh, n.follower.Counters, n.follower.OnVersion = &n.mesh, &n.counters, n.inForce
 	c.nodes = append(c.nodes, n)
 	c.members = append(c.members, n.mesh.Self)
 	return n
