--- a/transport/relay/quarantine.go
+++ b/transport/relay/quarantine.go
@@ -119,7 +119,7 @@
 // Empty reports whether nothing is known against any work.
 func (q *Quarantine) Empty() bool { return !q.known.Load() }
 
-// Standing returns what some work may do now.
+// Status returns what some work may do now.
 func (q *Quarantine) Status(work protocol.Fingerprint, now time.Time) quarantine.Status {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
