--- a/coordination/quarantine/bench_test.go
+++ b/coordination/quarantine/bench_test.go
@@ -11,28 +11,28 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// BenchmarkStanding asks for work that was at an end among 1,000 pieces, as an entry does for each
-// request while anything is suspected.
-func BenchmarkStanding(b *testing.B) {
-	p := newPage()
+// BenchmarkStatus queries work among 1,000 pieces that were at a crash, as an entry does for each
+// request while any work is suspected.
+func BenchmarkStatus(b *testing.B) {
+	h := newHarness()
 	for n := range 1000 {
-		p.tell(protocol.WorkBroke, number(n), "e-1", "entry")
+		h.report(protocol.WorkBroke, fingerprint(n), "e-1", "entry")
 	}
-	p.book.RecordCrash("e-1", 1, p.now)
+	h.tracker.RecordCrash("e-1", 1, h.now)
 	b.ReportAllocs()
 	for n := range b.N {
-		p.standing(number(n % 2000))
+		h.status(fingerprint(n % 2000))
 	}
 }
 
-// BenchmarkTake tells of an outage: fresh work at ends, ten at each.
-func BenchmarkTake(b *testing.B) {
-	p := newPage()
-	ends := []string{"e-0", "e-1", "e-2", "e-3", "e-4", "e-5", "e-6", "e-7", "e-8", "e-9"}
+// BenchmarkApply applies the reports of an outage: new work at crashes, ten pieces at each.
+func BenchmarkApply(b *testing.B) {
+	h := newHarness()
+	endpoints := []string{"e-0", "e-1", "e-2", "e-3", "e-4", "e-5", "e-6", "e-7", "e-8", "e-9"}
 	b.ReportAllocs()
 	for n := range b.N {
-		p.now = p.now.Add(time.Millisecond)
-		p.tell(protocol.WorkBroke, number(n), ends[n/10%10], "entry")
+		h.now = h.now.Add(time.Millisecond)
+		h.report(protocol.WorkBroke, fingerprint(n), endpoints[n/10%10], "entry")
 	}
 }
 
@@ -46,21 +46,22 @@
 	}
 }
 
-// BenchmarkFull fills a book: 4,096 pieces of work, ten at each end, with two ends each.
+// BenchmarkFull fills a tracker with 4,096 pieces of work, ten at each crash and with two crashes
+// each.
 func BenchmarkFull(b *testing.B) {
 	const works = 4096
 	for range b.N {
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		p := newPage()
+		h := newHarness()
 		for n := range works {
-			p.tell(protocol.WorkBroke, number(n), fmt.Sprint("e-", n/10), "entry")
-			p.tell(protocol.WorkBroke, number(n), fmt.Sprint("f-", n/10), "entry")
+			h.report(protocol.WorkBroke, fingerprint(n), fmt.Sprint("e-", n/10), "entry")
+			h.report(protocol.WorkBroke, fingerprint(n), fmt.Sprint("f-", n/10), "entry")
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/works, "bytes/work")
-		runtime.KeepAlive(p)
+		runtime.KeepAlive(h)
 	}
 }
--- a/coordination/quarantine/doc.go
+++ b/coordination/quarantine/doc.go
@@ -1,25 +1,27 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package quarantine finds the work that ends each endpoint which runs it, and says who may run
-// what until it is found.
+// Package quarantine detects work that crashes the endpoints that run it, and decides where such
+// work may run.
 //
-// A request may crash the engine that begins to run it. Sent on, it crashes the next one, and
-// everything that ran beside it breaks as well. So each entry reports which work broke at which
-// endpoint, and a Book, fed with the reports of all entries, judges:
+// Work is the content of a request, identified by its fingerprint: requests with the same content
+// are the same work. A request may crash the engine that starts to run it. Sent to another engine,
+// it crashes that one too, and every request that ran next to it fails as well. Each entry
+// therefore reports which work failed at which endpoint. A Tracker combines the reports of all
+// entries:
 //
-//	switch s := book.Status(work, now).(type) {
-//	case quarantine.Free:    // nothing is known against it
-//	case quarantine.Apart:   // it was at one end: not where other such work is, if possible
-//	case quarantine.Alone:   // at two or more: only where no other such work is
-//	case quarantine.Waiting: // not before s.Till(): what the last end shows is not known yet
-//	case quarantine.Refused: // not before s.Till()
+//	switch s := tracker.Status(work, now).(type) {
+//	case quarantine.Unrestricted:     // nothing is known against it
+//	case quarantine.PreferIsolation:  // one crash: if possible, not where other suspected work runs
+//	case quarantine.RequireIsolation: // two or more crashes: only where no other suspected work runs
+//	case quarantine.Waiting:          // not before s.Until(): the last crash is not analyzed yet
+//	case quarantine.Refused:          // not before s.Until()
 //	}
 //
-// An entry that can't tell yet whether an endpoint has ended says so (Doubt), and what it finds out (Ended,
-// Lives); work that may have been at two ends waits for that.
+// An entry that does not know yet whether an endpoint crashed reports that (RecordUnresolved) and
+// later what it found out (RecordCrash, RecordAnswer). Work that may have been at two crashes waits
+// for the result.
 //
-// Only ends of endpoints count that are known for themselves, and only the work that had just
-// begun to run there. Work is refused once it was at three ends and no other work was at all of
-// them; what was beside it is told apart by running each piece alone. Whatever runs well is
-// cleared.
+// Only confirmed crashes count, and only against work that had just started to run at the endpoint.
+// Work is refused after three crashes if no other work was at all of them. Isolated runs separate
+// it from work that merely ran next to it. Work that runs without a crash is cleared.
 package quarantine
--- a/coordination/quarantine/expire.go
+++ b/coordination/quarantine/expire.go
@@ -10,81 +10,84 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// expire forgets what has lapsed.
-func (b *Tracker) expire(now time.Time) {
-	if now.Sub(b.expired) < expireEvery {
+// expire removes expired state.
+func (t *Tracker) expire(now time.Time) {
+	if now.Sub(t.lastExpiry) < expireInterval {
 		return
 	}
-	b.expired = now
-	for f, w := range b.works {
-		if now.Sub(w.keptTill) > Retention {
-			w.keptTill = time.Time{}
+	t.lastExpiry = now
+	for f, w := range t.works {
+		if now.Sub(w.storedUntil) > Retention {
+			w.storedUntil = time.Time{}
 		}
-		b.expireEnds(f, w, now)
-		if len(w.ends) == 0 && w.keptTill.IsZero() && now.Sub(w.clearedAt) > UnconfirmedRetention {
-			delete(b.works, f)
+		t.expireFailures(f, w, now)
+		if len(w.failures) == 0 && w.storedUntil.IsZero() && now.Sub(w.clearedAt) > UnconfirmedRetention {
+			delete(t.works, f)
 		}
 	}
-	for id, d := range b.gone {
-		if now.Sub(d.at) > Retention {
-			delete(b.gone, id)
+	for id, x := range t.exits {
+		if now.Sub(x.at) > Retention {
+			delete(t.exits, id)
 		}
 	}
-	b.expireTrials(now)
+	t.expireIsolatedRuns(now)
 }
 
-// expireEnds forgets the ends of some work that count no longer. Those of refused work count
-// until it may come no more.
-func (b *Tracker) expireEnds(f protocol.Fingerprint, w *work, now time.Time) {
-	proven := w.count(now).proven()
-	till := w.last().Add(Retention)
-	if proven >= refusedFrom {
-		till = w.last().Add(refuseFor<<min(refuseDoublings, proven-refusedFrom) + Retention)
+// expireFailures removes the failures of some work that no longer count. Those of refused work
+// count until the refusal has expired.
+func (t *Tracker) expireFailures(f protocol.Fingerprint, w *workState, now time.Time) {
+	confirmed := w.countCrashes(now).confirmed()
+	until := w.lastFailure().Add(Retention)
+	if confirmed >= refusalThreshold {
+		until = w.lastFailure().Add(refusalDuration<<min(maxRefusalDoublings, confirmed-refusalThreshold) + Retention)
 	}
-	for e, s := range w.ends {
-		if now.After(till) || !s.proven && now.Sub(s.at) > UnconfirmedRetention {
-			delete(w.ends, e)
-			b.leave(f, e)
+	for id, fail := range w.failures {
+		if now.After(until) || !fail.confirmed && now.Sub(fail.at) > UnconfirmedRetention {
+			delete(w.failures, id)
+			t.unlink(f, id)
 		}
 	}
 }
 
-// forgetOldest forgets the oldest end of some work.
-func (b *Tracker) forgetOldest(f protocol.Fingerprint, w *work) {
-	var oldest end
+// dropOldestFailure removes the oldest failure of some work.
+func (t *Tracker) dropOldestFailure(f protocol.Fingerprint, w *workState) {
+	var oldest crashID
 	first := true
-	for e, s := range w.ends {
-		if first || s.at.Before(w.ends[oldest].at) {
-			oldest, first = e, false
+	for id, fail := range w.failures {
+		if first || fail.at.Before(w.failures[oldest].at) {
+			oldest, first = id, false
 		}
 	}
-	delete(w.ends, oldest)
-	b.leave(f, oldest)
+	delete(w.failures, oldest)
+	t.unlink(f, oldest)
 }
 
-// forgetLeast makes room for other work: it forgets the work that was at the fewest ends, the
-// oldest of it first. It takes a part at once, since an outage brings thousands of pieces.
-func (b *Tracker) forgetLeast(now time.Time) {
-	all := make([]page, 0, len(b.works))
-	for f, w := range b.works {
-		n := w.count(now).proven()
-		if !w.keptTill.IsZero() {
-			n = max(n, refusedFrom)
+// evict makes room for other work. It removes the work with the fewest crashes, and among equals
+// the one with the oldest failure. It removes a fixed share at once, because an outage adds
+// thousands of pieces of work.
+func (t *Tracker) evict(now time.Time) {
+	all := make([]evictionCandidate, 0, len(t.works))
+	for f, w := range t.works {
+		crashes := w.countCrashes(now).confirmed()
+		if !w.storedUntil.IsZero() {
+			crashes = max(crashes, refusalThreshold)
 		}
-		all = append(all, page{work: f, ends: n, last: w.last()})
+		all = append(all, evictionCandidate{work: f, crashes: crashes, lastFailure: w.lastFailure()})
 	}
-	slices.SortFunc(all, func(a, b page) int { return cmp.Or(cmp.Compare(a.ends, b.ends), a.last.Compare(b.last)) })
-	for _, p := range all[:len(all)/forgetPart] {
-		for e := range b.works[p.work].ends {
-			b.leave(p.work, e)
+	slices.SortFunc(all, func(a, b evictionCandidate) int {
+		return cmp.Or(cmp.Compare(a.crashes, b.crashes), a.lastFailure.Compare(b.lastFailure))
+	})
+	for _, c := range all[:len(all)/evictionDivisor] {
+		for id := range t.works[c.work].failures {
+			t.unlink(c.work, id)
 		}
-		delete(b.works, p.work)
+		delete(t.works, c.work)
 	}
 }
 
-// page is what decides which work is forgotten.
-type page struct {
-	work protocol.Fingerprint
-	ends int
-	last time.Time
+// evictionCandidate is what decides which work is evicted.
+type evictionCandidate struct {
+	work        protocol.Fingerprint
+	crashes     int
+	lastFailure time.Time
 }
--- a/coordination/quarantine/export_test.go
+++ b/coordination/quarantine/export_test.go
@@ -4,11 +4,11 @@
 
 import "time"
 
-// Refusals returns how much work is refused now.
-func (b *Tracker) Refusals(now time.Time) int {
+// RefusedCount returns how many pieces of work are refused now.
+func (t *Tracker) RefusedCount(now time.Time) int {
 	n := 0
-	for f, w := range b.works {
-		if _, refused := b.refused(f, w, now); refused {
+	for f, w := range t.works {
+		if _, refused := t.activeRefusal(f, w, now); refused {
 			n++
 		}
 	}
--- a/coordination/quarantine/refusal.go
+++ b/coordination/quarantine/refusal.go
@@ -8,132 +8,133 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// Refusal is work that is refused, and why.
+// Refusal is work that is refused, with the evidence for it.
 type Refusal struct {
-	work protocol.Fingerprint
-	ends []protocol.WorkCrash
-	till time.Time
+	work    protocol.Fingerprint
+	crashes []protocol.WorkCrash
+	until   time.Time
 }
 
-// Work returns which work it is.
+// Work returns the fingerprint of the work.
 func (r *Refusal) Work() protocol.Fingerprint { return r.work }
 
-// Until returns from when it is tried again.
-func (r *Refusal) Until() time.Time { return r.till }
+// Until returns the time from which the work may run in isolation again.
+func (r *Refusal) Until() time.Time { return r.until }
 
-// Crashes returns the ends of endpoints under it, with times of day.
-func (r *Refusal) Crashes() []protocol.WorkCrash { return r.ends }
+// Crashes returns the crashes of endpoints that ran the work, with times of day.
+func (r *Refusal) Crashes() []protocol.WorkCrash { return r.crashes }
 
-// NewRefusals returns the work that is refused since the last call, by the reports of entries. Day is
-// the time of day that belongs to now.
-func (b *Tracker) NewRefusals(now, day time.Time) []Refusal {
-	b.expire(now)
+// NewRefusals returns the work that is refused since the last call, based on the reports of
+// entries. Wall is the time of day that corresponds to now.
+func (t *Tracker) NewRefusals(now, wall time.Time) []Refusal {
+	t.expire(now)
 	var all []Refusal
-	for f, w := range b.works {
-		b.review(f, w, now)
-		r, refused := b.refused(f, w, now)
-		if refused && !w.told {
-			all = append(all, Refusal{work: f, ends: w.evidence(now, day), till: r.till})
+	for f, w := range t.works {
+		t.revalidate(f, w, now)
+		r, refused := t.activeRefusal(f, w, now)
+		if refused && !w.reported {
+			all = append(all, Refusal{work: f, crashes: w.evidence(now, wall), until: r.until})
 		}
-		w.told = refused
+		w.reported = refused
 	}
 	return all
 }
 
-// review gives up a refusal that the platform keeps where it has turned out that other work
-// ended the endpoint at which this one was tried.
-func (b *Tracker) review(f protocol.Fingerprint, w *work, now time.Time) {
-	if !w.keptTill.IsZero() && w.count(now).first < refusedAnyway && !b.stands(f, w) {
-		w.keptTill, w.told = time.Time{}, false
+// revalidate drops a stored refusal if other work has been found to have crashed the endpoint of
+// the isolated run.
+func (t *Tracker) revalidate(f protocol.Fingerprint, w *workState, now time.Time) {
+	if !w.storedUntil.IsZero() && w.countCrashes(now).firstStage < sharedRefusalThreshold && !t.crashedInIsolation(f, w) {
+		w.storedUntil, w.reported = time.Time{}, false
 	}
 }
 
-// evidence returns the proven ends of some work.
-func (w *work) evidence(now, day time.Time) []protocol.WorkCrash {
+// evidence returns the confirmed crashes of some work.
+func (w *workState) evidence(now, wall time.Time) []protocol.WorkCrash {
 	var all []protocol.WorkCrash
-	for e, s := range w.ends {
-		if s.proven {
-			all = append(all, protocol.WorkCrash{Endpoint: e.endpoint, Incarnation: e.life, AtMS: day.Add(-now.Sub(s.at)).UnixMilli()})
+	for id, fail := range w.failures {
+		if fail.confirmed {
+			all = append(all, protocol.WorkCrash{Endpoint: id.endpoint, Incarnation: id.incarnation, AtMS: wall.Add(-now.Sub(fail.at)).UnixMilli()})
 		}
 	}
 	return all
 }
 
-// RestoreRefusal takes what the platform keeps of refused work, as long as it has the evidence for it:
-// records of other writers, and old ones, count for nothing. It reports whether it does.
-func (b *Tracker) RestoreRefusal(f protocol.Fingerprint, r *protocol.RefusedWork, now, day time.Time) bool {
-	left := time.UnixMilli(r.UntilMS).Sub(day)
-	if distinct(r.Crashes) < refusedFrom || !tried(r.Crashes) || left <= 0 || left > refuseFor<<refuseDoublings {
+// RestoreRefusal takes over a refusal from the platform's store if it holds the evidence for it:
+// records of other writers, and old ones, are ignored. It reports whether it did.
+func (t *Tracker) RestoreRefusal(f protocol.Fingerprint, r *protocol.RefusedWork, now, wall time.Time) bool {
+	remaining := time.UnixMilli(r.UntilMS).Sub(wall)
+	if countDistinct(r.Crashes) < refusalThreshold || !showsIsolatedRun(r.Crashes) || remaining <= 0 || remaining > refusalDuration<<maxRefusalDoublings {
 		return false
 	}
-	w := b.works[f]
+	w := t.works[f]
 	if w == nil {
-		w = b.open(f, now)
+		w = t.addWork(f, now)
 	}
-	for _, e := range r.Crashes[:min(endsMost, len(r.Crashes))] {
-		b.hold(f, w, e, now.Add(min(0, time.UnixMilli(e.AtMS).Sub(day))))
+	for _, c := range r.Crashes[:min(maxCrashesPerWork, len(r.Crashes))] {
+		t.restoreCrash(f, w, c, now.Add(min(0, time.UnixMilli(c.AtMS).Sub(wall))))
 	}
-	w.keptTill = now.Add(left)
-	w.told = true
+	w.storedUntil = now.Add(remaining)
+	w.reported = true
 	return true
 }
 
-// tried reports whether one of the ends came after two others, as that of a trial does.
-func tried(all []protocol.WorkCrash) bool {
-	for _, e := range all {
-		before := 0
-		for _, other := range all {
-			if other.AtMS < e.AtMS-sameEnd.Milliseconds() {
-				before++
+// showsIsolatedRun reports whether one of the crashes came after two others, as the crash of an
+// isolated run does.
+func showsIsolatedRun(crashes []protocol.WorkCrash) bool {
+	for _, c := range crashes {
+		earlier := 0
+		for _, other := range crashes {
+			if other.AtMS < c.AtMS-sameCrashWindow.Milliseconds() {
+				earlier++
 			}
 		}
-		if before >= aloneFrom {
+		if earlier >= isolationThreshold {
 			return true
 		}
 	}
 	return false
 }
 
-// distinct returns how many ends there are, each counted once.
-func distinct(all []protocol.WorkCrash) int {
-	seen := make(map[end]bool)
-	for _, e := range all {
-		seen[end{endpoint: e.Endpoint, life: e.Incarnation}] = true
+// countDistinct returns the number of different crashes.
+func countDistinct(crashes []protocol.WorkCrash) int {
+	seen := make(map[crashID]bool)
+	for _, c := range crashes {
+		seen[crashID{endpoint: c.Endpoint, incarnation: c.Incarnation}] = true
 	}
 	return len(seen)
 }
 
-// hold notes an end that the platform keeps.
-func (b *Tracker) hold(f protocol.Fingerprint, w *work, e protocol.WorkCrash, at time.Time) {
-	r := Report{work: f, endpoint: e.Endpoint, life: e.Incarnation, at: at}
+// restoreCrash records a crash from the platform's store.
+func (t *Tracker) restoreCrash(f protocol.Fingerprint, w *workState, c protocol.WorkCrash, at time.Time) {
+	r := Report{work: f, endpoint: c.Endpoint, incarnation: c.Incarnation, at: at}
 	if !at.After(w.clearedAt) {
 		return
 	}
-	if _, known := w.ends[r.end()]; !known {
-		b.broke(&r, at)
+	if _, known := w.failures[r.crashID()]; !known {
+		t.recordFailure(&r, at)
 	}
-	if s, there := w.ends[r.end()]; there {
-		s.proven = true
-		w.ends[r.end()] = s
+	if fail, ok := w.failures[r.crashID()]; ok {
+		fail.confirmed = true
+		w.failures[r.crashID()] = fail
 	}
 }
 
-// Release forgets what is known against some work, as an operator asks, and what entries tell
-// later of the time before. It reports whether it was refused.
-func (b *Tracker) Release(f protocol.Fingerprint, now time.Time) bool {
-	w := b.works[f]
-	if w == nil || w.keptTill.IsZero() {
+// Release forgets what is known against some work, and ignores later reports of the time before. An
+// operator asks for it. It reports whether the work was refused.
+func (t *Tracker) Release(f protocol.Fingerprint, now time.Time) bool {
+	w := t.works[f]
+	if w == nil || w.storedUntil.IsZero() {
 		return false
 	}
-	b.clear(f, w, now)
+	t.clearWork(f, w, now)
 	return true
 }
 
-// StoredRefusals returns the work that is refused by what the platform keeps.
-func (b *Tracker) StoredRefusals() []protocol.Fingerprint {
+// StoredRefusals returns the work that is refused by the platform's store.
+func (t *Tracker) StoredRefusals() []protocol.Fingerprint {
 	var all []protocol.Fingerprint
-	for f, w := range b.works {
-		if !w.keptTill.IsZero() {
+	for f, w := range t.works {
+		if !w.storedUntil.IsZero() {
 			all = append(all, f)
 		}
 	}
--- a/coordination/quarantine/report.go
+++ b/coordination/quarantine/report.go
@@ -8,60 +8,61 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// Report says that an entry, the witness, met a sign of some work at an endpoint at a time.
+// Report is what an entry, the observer, observed about some work at an endpoint.
 type Report struct {
-	work     protocol.Fingerprint
-	sign     protocol.WorkObservation
-	endpoint string
-	life     protocol.Incarnation
-	witness  string
-	at       time.Time
-	inDoubt  bool // it may turn out soon whether the endpoint ended
+	work        protocol.Fingerprint
+	observation protocol.WorkObservation
+	endpoint    string
+	incarnation protocol.Incarnation
+	observer    string
+	at          time.Time
+	unresolved  bool // whether the endpoint crashed may become known soon
 }
 
-// NewReport returns what a witness told, at a time by the clock of the entry that holds it.
-func NewReport(news protocol.RelayWork, at time.Time) Report {
-	return Report{work: news.Work, sign: news.Observation, endpoint: news.Endpoint, life: news.Incarnation, witness: news.Observer, at: at}
+// NewReport returns the report of an observer. The time is by the clock of the entry that holds the
+// report.
+func NewReport(message protocol.RelayWork, at time.Time) Report {
+	return Report{work: message.Work, observation: message.Observation, endpoint: message.Endpoint, incarnation: message.Incarnation, observer: message.Observer, at: at}
 }
 
-// AsUnresolved returns the report of work that broke at an endpoint of which it may turn out soon
-// whether it ended.
-func (r Report) AsUnresolved() Report { //nolint:gocritic // a copy is what it returns
-	r.inDoubt = true
+// AsUnresolved returns a copy of the report for work that failed at an endpoint of which it may
+// become known soon whether it crashed.
+func (r Report) AsUnresolved() Report { //nolint:gocritic // the result is a copy
+	r.unresolved = true
 	return r
 }
 
-// Message returns the report as it is told at a time.
+// Message returns the report as the message that is sent to other entries at a time.
 func (r *Report) Message(now time.Time) protocol.RelayWork {
 	const perMS = float64(time.Millisecond)
 	return protocol.RelayWork{
-		Work: r.work, Observation: r.sign, Endpoint: r.endpoint, Incarnation: r.life, Observer: r.witness,
+		Work: r.work, Observation: r.observation, Endpoint: r.endpoint, Incarnation: r.incarnation, Observer: r.observer,
 		AgoMS: max(0, float64(now.Sub(r.at))/perMS),
 	}
 }
 
-// Work returns which work it is.
+// Work returns the fingerprint of the work.
 func (r *Report) Work() protocol.Fingerprint { return r.work }
 
-// Observation returns what the witness met.
-func (r *Report) Observation() protocol.WorkObservation { return r.sign }
+// Observation returns what the observer observed.
+func (r *Report) Observation() protocol.WorkObservation { return r.observation }
 
 // Endpoint returns the ID of the endpoint.
 func (r *Report) Endpoint() string { return r.endpoint }
 
-// Incarnation returns which life of it, 0 if that is not known.
-func (r *Report) Incarnation() protocol.Incarnation { return r.life }
+// Incarnation returns the incarnation of the endpoint, 0 if it is not known.
+func (r *Report) Incarnation() protocol.Incarnation { return r.incarnation }
 
-// Observer returns the name of the entry that met the sign.
-func (r *Report) Observer() string { return r.witness }
+// Observer returns the name of the entry that made the observation.
+func (r *Report) Observer() string { return r.observer }
 
-// At returns when.
+// At returns the time of the observation.
 func (r *Report) At() time.Time { return r.at }
 
-// end is one end of an endpoint: a life of it, which ends once.
-type end struct {
-	endpoint string
-	life     protocol.Incarnation
+// crashID identifies a crash of an endpoint. Each incarnation crashes at most once.
+type crashID struct {
+	endpoint    string
+	incarnation protocol.Incarnation
 }
 
-func (r *Report) end() end { return end{endpoint: r.endpoint, life: r.life} }
+func (r *Report) crashID() crashID { return crashID{endpoint: r.endpoint, incarnation: r.incarnation} }
--- /dev/null
+++ b/coordination/quarantine/status.go
@@ -0,0 +1,45 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package quarantine
+
+import "time"
+
+// Status is what work may do: Unrestricted, PreferIsolation, RequireIsolation, Waiting or Refused.
+type Status interface{ status() }
+
+// Unrestricted means that nothing is known against the work.
+type Unrestricted struct{}
+
+// PreferIsolation means that the work failed at one endpoint that may have crashed because of it.
+// It runs at one endpoint at a time, and where no other suspected work runs as long as there is
+// such an endpoint.
+type PreferIsolation struct{}
+
+// RequireIsolation means that the work was at two or more crashes. It runs only where no other
+// suspected work runs.
+type RequireIsolation struct{}
+
+// Waiting means that the work must not run yet: it runs in isolation at another endpoint, reports
+// about the last crash may still be missing, or a possible crash is unresolved.
+type Waiting struct{ until time.Time }
+
+// Until returns when to check again.
+func (w Waiting) Until() time.Time { return w.until }
+
+// Refused means that the work crashes the endpoints that run it.
+type Refused struct {
+	until   time.Time
+	crashes int
+}
+
+// Until returns the time from which the work may run in isolation again.
+func (r Refused) Until() time.Time { return r.until }
+
+// Crashes returns how many endpoints crashed while they ran the work.
+func (r Refused) Crashes() int { return r.crashes }
+
+func (Unrestricted) status()     {}
+func (PreferIsolation) status()  {}
+func (RequireIsolation) status() {}
+func (Waiting) status()          {}
+func (Refused) status()          {}
