--- a/coordination/pressure/decision.go
+++ b/coordination/pressure/decision.go
@@ -4,20 +4,20 @@
 
 import "time"
 
-// Decision is what a stream does next: GoOn, Stop, Drop or End.
+// Decision is what a stream does next: Continue, Pause, DropAttempt or Abort.
 type Decision interface{ decision() }
 
-// Continue reads on from the engine.
+// Continue means that the stream reads on from its engine.
 type Continue struct{}
 
-// Pause leaves what the engine sends unread for the time being.
-type Pause struct{ till time.Time }
+// Pause means that the stream stops reading from its engine for now.
+type Pause struct{ until time.Time }
 
-// DropAttempt ends the send. The stream goes on elsewhere after its last whole event, once its
-// caller has read what is held.
+// DropAttempt means that the attempt ends. The stream resumes at another engine after its last
+// complete event, once its caller has read what is held.
 type DropAttempt struct{}
 
-// Abort breaks the answer off: what it held is given to others.
+// Abort means that the response is broken off. Its bytes have been released to other accounts.
 type Abort struct{}
 
 func (Continue) decision()    {}
@@ -25,41 +25,41 @@
 func (DropAttempt) decision() {}
 func (Abort) decision()       {}
 
-// Until returns when to look again if the caller has read nothing by then.
-func (s Pause) Until() time.Time { return s.till }
+// Until returns when to decide again if the caller has read nothing by then.
+func (p Pause) Until() time.Time { return p.until }
 
-// Decide decides how a stream goes on with what its connection holds. One that has stopped goes
-// on at half of its allowance, so not for each event. Once its engine may cut it off it goes
-// on at the whole: a caller who reads steadily keeps its send.
+// Decide decides how a stream continues, by what its connection holds. A paused stream continues at
+// half of its allowance, so that it does not switch at each event. Once its engine may cut it off,
+// it continues at the full allowance, so that a caller who reads steadily keeps its attempt.
 func (b *Budget) Decide(a *Account, now time.Time) Decision {
-	most := b.allowance(a)
-	till := a.stopped.Add(engineBears)
-	if !a.stopped.IsZero() && now.Before(till) {
-		most /= 2
+	allowance := b.allowance(a)
+	resumeBy := a.pausedSince.Add(pauseTimeout)
+	if !a.pausedSince.IsZero() && now.Before(resumeBy) {
+		allowance /= 2
 	}
 	switch {
-	case a.ended:
+	case a.evicted:
 		return Abort{}
-	case a.held <= most:
-		a.stopped = time.Time{}
+	case a.held <= allowance:
+		a.pausedSince = time.Time{}
 		return Continue{}
-	case a.stopped.IsZero():
-		a.stopped = now
-	case a.resumable && !now.Before(till):
+	case a.pausedSince.IsZero():
+		a.pausedSince = now
+	case a.resumable && !now.Before(resumeBy):
 		return DropAttempt{}
 	}
-	return Pause{till: a.stopped.Add(engineBears)}
+	return Pause{until: a.pausedSince.Add(pauseTimeout)}
 }
 
-// allowance returns how much an account may hold before its engine is left unread.
+// allowance returns how many bytes an account may hold before its stream is paused.
 func (b *Budget) allowance(a *Account) int64 {
 	free := float64(max(0, b.free()))
 	switch {
-	case float64(b.teams[a.team]) > teamShare*free:
-		return leastHeld
+	case float64(b.teamBytes[a.team]) > teamShare*free:
+		return minAllowance
 	case a.resumable:
-		return max(leastHeld, min(resumeMost, int64(resumeShare*free)))
+		return max(minAllowance, min(maxResumableHeld, int64(resumableShare*free)))
 	default:
-		return max(leastHeld, int64(onceShare*free))
+		return max(minAllowance, int64(nonResumableShare*free))
 	}
 }
--- a/coordination/pressure/inflight.go
+++ b/coordination/pressure/inflight.go
@@ -3,53 +3,53 @@
 package pressure
 
 const (
-	// inflightFirst is how many bytes of requests an endpoint is given before anything is
-	// known of it, and the most that it is given later: a few of the largest bodies that
-	// routing tables allow.
-	inflightFirst = 32 << 20
-	// inflightLeast is the least, in bytes, that it is given however often it fell over: one
-	// large request, or hundreds of usual ones.
-	inflightLeast = 1 << 20
-	// inflightFall is the part of what it held that an endpoint is given after it fell over;
-	// inflightGrowth is the part of each answered request by which the bound grows. It falls
-	// fast and grows slowly, as a fall costs every request that the endpoint held.
-	inflightFall, inflightGrowth = 0.5, 0.1
+	// maxInflightLimit is the limit in bytes of an endpoint about which nothing is known, and the
+	// highest limit later. It is a few of the largest bodies that routing tables allow.
+	maxInflightLimit = 32 << 20
+	// minInflightLimit is the lowest limit in bytes, however often the endpoint fails: one large
+	// request, or hundreds of typical ones.
+	minInflightLimit = 1 << 20
+	// inflightDecrease is the share of the bytes in flight that becomes the limit when an endpoint
+	// fails. inflightIncrease is the share of each answered request by which the limit grows. The
+	// limit falls fast and grows slowly, because a failure costs every request at the endpoint.
+	inflightDecrease, inflightIncrease = 0.5, 0.1
 )
 
-// Inflight bounds the bytes of this entry's requests that an endpoint holds at once. How much
-// memory the endpoint has is not told, so the bound is learnt: it falls when the endpoint
-// breaks a connection off while it holds many bytes, and grows with what it answers. The zero value is an endpoint of which nothing is known.
+// Inflight limits the bytes of this entry's requests that are in flight at an endpoint. Endpoints
+// do not report how much memory they have, so the limit is learned: it falls when the endpoint
+// breaks a connection while many bytes are in flight, and grows with the requests that it answers.
+// The zero value is an endpoint about which nothing is known.
 type Inflight struct {
-	limit int64 // 0 for inflightFirst
+	limit int64 // 0 for maxInflightLimit
 	bytes int64
 }
 
-// Limit returns the bound in bytes.
+// Limit returns the limit in bytes.
 func (f *Inflight) Limit() int64 {
 	if f.limit == 0 {
-		return inflightFirst
+		return maxInflightLimit
 	}
 	return f.limit
 }
 
-// Bytes returns how many bytes are in flight.
+// Bytes returns the number of bytes in flight.
 func (f *Inflight) Bytes() int64 { return f.bytes }
 
-// Admits reports whether a request of n bytes may be sent. One alone always may.
+// Admits reports whether a request of n bytes may be sent. A single request always may.
 func (f *Inflight) Admits(n int64) bool { return f.bytes == 0 || f.bytes+n <= f.Limit() }
 
-// Sent notes a request of n bytes.
+// Sent records a request of n bytes.
 func (f *Inflight) Sent(n int64) { f.bytes += n }
 
-// Finished notes that the endpoint does not hold a request of n bytes any more. Fell says that
-// it broke the connection off.
-func (f *Inflight) Finished(n int64, fell bool) {
+// Finished records that a request of n bytes is no longer at the endpoint. Broken means that the
+// endpoint broke the connection.
+func (f *Inflight) Finished(n int64, broken bool) {
 	held := f.bytes
 	f.bytes -= n
 	switch {
-	case !fell:
-		f.limit = min(inflightFirst, f.Limit()+int64(inflightGrowth*float64(n)))
-	case held > inflightLeast:
-		f.limit = min(f.Limit(), max(inflightLeast, int64(inflightFall*float64(held))))
+	case !broken:
+		f.limit = min(maxInflightLimit, f.Limit()+int64(inflightIncrease*float64(n)))
+	case held > minInflightLimit:
+		f.limit = min(f.Limit(), max(minInflightLimit, int64(inflightDecrease*float64(held))))
 	}
 }
--- a/coordination/pressure/inflight_test.go
+++ b/coordination/pressure/inflight_test.go
@@ -13,7 +13,7 @@
 
 const mb = 1 << 20
 
-func TestAnEndpointThatFellOverIsGivenLess(t *testing.T) {
+func TestInflightLimitShrinksAfterFailure(t *testing.T) {
 	var f pressure.Inflight
 	for range 10 {
 		require.True(t, f.Admits(mb))
@@ -21,21 +21,21 @@
 	}
 	f.Finished(mb, true)
 	require.EqualValues(t, 5*mb, f.Limit())
-	require.False(t, f.Admits(mb), "it still holds nine")
+	require.False(t, f.Admits(mb), "nine are still in flight")
 	for range 9 {
 		f.Finished(mb, true)
 	}
 	require.Zero(t, f.Bytes())
-	require.True(t, f.Admits(100*mb), "one alone always may")
+	require.True(t, f.Admits(100*mb), "a single request always may")
 	low := f.Limit()
 	f.Sent(mb)
 	f.Finished(mb, false)
 	require.Greater(t, f.Limit(), low)
 }
 
-// TestSmallRequestsSayNothingOfMemory: a connection broken off with little in flight has
-// other causes.
-func TestSmallRequestsSayNothingOfMemory(t *testing.T) {
+// TestInflightLimitIgnoresFailureOfSmallRequests: a connection that breaks with few bytes in flight
+// has another cause than memory.
+func TestInflightLimitIgnoresFailureOfSmallRequests(t *testing.T) {
 	var f pressure.Inflight
 	before := f.Limit()
 	f.Sent(1000)
@@ -43,7 +43,7 @@
 	require.Equal(t, before, f.Limit())
 }
 
-func TestBytesInFlightStayWithinTheBound(t *testing.T) {
+func TestInflightBytesStayWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var f pressure.Inflight
 		var sent []int64
@@ -54,8 +54,8 @@
 				sent = append(sent, n)
 				require.True(t, len(sent) == 1 || f.Bytes() <= f.Limit())
 			}
-			if len(sent) > 0 && rapid.Bool().Draw(t, "ends") {
-				f.Finished(sent[0], rapid.Bool().Draw(t, "fell"))
+			if len(sent) > 0 && rapid.Bool().Draw(t, "finishes") {
+				f.Finished(sent[0], rapid.Bool().Draw(t, "broken"))
 				sent = sent[1:]
 			}
 			sum := int64(0)
--- a/coordination/pressure/pressure.go
+++ b/coordination/pressure/pressure.go
@@ -1,24 +1,24 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package pressure bounds the bytes that an entry holds for callers who read slowly, and
-// for requests that come in. It is pure: an Account is what one caller's connection holds,
-// a Budget the sum of all.
+// Package pressure limits the bytes that an entry holds for callers that read slowly and for
+// incoming requests. It does no I/O: an Account is what one caller's connection holds, a Budget
+// limits the sum of all accounts.
 //
 //	var b pressure.Budget
-//	b.Limit(64 << 20)
-//	ended, ok := b.Hold(a, n, now) // before n bytes more are held; the ended give theirs back
-//	b.Release(a, n, now)           // once the caller has taken n
-//	switch d := b.Look(a, now).(type) {
-//	case pressure.GoOn: // read on from the engine
-//	case pressure.Stop: // leave the engine's bytes unread, look again at d.Till()
-//	case pressure.Drop: // end the send; go on elsewhere once the caller has read all
-//	case pressure.End:  // break the answer off
+//	b.SetLimit(64 << 20)
+//	evicted, ok := b.Reserve(a, n, now) // before n more bytes are held; the evicted release theirs
+//	b.Release(a, n, now)                // once the caller has read n bytes
+//	switch d := b.Decide(a, now).(type) {
+//	case pressure.Continue:    // read on from the engine
+//	case pressure.Pause:       // stop reading from the engine, decide again at d.Until()
+//	case pressure.DropAttempt: // end the attempt; resume elsewhere once the caller has read all
+//	case pressure.Abort:       // break off the response
 //	}
 //
-// How much one may hold is a share of what is free, as switches share their buffers among
-// ports: with n slow callers at their bound each has share*limit/(1+share*n), so the sum
-// stays under the limit however many they are, and a further one still finds room. Teams
-// are bounded in the same way, so that one team's callers leave the others theirs.
+// An account may hold a share of the free bytes, as switches share their buffers among ports. With
+// n slow callers at their allowance each holds share*limit/(1+share*n). The sum stays under the
+// limit for any n, and there are always free bytes for one more. Teams are limited in the same way,
+// so that the callers of one team leave part of the budget to the others.
 package pressure
 
 import (
@@ -27,193 +27,193 @@
 )
 
 const (
-	// DefaultLimit is the budget in bytes where the settings name no memory.
+	// DefaultLimit is the budget in bytes if the settings do not set one.
 	DefaultLimit = 64 << 20
-	// resumeShare and onceShare are the parts of what is free that one stream may hold. One
-	// that can go on elsewhere loses time only when its engine is left; one that can't loses
-	// its answer, so it may hold more.
-	resumeShare, onceShare = 0.125, 0.5
-	// resumeMost is the most that a stream which can go on elsewhere holds, in bytes, its
-	// sockets included: beside those two answers of the usual size. What is held beyond is
-	// work for the collector, and the caller may never read it.
-	resumeMost = 80 << 10
-	// teamShare is the part of what is free that the streams of one team may hold
-	// together, so at most half of the budget.
+	// resumableShare and nonResumableShare are the shares of the free bytes that one stream may
+	// hold. A resumable stream only loses time when its engine is left. Any other stream loses its
+	// response, so it may hold more.
+	resumableShare, nonResumableShare = 0.125, 0.5
+	// maxResumableHeld is the most that a resumable stream holds, in bytes. This includes its
+	// socket buffers, and leaves enough for two responses of typical size. Anything beyond is work
+	// for the garbage collector, and the caller may never read it.
+	maxResumableHeld = 80 << 10
+	// teamShare is the share of the free bytes that the streams of one team may hold together. It
+	// limits a team to half of the budget.
 	teamShare = 1.0
-	// leastHeld is what a stream may hold however little is free, in bytes: a few events, so
-	// that it moves on each time that its caller reads.
-	leastHeld = 4 << 10
-	// engineBears is how long an engine's answer is left unread. Engines cut off after some
-	// seconds; a send that is ended before can still be told apart from a fault.
-	engineBears = 1500 * time.Millisecond
-	// quietLeast is how long a caller has read nothing before its answer may be ended for
-	// the room that it holds. A lost packet is sent again in less.
-	quietLeast = time.Second
-	// bodyShare is the part of the budget up to which request bodies are taken in: what is
-	// under way needs the rest.
+	// minAllowance is what a stream may hold in bytes however little is free. It is a few events,
+	// so that the stream makes progress whenever its caller reads.
+	minAllowance = 4 << 10
+	// pauseTimeout is the longest time for which a resumable stream leaves its engine unread.
+	// Engines cut off after some seconds; an attempt that ends before that can still be told from a
+	// fault.
+	pauseTimeout = 1500 * time.Millisecond
+	// minStall is how long a caller must have read nothing before its response may be evicted. A
+	// lost packet is retransmitted in less.
+	minStall = time.Second
+	// bodyShare is the share of the budget for request bodies. Responses in progress need the rest.
 	bodyShare = 0.5
-	// searchEvery is how often the accounts are searched for one that gives way while none
-	// does: a search of 2,000 takes 54 us (BenchmarkHold), and each write would ask for one.
-	searchEvery = 50 * time.Millisecond
-	// nearShare and clearShare are the parts of the budget from which an entry calls itself
-	// near its end, and under which it no longer does.
-	nearShare, clearShare = 0.85, 0.6
+	// searchInterval is the pause after a search that found no account to evict. A search of 2,000
+	// accounts takes 54 us (BenchmarkReserve), and each write would start one.
+	searchInterval = 50 * time.Millisecond
+	// nearLimitShare and belowLimitShare are the shares of the budget at which an entry starts and
+	// stops to report that it is near its limit.
+	nearLimitShare, belowLimitShare = 0.85, 0.6
 )
 
-// Account is what one caller's connection holds. The zero value holds nothing and is
-// reading well.
+// Account is what one caller's connection holds. The zero value holds nothing and its caller reads.
 type Account struct {
-	team      string
-	rank      int // 0 is the most urgent
-	resumable bool
-	held      int64     // bytes
-	quiet     time.Time // since when the caller has read nothing of what is held
-	stopped   time.Time // since when its engine is left unread, zero if it is read
-	ended     bool
+	team         string
+	priority     int // 0 is the most urgent
+	resumable    bool
+	held         int64     // bytes
+	stalledSince time.Time // since when the caller has read nothing of what is held
+	pausedSince  time.Time // since when the stream has been paused, zero if it is not
+	evicted      bool
 }
 
-// Held returns the bytes that the account holds.
+// Held returns the number of bytes that the account holds.
 func (a *Account) Held() int64 { return a.held }
 
-// Evicted reports whether the account was ended to make room.
-func (a *Account) Evicted() bool { return a.ended }
+// Evicted reports whether the account was evicted.
+func (a *Account) Evicted() bool { return a.evicted }
 
-// Budget is what all accounts may hold together. The zero value has DefaultLimit.
+// Budget limits what all accounts hold together. The zero value has DefaultLimit.
 type Budget struct {
-	limit  int64
-	held   int64                 // bytes for callers
-	bodies int64                 // bytes of requests
-	teams  map[string]int64      // bytes held for each team's callers
-	slow   map[*Account]struct{} // accounts that hold something
-	near   bool
-	search time.Time // from when to look again who gives way
+	limit      int64
+	held       int64                 // bytes for callers
+	bodyBytes  int64                 // bytes of requests
+	teamBytes  map[string]int64      // bytes held for each team's callers
+	holding    map[*Account]struct{} // accounts that hold bytes
+	nearLimit  bool
+	nextSearch time.Time // time from which to search for an account to evict again
 }
 
 // SetLimit sets the budget in bytes, DefaultLimit if it is not positive.
 func (b *Budget) SetLimit(bytes int64) { b.limit = bytes }
 
-// most returns the budget in bytes.
-func (b *Budget) most() int64 {
+// effectiveLimit returns the budget in bytes.
+func (b *Budget) effectiveLimit() int64 {
 	if b.limit <= 0 {
 		return DefaultLimit
 	}
 	return b.limit
 }
 
-// Held returns the bytes held for callers.
+// Held returns the number of bytes held for callers.
 func (b *Budget) Held() int64 { return b.held }
 
-// BodyBytes returns the bytes of requests that are held.
-func (b *Budget) BodyBytes() int64 { return b.bodies }
+// BodyBytes returns the number of bytes of request bodies that are held.
+func (b *Budget) BodyBytes() int64 { return b.bodyBytes }
 
-// Assign tells whose answer an account's connection carries from now on: the team, the rank
-// (0 is the most urgent), and whether a broken stream may go on elsewhere.
-func (b *Budget) Assign(a *Account, team string, rank int, resumable bool) {
+// Assign sets whose response the connection of an account carries from now on: the team, the
+// priority (0 is the most urgent), and whether a broken stream may resume elsewhere.
+func (b *Budget) Assign(a *Account, team string, priority int, resumable bool) {
 	held := a.held
 	b.add(a, -held)
-	a.team, a.rank, a.resumable = team, rank, resumable
+	a.team, a.priority, a.resumable = team, priority, resumable
 	b.add(a, held)
 }
 
-// free returns the bytes that nobody holds, negative once a lower limit is set.
-func (b *Budget) free() int64 { return b.most() - b.held - b.bodies }
+// free returns the number of free bytes. It is negative after a lower limit is set.
+func (b *Budget) free() int64 { return b.effectiveLimit() - b.held - b.bodyBytes }
 
-// Reserve takes room for n bytes more, where needed by ending accounts whose callers have read
-// nothing for a while, none more urgent than a; the ended hold nothing from now on. Without
-// room it changes nothing but those, and reports false.
-func (b *Budget) Reserve(a *Account, n int64, now time.Time) (ended []*Account, ok bool) {
-	for !a.ended && n <= b.most() && b.free() < n {
-		v := b.slowest(a, now)
+// Reserve reserves n more bytes for an account. If needed it evicts accounts whose callers have
+// read nothing for a while, none of them more urgent than a. Evicted accounts hold nothing from
+// then on. If there are not enough free bytes it reports false and changes nothing else.
+func (b *Budget) Reserve(a *Account, n int64, now time.Time) (evicted []*Account, ok bool) {
+	for !a.evicted && n <= b.effectiveLimit() && b.free() < n {
+		v := b.victim(a, now)
 		if v == nil {
-			return ended, false
+			return evicted, false
 		}
-		b.end(v)
-		ended = append(ended, v)
+		b.evict(v)
+		evicted = append(evicted, v)
 	}
-	if a.ended || b.free() < n {
-		return ended, false
+	if a.evicted || b.free() < n {
+		return evicted, false
 	}
 	if a.held == 0 {
-		a.quiet = now
+		a.stalledSince = now
 	}
 	b.add(a, n)
-	return ended, true
+	return evicted, true
 }
 
-// Release gives back n bytes that the caller took.
+// Release releases n bytes that the caller has read.
 func (b *Budget) Release(a *Account, n int64, now time.Time) {
-	if a.ended {
+	if a.evicted {
 		return
 	}
-	a.quiet = now
+	a.stalledSince = now
 	b.add(a, -n)
 }
 
-// Close gives back all that the account holds.
+// Close releases all bytes of an account.
 func (b *Budget) Close(a *Account) { b.add(a, -a.held) }
 
-// end takes from an account all that it holds, for good.
-func (b *Budget) end(a *Account) {
+// evict releases all bytes of an account for good.
+func (b *Budget) evict(a *Account) {
 	b.Close(a)
-	a.ended = true
+	a.evicted = true
 }
 
-// add counts n bytes more, or fewer, at an account, its team and the whole.
+// add adds n bytes, which may be negative, to an account, its team and the total.
 func (b *Budget) add(a *Account, n int64) {
 	if n == 0 {
 		return
 	}
-	if b.slow == nil {
-		b.slow, b.teams = make(map[*Account]struct{}), make(map[string]int64)
+	if b.holding == nil {
+		b.holding, b.teamBytes = make(map[*Account]struct{}), make(map[string]int64)
 	}
 	a.held += n
 	b.held += n
-	b.teams[a.team] += n
-	if b.teams[a.team] == 0 {
-		delete(b.teams, a.team)
+	b.teamBytes[a.team] += n
+	if b.teamBytes[a.team] == 0 {
+		delete(b.teamBytes, a.team)
 	}
 	if a.held == 0 {
-		delete(b.slow, a)
+		delete(b.holding, a)
 		return
 	}
-	b.slow[a] = struct{}{}
+	b.holding[a] = struct{}{}
 }
 
-// slowest returns who gives way first to an account, or nil if all have read lately: the
-// least urgent, then who loses time only, then the team that holds most, and of it who holds
-// most for as long as it has read nothing. Who is more urgent does not give way: a crowd of
-// others that just came, of whom none has been quiet for long, would end it.
-func (b *Budget) slowest(to *Account, now time.Time) *Account {
-	if now.Before(b.search) {
+// victim returns the account to evict first for another one, or nil if all callers have read
+// recently. The order is: the least urgent, then resumable streams, then the team that holds most,
+// and within it the account with the largest product of bytes and time without a read. A more
+// urgent account is never evicted: otherwise a burst of new callers, none of which has stalled for
+// long, would evict it.
+func (b *Budget) victim(requester *Account, now time.Time) *Account {
+	if now.Before(b.nextSearch) {
 		return nil
 	}
-	var worst *Account
-	for a := range b.slow {
-		if now.Sub(a.quiet) >= quietLeast && (worst == nil || b.givesWay(a, worst, now) < 0) {
-			worst = a
+	var first *Account
+	for a := range b.holding {
+		if now.Sub(a.stalledSince) >= minStall && (first == nil || b.compareVictims(a, first, now) < 0) {
+			first = a
 		}
 	}
 	switch {
-	case worst == nil:
-		b.search = now.Add(searchEvery)
-	case worst.rank < to.rank:
+	case first == nil:
+		b.nextSearch = now.Add(searchInterval)
+	case first.priority < requester.priority:
 		return nil
 	}
-	return worst
+	return first
 }
 
-// givesWay compares two accounts, the one that gives way first before the other.
-func (b *Budget) givesWay(x, y *Account, now time.Time) int {
-	weight := func(a *Account) float64 { return float64(a.held) * now.Sub(a.quiet).Seconds() }
+// compareVictims compares two accounts. The one to evict first sorts first.
+func (b *Budget) compareVictims(x, y *Account, now time.Time) int {
+	weight := func(a *Account) float64 { return float64(a.held) * now.Sub(a.stalledSince).Seconds() }
 	return cmp.Or(
-		cmp.Compare(y.rank, x.rank),
+		cmp.Compare(y.priority, x.priority),
 		trueFirst(x.resumable, y.resumable),
-		cmp.Compare(b.teams[y.team], b.teams[x.team]),
+		cmp.Compare(b.teamBytes[y.team], b.teamBytes[x.team]),
 		cmp.Compare(weight(y), weight(x)),
 	)
 }
 
-// trueFirst orders true before false.
+// trueFirst sorts true before false.
 func trueFirst(x, y bool) int {
 	switch {
 	case x == y:
@@ -225,20 +225,20 @@
 	}
 }
 
-// ReserveBody takes room for n bytes of a request, and reports whether there is any. A negative n
-// gives room back, which always works.
+// ReserveBody reserves n bytes for a request body, and reports whether it could. A negative n
+// releases bytes, which always succeeds.
 func (b *Budget) ReserveBody(n int64) bool {
-	if n > 0 && (b.free() < n || float64(b.bodies+n) > bodyShare*float64(b.most())) {
+	if n > 0 && (b.free() < n || float64(b.bodyBytes+n) > bodyShare*float64(b.effectiveLimit())) {
 		return false
 	}
-	b.bodies += n
+	b.bodyBytes += n
 	return true
 }
 
-// NearLimit reports whether the entry is near the end of its budget, and stays so until clearly
+// NearLimit reports whether the entry is near the limit of its budget. It remains so until clearly
 // less is held.
 func (b *Budget) NearLimit() bool {
-	used := float64(b.held+b.bodies) / float64(b.most())
-	b.near = used >= nearShare || b.near && used > clearShare
-	return b.near
+	used := float64(b.held+b.bodyBytes) / float64(b.effectiveLimit())
+	b.nearLimit = used >= nearLimitShare || b.nearLimit && used > belowLimitShare
+	return b.nearLimit
 }
--- a/coordination/pressure/pressure_test.go
+++ b/coordination/pressure/pressure_test.go
@@ -15,78 +15,78 @@
 
 const limit = 1 << 20
 
-var start = time.Unix(1_700_000_000, 0)
+var startTime = time.Unix(1_700_000_000, 0)
 
-// late is a time at which what was held at the start has long been unread.
-var late = start.Add(10 * time.Second)
+// lateTime is a time at which callers have long not read what was held at startTime.
+var lateTime = startTime.Add(10 * time.Second)
 
-// holding returns an account that holds bytes since the start.
-func holding(t *testing.T, b *pressure.Budget, team string, rank int, resumable bool, n int64) *pressure.Account {
+// newHoldingAccount returns an account that holds bytes since startTime.
+func newHoldingAccount(t *testing.T, b *pressure.Budget, team string, priority int, resumable bool, n int64) *pressure.Account {
 	a := &pressure.Account{}
-	b.Assign(a, team, rank, resumable)
-	_, ok := b.Reserve(a, n, start)
+	b.Assign(a, team, priority, resumable)
+	_, ok := b.Reserve(a, n, startTime)
 	require.True(t, ok)
 	return a
 }
 
-func TestAStreamIsLeftUnreadBeyondItsShareAndDroppedBeforeItsEngineCuts(t *testing.T) {
+func TestResumableStreamIsPausedThenDropped(t *testing.T) {
 	var b pressure.Budget
 	b.SetLimit(limit)
-	a := holding(t, &b, "team", 0, true, limit/16)
-	require.IsType(t, pressure.Continue{}, b.Decide(a, start))
+	a := newHoldingAccount(t, &b, "team", 0, true, limit/16)
+	require.IsType(t, pressure.Continue{}, b.Decide(a, startTime))
 
-	_, ok := b.Reserve(a, limit/8, start)
+	_, ok := b.Reserve(a, limit/8, startTime)
 	require.True(t, ok)
-	d := b.Decide(a, start)
+	d := b.Decide(a, startTime)
 	require.IsType(t, pressure.Pause{}, d)
-	till := d.(pressure.Pause).Until()
-	require.Equal(t, d, b.Decide(a, till.Add(-time.Millisecond)))
-	require.IsType(t, pressure.DropAttempt{}, b.Decide(a, till))
+	until := d.(pressure.Pause).Until()
+	require.Equal(t, d, b.Decide(a, until.Add(-time.Millisecond)))
+	require.IsType(t, pressure.DropAttempt{}, b.Decide(a, until))
 
-	b.Release(a, limit/32, till)
-	require.IsType(t, pressure.DropAttempt{}, b.Decide(a, till), "a little room is no reason to go on")
-	b.Release(a, limit/8, till)
-	require.IsType(t, pressure.Continue{}, b.Decide(a, till))
+	b.Release(a, limit/32, until)
+	require.IsType(t, pressure.DropAttempt{}, b.Decide(a, until), "a few released bytes do not end the pause")
+	b.Release(a, limit/8, until)
+	require.IsType(t, pressure.Continue{}, b.Decide(a, until))
 }
 
-// TestAnAnswerThatCantGoOnElsewhereMayHoldMore, and its engine is never left: the answer
-// would be lost.
-func TestAnAnswerThatCantGoOnElsewhereMayHoldMore(t *testing.T) {
+// TestNonResumableResponseMayHoldMore: the engine of a response that cannot resume elsewhere is
+// never left, because the response would be lost.
+func TestNonResumableResponseMayHoldMore(t *testing.T) {
 	var b pressure.Budget
 	b.SetLimit(limit)
-	a := holding(t, &b, "team", 0, false, limit/4)
-	require.IsType(t, pressure.Continue{}, b.Decide(a, start))
-	_, ok := b.Reserve(a, limit/4, start)
+	a := newHoldingAccount(t, &b, "team", 0, false, limit/4)
+	require.IsType(t, pressure.Continue{}, b.Decide(a, startTime))
+	_, ok := b.Reserve(a, limit/4, startTime)
 	require.True(t, ok)
-	require.IsType(t, pressure.Pause{}, b.Decide(a, start))
-	require.IsType(t, pressure.Pause{}, b.Decide(a, late))
+	require.IsType(t, pressure.Pause{}, b.Decide(a, startTime))
+	require.IsType(t, pressure.Pause{}, b.Decide(a, lateTime))
 }
 
-func TestWhoGivesWay(t *testing.T) {
-	part := int64(limit / 4)
+func TestEvictionOrder(t *testing.T) {
+	quarter := int64(limit / 4)
 	tests := map[string]func(b *pressure.Budget) (first *pressure.Account){
 		"the least urgent": func(b *pressure.Budget) *pressure.Account {
-			holding(t, b, "a", 0, true, 2*part)
-			return holding(t, b, "b", 3, false, part)
+			newHoldingAccount(t, b, "a", 0, true, 2*quarter)
+			return newHoldingAccount(t, b, "b", 3, false, quarter)
 		},
-		"who loses only time": func(b *pressure.Budget) *pressure.Account {
-			holding(t, b, "a", 1, false, 2*part)
-			return holding(t, b, "b", 1, true, part)
+		"the resumable stream": func(b *pressure.Budget) *pressure.Account {
+			newHoldingAccount(t, b, "a", 1, false, 2*quarter)
+			return newHoldingAccount(t, b, "b", 1, true, quarter)
 		},
 		"the team that holds most": func(b *pressure.Budget) *pressure.Account {
-			first := holding(t, b, "b", 1, true, part*4/5)
-			holding(t, b, "a", 1, true, part)
-			holding(t, b, "b", 1, true, part/2)
+			first := newHoldingAccount(t, b, "b", 1, true, quarter*4/5)
+			newHoldingAccount(t, b, "a", 1, true, quarter)
+			newHoldingAccount(t, b, "b", 1, true, quarter/2)
 			return first
 		},
-		"who holds most": func(b *pressure.Budget) *pressure.Account {
-			holding(t, b, "a", 1, true, part)
-			return holding(t, b, "b", 1, true, 2*part)
+		"the account that holds most": func(b *pressure.Budget) *pressure.Account {
+			newHoldingAccount(t, b, "a", 1, true, quarter)
+			return newHoldingAccount(t, b, "b", 1, true, 2*quarter)
 		},
-		"who read longest ago": func(b *pressure.Budget) *pressure.Account {
-			read := holding(t, b, "a", 1, true, part+1)
-			b.Release(read, 1, late.Add(-2*time.Second))
-			return holding(t, b, "b", 1, true, part)
+		"the account that read longest ago": func(b *pressure.Budget) *pressure.Account {
+			read := newHoldingAccount(t, b, "a", 1, true, quarter+1)
+			b.Release(read, 1, lateTime.Add(-2*time.Second))
+			return newHoldingAccount(t, b, "b", 1, true, quarter)
 		},
 	}
 	for name, fill := range tests {
@@ -94,46 +94,46 @@
 			var b pressure.Budget
 			b.SetLimit(limit)
 			first := fill(&b)
-			ended, ok := b.Reserve(&pressure.Account{}, limit-b.Held()+1, late)
+			evicted, ok := b.Reserve(&pressure.Account{}, limit-b.Held()+1, lateTime)
 			require.True(t, ok)
-			require.Equal(t, []*pressure.Account{first}, ended)
+			require.Equal(t, []*pressure.Account{first}, evicted)
 			require.True(t, first.Evicted())
-			require.IsType(t, pressure.Abort{}, b.Decide(first, late))
+			require.IsType(t, pressure.Abort{}, b.Decide(first, lateTime))
 		})
 	}
 }
 
-// TestWhoReadsWellIsNeverEnded: what finds no room waits instead.
-func TestWhoReadsWellIsNeverEnded(t *testing.T) {
+// TestReadingCallerIsNeverEvicted: the new account gets no bytes and has to wait instead.
+func TestReadingCallerIsNeverEvicted(t *testing.T) {
 	var b pressure.Budget
 	b.SetLimit(limit)
-	a := holding(t, &b, "a", 9, true, limit)
-	b.Release(a, 1, late)
-	ended, ok := b.Reserve(&pressure.Account{}, limit/2, late.Add(time.Millisecond))
+	a := newHoldingAccount(t, &b, "a", 9, true, limit)
+	b.Release(a, 1, lateTime)
+	evicted, ok := b.Reserve(&pressure.Account{}, limit/2, lateTime.Add(time.Millisecond))
 	require.False(t, ok)
-	require.Empty(t, ended)
+	require.Empty(t, evicted)
 	require.EqualValues(t, limit-1, b.Held())
 }
 
-// TestOneTeamLeavesTheOthersTheirs: 300 callers of one team that read nothing hold half of
-// the budget, and a stream of another team may hold as if they were a handful.
-func TestOneTeamLeavesTheOthersTheirs(t *testing.T) {
+// TestOneTeamLeavesBudgetToOthers: 300 callers of one team that read nothing hold half of the
+// budget. A stream of another team may still hold as much as if there were only a few of them.
+func TestOneTeamLeavesBudgetToOthers(t *testing.T) {
 	var b pressure.Budget
 	b.SetLimit(64 << 20)
 	const event = 1 << 10
-	var crowd []*pressure.Account
+	var accounts []*pressure.Account
 	for range 300 {
 		a := &pressure.Account{}
 		b.Assign(a, "crowd", 0, true)
-		crowd = append(crowd, a)
+		accounts = append(accounts, a)
 	}
-	for going := true; going; {
-		going = false
-		for _, a := range crowd {
-			if _, goOn := b.Decide(a, start).(pressure.Continue); goOn {
-				_, ok := b.Reserve(a, event, start)
+	for progress := true; progress; {
+		progress = false
+		for _, a := range accounts {
+			if _, reads := b.Decide(a, startTime).(pressure.Continue); reads {
+				_, ok := b.Reserve(a, event, startTime)
 				require.True(t, ok)
-				going = true
+				progress = true
 			}
 		}
 	}
@@ -141,15 +141,15 @@
 	other := &pressure.Account{}
 	b.Assign(other, "other", 0, true)
 	for range 64 {
-		require.IsType(t, pressure.Continue{}, b.Decide(other, start))
-		ended, ok := b.Reserve(other, event, start)
+		require.IsType(t, pressure.Continue{}, b.Decide(other, startTime))
+		evicted, ok := b.Reserve(other, event, startTime)
 		require.True(t, ok)
-		require.Empty(t, ended)
+		require.Empty(t, evicted)
 	}
 	require.False(t, b.NearLimit())
 }
 
-func TestBodiesLeaveRoomForAnswers(t *testing.T) {
+func TestBodiesLeaveBudgetToResponses(t *testing.T) {
 	var b pressure.Budget
 	b.SetLimit(limit)
 	require.True(t, b.ReserveBody(limit/2))
@@ -158,31 +158,31 @@
 	require.True(t, b.ReserveBody(1))
 }
 
-func TestNearTheEndUntilClearlyLessIsHeld(t *testing.T) {
+func TestNearLimitHysteresis(t *testing.T) {
 	var b pressure.Budget
 	b.SetLimit(limit)
-	a := holding(t, &b, "a", 0, true, limit*9/10)
+	a := newHoldingAccount(t, &b, "a", 0, true, limit*9/10)
 	require.True(t, b.NearLimit())
-	b.Release(a, limit/5, start)
+	b.Release(a, limit/5, startTime)
 	require.True(t, b.NearLimit())
-	b.Release(a, limit/5, start)
+	b.Release(a, limit/5, startTime)
 	require.False(t, b.NearLimit())
-	_, ok := b.Reserve(a, limit/5, start)
+	_, ok := b.Reserve(a, limit/5, startTime)
 	require.True(t, ok)
 	require.False(t, b.NearLimit())
 }
 
-// TestHeldBytesStayWithinTheBudget draws callers of several teams that read well, slowly or
-// not at all. No more is ever held than the budget, each account's bytes are counted once,
-// and nobody who has read within a second is ended.
-func TestHeldBytesStayWithinTheBudget(t *testing.T) {
+// TestHeldBytesStayWithinBudget draws callers of several teams that read quickly, slowly or not at
+// all. No more than the budget is ever held, the bytes of each account are counted once, and no
+// caller that has read within a second is evicted.
+func TestHeldBytesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var b pressure.Budget
-		most := rapid.Int64Range(8<<10, 1<<20).Draw(t, "limit")
-		b.SetLimit(most)
-		now := start
+		budget := rapid.Int64Range(8<<10, 1<<20).Draw(t, "limit")
+		b.SetLimit(budget)
+		now := startTime
 		accounts := make([]*pressure.Account, rapid.IntRange(1, 20).Draw(t, "callers"))
-		read := make(map[*pressure.Account]time.Time)
+		lastRead := make(map[*pressure.Account]time.Time)
 		held := make(map[*pressure.Account]int64)
 		for i := range accounts {
 			accounts[i] = &pressure.Account{}
@@ -190,21 +190,21 @@
 		}
 		bodies := int64(0)
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			a := accounts[rapid.IntRange(0, len(accounts)-1).Draw(t, "who")]
+			a := accounts[rapid.IntRange(0, len(accounts)-1).Draw(t, "account")]
 			n := rapid.Int64Range(1, 64<<10).Draw(t, "bytes")
 			now = now.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond)
-			switch rapid.IntRange(0, 4).Draw(t, "what") {
+			switch rapid.IntRange(0, 4).Draw(t, "operation") {
 			case 0, 1:
 				before := held[a]
-				ended, ok := b.Reserve(a, n, now)
-				for _, e := range ended {
-					require.GreaterOrEqual(t, now.Sub(read[e]), time.Second, "who reads is not ended")
+				evicted, ok := b.Reserve(a, n, now)
+				for _, e := range evicted {
+					require.GreaterOrEqual(t, now.Sub(lastRead[e]), time.Second, "a caller that reads is not evicted")
 					require.True(t, e.Evicted())
 					held[e] = 0
 				}
 				if ok {
 					if before == 0 {
-						read[a] = now
+						lastRead[a] = now
 					}
 					held[a] += n
 				}
@@ -213,7 +213,7 @@
 				b.Release(a, n, now)
 				if n > 0 {
 					held[a] -= n
-					read[a] = now
+					lastRead[a] = now
 				}
 			case 3:
 				if b.ReserveBody(n) {
@@ -231,61 +231,61 @@
 			}
 			require.Equal(t, sum, b.Held())
 			require.Equal(t, bodies, b.BodyBytes())
-			require.LessOrEqual(t, b.Held()+b.BodyBytes(), most)
+			require.LessOrEqual(t, b.Held()+b.BodyBytes(), budget)
 		}
 	})
 }
 
-// BenchmarkHold ends the worst of 2,000 slow callers to make room, which is the dearest case.
-func BenchmarkHold(b *testing.B) {
-	var p pressure.Budget
-	p.SetLimit(2000 * 4096)
+// BenchmarkReserve evicts the first of 2,000 slow callers, which is the most expensive case.
+func BenchmarkReserve(b *testing.B) {
+	var budget pressure.Budget
+	budget.SetLimit(2000 * 4096)
 	for i := range 2000 {
 		a := &pressure.Account{}
-		p.Assign(a, fmt.Sprint("team-", i%24), i%10, true)
-		p.Reserve(a, 4096, start)
+		budget.Assign(a, fmt.Sprint("team-", i%24), i%10, true)
+		budget.Reserve(a, 4096, startTime)
 	}
 	for b.Loop() {
 		a := &pressure.Account{}
-		p.Assign(a, "team", 0, true)
-		p.Reserve(a, 4096, late)
+		budget.Assign(a, "team", 0, true)
+		budget.Reserve(a, 4096, lateTime)
 	}
 }
 
-// TestWhoIsMoreUrgentDoesNotGiveWay to a crowd that just came, also when nobody else has been
-// quiet for long.
-func TestWhoIsMoreUrgentDoesNotGiveWay(t *testing.T) {
+// TestMoreUrgentAccountIsNotEvicted by a burst of new callers, even if no other account has stalled
+// for long.
+func TestMoreUrgentAccountIsNotEvicted(t *testing.T) {
 	var b pressure.Budget
 	b.SetLimit(limit)
-	urgent := holding(t, &b, "a", 1, true, limit/2)
-	var crowd, equal pressure.Account
-	b.Assign(&crowd, "b", 2, true)
-	ended, ok := b.Reserve(&crowd, limit/2, late)
+	urgent := newHoldingAccount(t, &b, "a", 1, true, limit/2)
+	var burst, equal pressure.Account
+	b.Assign(&burst, "b", 2, true)
+	evicted, ok := b.Reserve(&burst, limit/2, lateTime)
 	require.True(t, ok)
-	require.Empty(t, ended)
-	ended, ok = b.Reserve(&crowd, 1, late)
+	require.Empty(t, evicted)
+	evicted, ok = b.Reserve(&burst, 1, lateTime)
 	require.False(t, ok)
-	require.Empty(t, ended)
+	require.Empty(t, evicted)
 	b.Assign(&equal, "c", 1, true)
-	ended, ok = b.Reserve(&equal, 1, late)
+	evicted, ok = b.Reserve(&equal, 1, lateTime)
 	require.True(t, ok)
-	require.Equal(t, []*pressure.Account{urgent}, ended)
+	require.Equal(t, []*pressure.Account{urgent}, evicted)
 }
 
-// TestWhoReadsSteadilyKeepsItsSend: its engine is read on before it cuts, as soon as less is
-// held than the stream may.
-func TestWhoReadsSteadilyKeepsItsSend(t *testing.T) {
+// TestSteadyReaderKeepsItsAttempt: its engine is read again before it cuts the stream off, as soon
+// as less is held than the allowance.
+func TestSteadyReaderKeepsItsAttempt(t *testing.T) {
 	const share = 80 << 10
 	var b pressure.Budget
 	b.SetLimit(limit)
-	a := holding(t, &b, "team", 0, true, share+1)
-	d := b.Decide(a, start)
+	a := newHoldingAccount(t, &b, "team", 0, true, share+1)
+	d := b.Decide(a, startTime)
 	require.IsType(t, pressure.Pause{}, d)
-	till := d.(pressure.Pause).Until()
-	b.Release(a, 1, till)
-	require.Equal(t, d, b.Decide(a, till.Add(-time.Millisecond)), "not for one event, as long as the engine bears it")
-	require.IsType(t, pressure.Continue{}, b.Decide(a, till))
-	_, ok := b.Reserve(a, 1, till)
+	until := d.(pressure.Pause).Until()
+	b.Release(a, 1, until)
+	require.Equal(t, d, b.Decide(a, until.Add(-time.Millisecond)), "not for one event before the timeout")
+	require.IsType(t, pressure.Continue{}, b.Decide(a, until))
+	_, ok := b.Reserve(a, 1, until)
 	require.True(t, ok)
-	require.Equal(t, till.Add(till.Sub(start)), b.Decide(a, till).(pressure.Pause).Until(), "it bears as long again")
+	require.Equal(t, until.Add(until.Sub(startTime)), b.Decide(a, until).(pressure.Pause).Until(), "the timeout starts again")
 }
