--- a/coordination/loss/loss.go
+++ b/coordination/loss/loss.go
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package loss judges news of endpoints that are lost.
+// Package loss combines the reports of entries about lost endpoints.
 //
-// The platform's list tells that an endpoint is gone three heartbeats after its death,
-// some four seconds in which each entry would run into it for itself. So what one entry
-// meets it tells the others, and a Book says what the word of one is worth:
+// The platform's list drops an endpoint three heartbeats after its death. In these four seconds or
+// so each entry would run into the dead endpoint itself. So entries report to each other what they
+// observe, and a Tracker decides what the reports change:
 //
-//	switch v := book.Take(report, known, now).(type) {
-//	case loss.Lost:    // no work for it until v.Till(); tell the others
-//	case loss.Doubted: // no work for a moment; tell the others
-//	case loss.Back:    // it works after all; tell the others
-//	case loss.Located: // who answers at its address; tell the others
-//	case loss.Nothing: // known already, or not to be believed
+//	switch c := tracker.Apply(report, known, now).(type) {
+//	case loss.Lost:             // send it no work until c.Until(); pass the report on
+//	case loss.Suspected:        // send it no work for a moment; pass the report on
+//	case loss.Recovered:        // it works after all; pass the report on
+//	case loss.OccupantObserved: // which process answers at its address; pass the report on
+//	case loss.NoChange:         // already known, or not credible
 //	}
 package loss
 
@@ -22,202 +22,204 @@
 )
 
 const (
-	// ReportTTL is how long a report counts: a dead endpoint leaves the platform's list
-	// after three heartbeats of 1.2 s, and the news of that takes a moment.
+	// ReportTTL is how long a report counts. A dead endpoint leaves the platform's list after three
+	// heartbeats of 1.2 s, and that change takes a moment to arrive.
 	ReportTTL = 4 * time.Second
-	// witnesses is how many entries must have found an endpoint silent for it to be
-	// lost. One alone may be cut off from it.
-	witnesses = 2
-	// partMost is the part of all endpoints that may be lost by reports at the same time.
-	// Losses of a fifth of them at once are known; an entry, or a few of them, that reach
-	// no endpoint any more must not empty everybody's lists.
-	partMost = 0.34
-	// fewest is how many may be, in a fleet of few endpoints.
-	fewest = 2
+	// minObservers is how many entries must have found an endpoint silent before it counts as lost.
+	// A single entry may be cut off from it.
+	minObservers = 2
+	// maxLostShare is the largest share of all endpoints that may be lost by reports at the same
+	// time. Losses of a fifth of the endpoints at once do occur. A few entries that cannot reach
+	// any endpoint must not empty the lists of all others.
+	maxLostShare = 0.34
+	// minLostLimit is the limit for fleets of few endpoints.
+	minLostLimit = 2
 )
 
-// Report says that an entry, the witness, met a sign of an endpoint at a time.
+// Report is what an entry, the observer, observed at an endpoint.
 type Report struct {
-	endpoint string
-	witness  string
-	sign     protocol.LossObservation
-	at       time.Time
-	life     protocol.Incarnation
-	occupant string
+	endpoint    string
+	observer    string
+	observation protocol.LossObservation
+	at          time.Time
+	incarnation protocol.Incarnation
+	occupant    string
 }
 
-// NewReport returns the report of a witness.
-func NewReport(endpoint, witness string, sign protocol.LossObservation, at time.Time) Report {
-	return Report{endpoint: endpoint, witness: witness, sign: sign, at: at}
+// NewReport returns the report of an observer.
+func NewReport(endpoint, observer string, observation protocol.LossObservation, at time.Time) Report {
+	return Report{endpoint: endpoint, observer: observer, observation: observation, at: at}
 }
 
 // Endpoint returns the ID of the endpoint.
 func (r Report) Endpoint() string { return r.endpoint }
 
-// Observer returns the name of the entry that met the sign.
-func (r Report) Observer() string { return r.witness }
+// Observer returns the name of the entry that made the observation.
+func (r Report) Observer() string { return r.observer }
 
-// Observation returns what it met.
-func (r Report) Observation() protocol.LossObservation { return r.sign }
+// Observation returns what the observer observed.
+func (r Report) Observation() protocol.LossObservation { return r.observation }
 
-// At returns when, by the clock of the entry that holds the report.
+// At returns the time of the observation, by the clock of the entry that holds the report.
 func (r Report) At() time.Time { return r.at }
 
-// WithIncarnation returns the report with the life of the endpoint in which the sign was met.
-func (r Report) WithIncarnation(life protocol.Incarnation) Report {
-	r.life = life
+// WithIncarnation returns the report with the incarnation of the endpoint that was observed.
+func (r Report) WithIncarnation(incarnation protocol.Incarnation) Report {
+	r.incarnation = incarnation
 	return r
 }
 
-// WithOccupant returns the report with the ID of what answers at the endpoint's address.
+// WithOccupant returns the report with the ID of the process that answers at the endpoint's
+// address.
 func (r Report) WithOccupant(occupant string) Report {
 	r.occupant = occupant
 	return r
 }
 
-// Incarnation returns the life of the endpoint that the sign belongs to, if it is known.
-func (r Report) Incarnation() protocol.Incarnation { return r.life }
+// Incarnation returns the incarnation of the endpoint that was observed, 0 if it is not known.
+func (r Report) Incarnation() protocol.Incarnation { return r.incarnation }
 
-// Occupant returns the ID of what answers at the endpoint's address, "" if it is not known.
+// Occupant returns the ID of the process that answers at the endpoint's address, "" if it is not
+// known.
 func (r Report) Occupant() string { return r.occupant }
 
-// Change is what a report changes: Lost, Doubted, Back, Located or Nothing.
-type Change interface{ verdict() }
+// Change is what a report changes: Lost, Suspected, Recovered, OccupantObserved or NoChange.
+type Change interface{ change() }
 
-// Lost says that the endpoint is lost.
+// Lost means that the endpoint is lost.
 type Lost struct {
-	at, till time.Time
+	at, until time.Time
 }
 
-// At returns when the sign was met: what comes from the endpoint later disproves it.
+// At returns the time of the observation. Later messages from the endpoint disprove the loss.
 func (l Lost) At() time.Time { return l.at }
 
 // Until returns until when the reports count.
-func (l Lost) Until() time.Time { return l.till }
+func (l Lost) Until() time.Time { return l.until }
 
-// Suspected says that one entry found the endpoint silent.
+// Suspected means that one entry found the endpoint silent.
 type Suspected struct{}
 
-// Recovered says that an endpoint that was doubted or lost works.
+// Recovered means that a suspected or lost endpoint works.
 type Recovered struct{}
 
-// NoChange says that the report changes nothing.
+// NoChange means that the report changes nothing.
 type NoChange struct{}
 
-func (Lost) verdict()      {}
-func (Suspected) verdict() {}
-func (Recovered) verdict() {}
-func (NoChange) verdict()  {}
+func (Lost) change()      {}
+func (Suspected) change() {}
+func (Recovered) change() {}
+func (NoChange) change()  {}
 
-// Tracker keeps the reports that count. The zero value is empty.
+// Tracker tracks the reports that count. The zero value is empty.
 type Tracker struct {
-	pages map[string]*page // by endpoint ID
+	endpoints map[string]*endpointState // by endpoint ID
 }
 
-// page is what is reported of one endpoint.
-type page struct {
-	lost     bool
-	silent   map[string]bool // the witnesses who found it silent
-	latest   time.Time       // of the signs
-	answered time.Time       // when it last answered: what was met before is disproved
-	expires  time.Time
-	life     protocol.Incarnation // that the page is of, if it is known
-	located  located
+// endpointState is what is reported about one endpoint.
+type endpointState struct {
+	lost        bool
+	silentTo    map[string]bool // observers that found it silent
+	lastFailure time.Time       // time of the latest failure
+	lastAnswer  time.Time       // when it last answered; disproves earlier failures
+	expires     time.Time
+	incarnation protocol.Incarnation // incarnation of the reports, 0 if it is not known
+	occupant    occupantReport
 }
 
-// believed reports whether the endpoint is doubted or lost.
-func (p *page) believed() bool { return p.lost || len(p.silent) > 0 }
+// suspected reports whether the endpoint is suspected or lost.
+func (s *endpointState) suspected() bool { return s.lost || len(s.silentTo) > 0 }
 
-// Apply takes a report while so many endpoints are known, and returns what it changes.
-func (b *Tracker) Apply(r Report, known int, now time.Time) Change {
-	b.expire(now)
+// Apply applies a report and returns what it changes. Known is the number of known endpoints.
+func (t *Tracker) Apply(r Report, known int, now time.Time) Change {
+	t.expire(now)
 	if now.Sub(r.at) > ReportTTL || r.at.After(now) {
 		return NoChange{}
 	}
-	p := b.pageOf(&r)
-	if p != nil && r.life.Before(p.life) {
-		return NoChange{} // of an earlier life
+	s := t.stateFor(&r)
+	if s != nil && r.incarnation.Before(s.incarnation) {
+		return NoChange{} // of an earlier incarnation
 	}
-	if r.locates() {
-		return b.locate(r, p, now)
+	if r.reportsOccupant() {
+		return t.applyOccupant(r, s, now)
 	}
-	if r.sign == protocol.LossAnswered {
-		return p.back(r, now)
+	if r.observation == protocol.LossAnswered {
+		return s.applyAnswer(r, now)
 	}
-	if (p == nil || !p.believed()) && b.full(known) {
+	if (s == nil || !s.suspected()) && t.limitReached(known) {
 		return NoChange{}
 	}
-	if p == nil {
-		p = b.open(&r)
+	if s == nil {
+		s = t.addState(&r)
 	}
-	return p.take(r, now)
+	return s.applyFailure(r, now)
 }
 
-// pageOf returns what is reported of the life that a report is of, or nil: what was reported
-// of an earlier one is forgotten.
-func (b *Tracker) pageOf(r *Report) *page {
-	p := b.pages[r.endpoint]
-	if p != nil && p.life.Before(r.life) {
-		delete(b.pages, r.endpoint)
+// stateFor returns the state of the incarnation that a report is about, or nil. It drops the state
+// of an earlier incarnation.
+func (t *Tracker) stateFor(r *Report) *endpointState {
+	s := t.endpoints[r.endpoint]
+	if s != nil && s.incarnation.Before(r.incarnation) {
+		delete(t.endpoints, r.endpoint)
 		return nil
 	}
-	return p
+	return s
 }
 
-// full reports whether as many of so many endpoints are believed lost as may be.
-func (b *Tracker) full(known int) bool {
-	n := 0
-	for _, p := range b.pages {
-		if p.believed() {
-			n++
+// limitReached reports whether as many of the known endpoints are suspected or lost as may be.
+func (t *Tracker) limitReached(known int) bool {
+	suspected := 0
+	for _, s := range t.endpoints {
+		if s.suspected() {
+			suspected++
 		}
 	}
-	return float64(n) >= max(fewest, partMost*float64(known))
+	return float64(suspected) >= max(minLostLimit, maxLostShare*float64(known))
 }
 
-// back takes it that an endpoint answered. Nothing is known of most.
-func (p *page) back(r Report, now time.Time) Change {
-	if p == nil || !p.believed() || !r.at.After(p.latest) {
+// applyAnswer applies a report that an endpoint answered. For most endpoints there is no state.
+func (s *endpointState) applyAnswer(r Report, now time.Time) Change {
+	if s == nil || !s.suspected() || !r.at.After(s.lastFailure) {
 		return NoChange{}
 	}
-	p.lost = false
-	clear(p.silent)
-	p.answered = r.at
-	p.expires = now.Add(ReportTTL)
+	s.lost = false
+	clear(s.silentTo)
+	s.lastAnswer = r.at
+	s.expires = now.Add(ReportTTL)
 	return Recovered{}
 }
 
-func (b *Tracker) open(r *Report) *page {
-	if b.pages == nil {
-		b.pages = make(map[string]*page)
+func (t *Tracker) addState(r *Report) *endpointState {
+	if t.endpoints == nil {
+		t.endpoints = make(map[string]*endpointState)
 	}
-	p := &page{silent: make(map[string]bool), life: r.life}
-	b.pages[r.endpoint] = p
-	return p
+	s := &endpointState{silentTo: make(map[string]bool), incarnation: r.incarnation}
+	t.endpoints[r.endpoint] = s
+	return s
 }
 
-func (b *Tracker) expire(now time.Time) {
-	for id, p := range b.pages {
-		if now.After(p.expires) {
-			delete(b.pages, id)
+func (t *Tracker) expire(now time.Time) {
+	for id, s := range t.endpoints {
+		if now.After(s.expires) {
+			delete(t.endpoints, id)
 		}
 	}
 }
 
-func (p *page) take(r Report, now time.Time) Change {
-	if p.lost || r.sign == protocol.LossSilent && p.silent[r.witness] || !r.at.After(p.answered) {
+func (s *endpointState) applyFailure(r Report, now time.Time) Change {
+	if s.lost || r.observation == protocol.LossSilent && s.silentTo[r.observer] || !r.at.After(s.lastAnswer) {
 		return NoChange{}
 	}
-	if r.at.After(p.latest) {
-		p.latest = r.at
+	if r.at.After(s.lastFailure) {
+		s.lastFailure = r.at
 	}
-	p.expires = now.Add(ReportTTL)
-	if r.sign == protocol.LossSilent {
-		p.silent[r.witness] = true
+	s.expires = now.Add(ReportTTL)
+	if r.observation == protocol.LossSilent {
+		s.silentTo[r.observer] = true
 	}
-	if r.sign == protocol.LossRefused || len(p.silent) >= witnesses {
-		p.lost = true
-		return Lost{at: p.latest, till: p.expires}
+	if r.observation == protocol.LossRefused || len(s.silentTo) >= minObservers {
+		s.lost = true
+		return Lost{at: s.lastFailure, until: s.expires}
 	}
 	return Suspected{}
 }
