--- a/coordination/slow/slow.go
+++ b/coordination/slow/slow.go
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package slow judges at what pace endpoints work.
+// Package slow combines the reports of entries about slow endpoints.
 //
-// Slowness is a state of one life of an endpoint, not a weak form of dead: it answers, and
-// work sent there is done, only later. So it costs more, and is never left out. A Book
-// weighs what an endpoint tells of itself and what callers' answers show, from this entry
-// and from others:
+// Slowness is a state of one incarnation of an endpoint, not a mild form of loss: the endpoint
+// answers, and does the work sent to it, only later. So its work is given a higher cost, and the
+// endpoint is never excluded. A Tracker combines what endpoints report about themselves with the
+// response times that this entry and others measure:
 //
-//	switch v := book.Take(report, now).(type) {
-//	case slow.Slow:    // its work costs v.Pace() times as much until v.Till(); tell the others
-//	case slow.Doubted: // one answer took long; tell the others
-//	case slow.Fast:    // it works as usual after all; tell the others
-//	case slow.Nothing: // known already, or not to be believed
+//	switch c := tracker.Apply(report, now).(type) {
+//	case slow.Slow:      // its work costs c.Slowdown() times as much until c.Until(); pass the report on
+//	case slow.Suspected: // one response was late; pass the report on
+//	case slow.Recovered: // it works at normal speed after all; pass the report on
+//	case slow.NoChange:  // already known, or not credible
 //	}
 package slow
 
@@ -23,57 +23,57 @@
 )
 
 const (
-	// ReportTTL is how long a sign counts. Who told it asks again several times within that;
-	// when it can't any more, the endpoint gets work again, which shows how it is.
+	// ReportTTL is how long a report counts. Its observer probes the endpoint again several times
+	// within that. If it cannot, the endpoint gets work again, which shows how slow it is.
 	ReportTTL = 3 * time.Second
-	// renewAfter is how old what is known must be for a sign that only confirms it to be
-	// passed on: two such signs may be lost before it counts no longer.
-	renewAfter = time.Second
-	// steadyFor is how long an endpoint is slow at least. It bounds how often all entries
-	// turn away from an endpoint and back, all at once.
-	steadyFor = time.Second
-	// slowFrom and fastBelow are the paces, told by the endpoint itself, from which it
-	// becomes slow and below which it becomes fast. What lies between changes nothing, so
-	// that a pace near one bound doesn't switch it to and fro.
-	slowFrom  = 1.5
-	fastBelow = 1.2
-	// seenSlow and seenFast are the same for paces seen in answers, which vary more: a call
-	// waits behind others, and endpoints of one service differ.
-	seenSlow = 3.0
-	seenFast = 1.5
-	// seenLeast is how many answers must have taken long: a single one may be lost.
-	seenLeast = 2
-	// paceStep is the factor by which a pace must change for that to be news.
-	paceStep = 1.5
-	// pagesMost bounds the endpoints of which anything is kept, a few times as many as a
-	// large fleet has.
-	pagesMost = 4096
+	// renewInterval is the age of a report from which one that only confirms it is passed on. Two
+	// such reports may be lost before the first one expires.
+	renewInterval = time.Second
+	// minSlowTime is the least time for which an endpoint is slow. It limits how often all entries
+	// turn away from an endpoint and back at the same time.
+	minSlowTime = time.Second
+	// reportedSlowThreshold and reportedNormalThreshold are the slowdowns reported by the endpoint
+	// itself from which it becomes slow and below which it becomes normal. A slowdown between them
+	// changes nothing, so that one near a threshold does not switch the state back and forth.
+	reportedSlowThreshold   = 1.5
+	reportedNormalThreshold = 1.2
+	// measuredSlowThreshold and measuredNormalThreshold are the same for slowdowns measured from
+	// response times. These vary more: a call waits behind others, and the endpoints of a service
+	// differ.
+	measuredSlowThreshold   = 3.0
+	measuredNormalThreshold = 1.5
+	// minLateResponses is how many responses must have been late. A single one may be lost.
+	minLateResponses = 2
+	// slowdownChangeFactor is the factor by which a slowdown must change to be passed on.
+	slowdownChangeFactor = 1.5
+	// maxEndpoints limits the endpoints with a state. It is a few times the size of a large fleet.
+	maxEndpoints = 4096
 )
 
-// Report says that an entry, the witness, met a sign of an endpoint's pace at a time.
+// Report is what an entry, the observer, observed about the slowdown of an endpoint.
 type Report struct {
-	endpoint string
-	lifetime protocol.Incarnation
-	witness  string
-	number   uint64
-	sign     protocol.SlownessObservation
-	pace     float64
-	at       time.Time
+	endpoint    string
+	incarnation protocol.Incarnation
+	observer    string
+	number      uint64
+	observation protocol.SlownessObservation
+	slowdown    float64
+	at          time.Time
 }
 
-// NewReport returns what a witness tells, by the clock of the entry that holds it. AgoMS
-// of the news is not used.
-func NewReport(s protocol.RelaySlow, at time.Time) Report {
+// NewReport returns the report of an observer. The time is by the clock of the entry that holds the
+// report; AgoMS of the message is not used.
+func NewReport(message protocol.RelaySlow, at time.Time) Report {
 	return Report{
-		endpoint: s.Endpoint, lifetime: s.Incarnation, witness: s.Observer, number: s.Number, sign: s.Observation,
-		pace: min(s.Pace, protocol.MaxPace), at: at,
+		endpoint: message.Endpoint, incarnation: message.Incarnation, observer: message.Observer, number: message.Number, observation: message.Observation,
+		slowdown: min(message.Pace, protocol.MaxPace), at: at,
 	}
 }
 
-// Message returns the report as it is told to others at a time.
+// Message returns the report as the message that is sent to other entries at a time.
 func (r Report) Message(now time.Time) protocol.RelaySlow {
 	return protocol.RelaySlow{
-		Endpoint: r.endpoint, Incarnation: r.lifetime, Observer: r.witness, Number: r.number, Observation: r.sign, Pace: r.pace,
+		Endpoint: r.endpoint, Incarnation: r.incarnation, Observer: r.observer, Number: r.number, Observation: r.observation, Pace: r.slowdown,
 		AgoMS: max(0, float64(now.Sub(r.at))/float64(time.Millisecond)),
 	}
 }
@@ -81,210 +81,210 @@
 // Endpoint returns the ID of the endpoint.
 func (r Report) Endpoint() string { return r.endpoint }
 
-// Observer returns the name of the entry that met the sign.
-func (r Report) Observer() string { return r.witness }
+// Observer returns the name of the entry that made the observation.
+func (r Report) Observer() string { return r.observer }
 
-// Observation returns what it met.
-func (r Report) Observation() protocol.SlownessObservation { return r.sign }
+// Observation returns how the slowdown was observed.
+func (r Report) Observation() protocol.SlownessObservation { return r.observation }
 
-// At returns when, by the clock of the entry that holds the report.
+// At returns the time of the observation, by the clock of the entry that holds the report.
 func (r Report) At() time.Time { return r.at }
 
-// slow reports whether the sign makes an endpoint slow.
-func (r *Report) slow() bool {
-	if r.sign == protocol.SlowSeen {
-		return r.pace >= seenSlow
+// isSlow reports whether the report makes an endpoint slow.
+func (r *Report) isSlow() bool {
+	if r.observation == protocol.SlowSeen {
+		return r.slowdown >= measuredSlowThreshold
 	}
-	return r.pace >= slowFrom
+	return r.slowdown >= reportedSlowThreshold
 }
 
-// fast reports whether the sign makes an endpoint fast.
-func (r *Report) fast() bool {
-	if r.sign == protocol.SlowSeen {
-		return r.pace <= seenFast
+// isNormal reports whether the report makes an endpoint normal.
+func (r *Report) isNormal() bool {
+	if r.observation == protocol.SlowSeen {
+		return r.slowdown <= measuredNormalThreshold
 	}
-	return r.pace < fastBelow
+	return r.slowdown < reportedNormalThreshold
 }
 
-// Change is what a report changes: Slow, Doubted, Fast or Nothing.
-type Change interface{ verdict() }
+// Change is what a report changes: Slow, Suspected, Recovered or NoChange.
+type Change interface{ change() }
 
-// Slow says that the endpoint is slow.
+// Slow means that the endpoint is slow.
 type Slow struct {
-	pace        float64
-	since, till time.Time
+	slowdown     float64
+	since, until time.Time
 }
 
 // Slowdown returns how many times longer than usual its work takes.
-func (s Slow) Slowdown() float64 { return s.pace }
+func (s Slow) Slowdown() float64 { return s.slowdown }
 
-// Since returns when it became slow.
+// Since returns when the endpoint became slow.
 func (s Slow) Since() time.Time { return s.since }
 
-// Until returns until when that counts.
-func (s Slow) Until() time.Time { return s.till }
+// Until returns until when the report counts.
+func (s Slow) Until() time.Time { return s.until }
 
-// Suspected says that one answer of the endpoint took long.
+// Suspected means that one response of the endpoint was late.
 type Suspected struct{}
 
-// Recovered says that an endpoint that was slow, or doubted, works as usual.
+// Recovered means that a slow or suspected endpoint works at normal speed.
 type Recovered struct{}
 
-// NoChange says that the report changes nothing.
+// NoChange means that the report changes nothing.
 type NoChange struct{}
 
-func (Slow) verdict()      {}
-func (Suspected) verdict() {}
-func (Recovered) verdict() {}
-func (NoChange) verdict()  {}
+func (Slow) change()      {}
+func (Suspected) change() {}
+func (Recovered) change() {}
+func (NoChange) change()  {}
 
-// Tracker keeps the signs that count. The zero value is empty.
+// Tracker tracks the reports that count. The zero value is empty.
 type Tracker struct {
-	pages map[string]*page // by endpoint ID
+	endpoints map[string]*endpointState // by endpoint ID
 }
 
-// page is what is known of one endpoint.
-type page struct {
-	lifetime protocol.Incarnation
-	pace     float64   // 0 unless it is slow
-	since    time.Time // when it became slow
-	latest   time.Time // of the signs taken
-	expires  time.Time
-	seen     int               // answers that took long, while it is not slow
-	heard    map[string]uint64 // number of the last report of each witness
+// endpointState is what is known about one endpoint.
+type endpointState struct {
+	incarnation   protocol.Incarnation
+	slowdown      float64   // 0 unless it is slow
+	since         time.Time // when it became slow
+	lastReport    time.Time // time of the latest applied observation
+	expires       time.Time
+	lateResponses int               // late responses while it is not slow
+	lastNumber    map[string]uint64 // number of the last report of each observer
 }
 
-// Apply takes a report and returns what it changes.
-func (b *Tracker) Apply(r Report, now time.Time) Change {
-	b.expire(now)
-	if now.Sub(r.at) >= ReportTTL || r.at.After(now) || math.IsNaN(r.pace) || r.pace <= 0 {
+// Apply applies a report and returns what it changes.
+func (t *Tracker) Apply(r Report, now time.Time) Change {
+	t.expire(now)
+	if now.Sub(r.at) >= ReportTTL || r.at.After(now) || math.IsNaN(r.slowdown) || r.slowdown <= 0 {
 		return NoChange{}
 	}
-	p := b.pages[r.endpoint]
-	if p == nil {
-		if !r.slow() || len(b.pages) >= pagesMost {
+	s := t.endpoints[r.endpoint]
+	if s == nil {
+		if !r.isSlow() || len(t.endpoints) >= maxEndpoints {
 			return NoChange{}
 		}
-		p = b.open(r.endpoint)
+		s = t.addState(r.endpoint)
 	}
-	return p.take(&r, now)
+	return s.apply(&r, now)
 }
 
-// expire forgets the endpoints whose signs count no longer.
-func (b *Tracker) expire(now time.Time) {
-	for id, p := range b.pages {
-		if !now.Before(p.expires) {
-			delete(b.pages, id)
+// expire removes the endpoints whose reports no longer count.
+func (t *Tracker) expire(now time.Time) {
+	for id, s := range t.endpoints {
+		if !now.Before(s.expires) {
+			delete(t.endpoints, id)
 		}
 	}
 }
 
-// open begins the page of an endpoint.
-func (b *Tracker) open(endpoint string) *page {
-	if b.pages == nil {
-		b.pages = make(map[string]*page)
+// addState adds the state of an endpoint.
+func (t *Tracker) addState(endpoint string) *endpointState {
+	if t.endpoints == nil {
+		t.endpoints = make(map[string]*endpointState)
 	}
-	p := &page{heard: make(map[string]uint64)}
-	b.pages[endpoint] = p
-	return p
+	s := &endpointState{lastNumber: make(map[string]uint64)}
+	t.endpoints[endpoint] = s
+	return s
 }
 
-// take takes a report, unless it is of an earlier life or older than what is known.
-func (p *page) take(r *Report, now time.Time) Change {
-	if r.lifetime.Before(p.lifetime) || r.number <= p.heard[r.witness] {
+// apply applies a report, unless it is about an earlier incarnation or older than what is known.
+func (s *endpointState) apply(r *Report, now time.Time) Change {
+	if r.incarnation.Before(s.incarnation) || r.number <= s.lastNumber[r.observer] {
 		return NoChange{}
 	}
-	p.heard[r.witness] = r.number
-	if p.lifetime.Before(r.lifetime) && p.pace > 0 {
-		return p.anew(r, now)
+	s.lastNumber[r.observer] = r.number
+	if s.incarnation.Before(r.incarnation) && s.slowdown > 0 {
+		return s.applyNewIncarnation(r, now)
 	}
-	if r.at.Before(p.latest) {
+	if r.at.Before(s.lastReport) {
 		return NoChange{}
 	}
-	p.lifetime = max(p.lifetime, r.lifetime)
+	s.incarnation = max(s.incarnation, r.incarnation)
 	switch {
-	case p.pace > 0:
-		return p.takeSlow(r, now)
-	case !r.slow():
-		return p.clear(r)
-	case r.sign == protocol.SlowSeen:
-		return p.takeSeen(r)
+	case s.slowdown > 0:
+		return s.applyWhileSlow(r, now)
+	case !r.isSlow():
+		return s.clearSuspicion(r)
+	case r.observation == protocol.SlowSeen:
+		return s.countLateResponse(r)
 	default:
-		return p.begin(r)
+		return s.markSlow(r)
 	}
 }
 
-// anew takes a sign of a later life than the one that was slow.
-func (p *page) anew(r *Report, now time.Time) Change {
-	p.lifetime = r.lifetime
-	if r.slow() {
-		return p.begin(r)
+// applyNewIncarnation applies a report about a later incarnation than the one that was slow.
+func (s *endpointState) applyNewIncarnation(r *Report, now time.Time) Change {
+	s.incarnation = r.incarnation
+	if r.isSlow() {
+		return s.markSlow(r)
 	}
-	return p.end(r, now)
+	return s.markRecovered(r, now)
 }
 
-// takeSeen counts answers that took long.
-func (p *page) takeSeen(r *Report) Change {
-	p.seen++
-	if p.seen >= seenLeast {
-		return p.begin(r)
+// countLateResponse counts a late response.
+func (s *endpointState) countLateResponse(r *Report) Change {
+	s.lateResponses++
+	if s.lateResponses >= minLateResponses {
+		return s.markSlow(r)
 	}
-	p.latest = r.at
-	p.expires = r.at.Add(ReportTTL)
+	s.lastReport = r.at
+	s.expires = r.at.Add(ReportTTL)
 	return Suspected{}
 }
 
-// clear takes a sign that isn't slow while the endpoint isn't either. An answer in time ends
-// the doubt at all entries: an endpoint that loses some answers gives others in between.
-func (p *page) clear(r *Report) Change {
-	if p.seen == 0 || !r.fast() {
+// clearSuspicion applies a report of an endpoint that is not slow. A timely response ends the
+// suspicion at all entries: an endpoint that loses some responses sends others in between.
+func (s *endpointState) clearSuspicion(r *Report) Change {
+	if s.lateResponses == 0 || !r.isNormal() {
 		return NoChange{}
 	}
-	p.seen = 0
-	p.latest = r.at
+	s.lateResponses = 0
+	s.lastReport = r.at
 	return Recovered{}
 }
 
-// begin notes that the endpoint is slow from the sign on.
-func (p *page) begin(r *Report) Change {
-	p.since = r.at
-	p.pace, p.seen = 0, 0
-	return p.keep(r)
+// markSlow records that the endpoint is slow from the time of the report.
+func (s *endpointState) markSlow(r *Report) Change {
+	s.since = r.at
+	s.slowdown, s.lateResponses = 0, 0
+	return s.update(r)
 }
 
-// keep notes that the endpoint is as slow as the sign says. An answer that is awaited
-// shows only how slow it is at least.
-func (p *page) keep(r *Report) Change {
-	if r.sign == protocol.SlowTold || r.pace > p.pace {
-		p.pace = max(r.pace, slowFrom)
+// update records that the endpoint is as slow as the report says. A pending response only gives a
+// lower bound of the slowdown.
+func (s *endpointState) update(r *Report) Change {
+	if r.observation == protocol.SlowTold || r.slowdown > s.slowdown {
+		s.slowdown = max(r.slowdown, reportedSlowThreshold)
 	}
-	p.latest = r.at
-	p.expires = r.at.Add(ReportTTL)
-	return Slow{pace: p.pace, since: p.since, till: p.expires}
+	s.lastReport = r.at
+	s.expires = r.at.Add(ReportTTL)
+	return Slow{slowdown: s.slowdown, since: s.since, until: s.expires}
 }
 
-// takeSlow takes a sign of an endpoint that is slow.
-func (p *page) takeSlow(r *Report, now time.Time) Change {
+// applyWhileSlow applies a report about a slow endpoint.
+func (s *endpointState) applyWhileSlow(r *Report, now time.Time) Change {
 	switch {
-	case r.fast():
-		if now.Sub(p.since) < steadyFor {
+	case r.isNormal():
+		if now.Sub(s.since) < minSlowTime {
 			return NoChange{}
 		}
-		return p.end(r, now)
-	case r.sign == protocol.SlowSeen && !r.slow():
+		return s.markRecovered(r, now)
+	case r.observation == protocol.SlowSeen && !r.isSlow():
 		return NoChange{}
-	case r.at.Sub(p.latest) >= renewAfter, r.pace > p.pace*paceStep, r.sign == protocol.SlowTold && r.pace < p.pace/paceStep:
-		return p.keep(r)
+	case r.at.Sub(s.lastReport) >= renewInterval, r.slowdown > s.slowdown*slowdownChangeFactor, r.observation == protocol.SlowTold && r.slowdown < s.slowdown/slowdownChangeFactor:
+		return s.update(r)
 	default:
 		return NoChange{}
 	}
 }
 
-// end notes that the endpoint works as usual. The page stays for a while, so that older
-// signs that come late change nothing.
-func (p *page) end(r *Report, now time.Time) Change {
-	p.pace, p.seen = 0, 0
-	p.latest = r.at
-	p.expires = now.Add(ReportTTL)
+// markRecovered records that the endpoint works at normal speed. Its state stays for a while, so
+// that older reports that arrive late change nothing.
+func (s *endpointState) markRecovered(r *Report, now time.Time) Change {
+	s.slowdown, s.lateResponses = 0, 0
+	s.lastReport = r.at
+	s.expires = now.Add(ReportTTL)
 	return Recovered{}
 }
