--- a/coordination/stream/decision.go
+++ b/coordination/stream/decision.go
@@ -8,7 +8,7 @@
 	"pinerun.example/pinerun/state/fleet"
 )
 
-// Decision is what to do after a reply.
+// Decision is what to do after a reply: Dispatches, Emit, Finish, Ignore or Restart.
 type Decision interface{ decision() }
 
 // Dispatch is a step for a runner.
@@ -18,27 +18,27 @@
 }
 
 // Runner returns the runner that gets the step.
-func (s *Dispatch) Runner() *fleet.Runner { return s.runner }
+func (d *Dispatch) Runner() *fleet.Runner { return d.runner }
 
 // Step returns the step.
-func (s *Dispatch) Step() *protocol.Step { return &s.step }
+func (d *Dispatch) Step() *protocol.Step { return &d.step }
 
-// LayerPasses returns the layer passes that the step asks for.
-func (s *Dispatch) LayerPasses() int64 { return int64(s.step.Count * s.step.Span.Layers()) }
+// LayerPasses returns the number of layer passes in the step.
+func (d *Dispatch) LayerPasses() int64 { return int64(d.step.Count * d.step.Span.Layers()) }
 
-// Dispatches is up to two steps: the stage that replied takes its next chunk, and
-// the stage after it takes the one that was passed on.
+// Dispatches holds up to two steps: the next chunk of the stage that replied, and the passed-on
+// chunk for the stage after it.
 type Dispatches struct {
 	count int
-	sends [2]Dispatch
+	steps [2]Dispatch
 }
 
-// All returns the steps to send, possibly none.
-func (s *Dispatches) All() []Dispatch { return s.sends[:s.count] }
+// All returns the steps to send, which may be none.
+func (d *Dispatches) All() []Dispatch { return d.steps[:d.count] }
 
-func (s *Dispatches) add(x Dispatch) {
-	s.sends[s.count] = x
-	s.count++
+func (d *Dispatches) add(step Dispatch) {
+	d.steps[d.count] = step
+	d.count++
 }
 
 // Emit is a token for the caller and the step that follows it.
@@ -53,29 +53,29 @@
 // Next returns the step to send after the token.
 func (e Emit) Next() Dispatch { return e.next }
 
-// Finish ends the answer. It holds the last token unless the model ended it.
+// Finish ends the answer. It holds the last token unless the model ended the answer.
 type Finish struct {
-	token int32
-	ended bool
+	token   int32
+	byModel bool
 }
 
 // Token returns the last token, and false if the model ended the answer itself.
-func (f Finish) Token() (int32, bool) { return f.token, !f.ended }
+func (f Finish) Token() (int32, bool) { return f.token, !f.byModel }
 
-// Ignore is a reply that counts for nothing.
+// Ignore means that the reply does not count.
 type Ignore struct{}
 
-// Restart says that the path can't go on and why.
+// Restart means that the path failed and that the request must begin again on another one.
 type Restart struct {
 	reason metric.Reason
 	runner *fleet.Runner
 }
 
-// Reason returns why the path broke.
-func (b Restart) Reason() metric.Reason { return b.reason }
+// Reason returns why the path failed.
+func (r Restart) Reason() metric.Reason { return r.reason }
 
-// Runner returns the runner to leave out of the next path, or nil.
-func (b Restart) Runner() *fleet.Runner { return b.runner }
+// Runner returns the runner to exclude from the next path, or nil.
+func (r Restart) Runner() *fleet.Runner { return r.runner }
 
 func (Dispatches) decision() {}
 func (Emit) decision()       {}
--- a/coordination/stream/stream_test.go
+++ b/coordination/stream/stream_test.go
@@ -20,13 +20,13 @@
 
 const layers = 12
 
-// fleetOf returns a view in which each span is held by two runners.
-func fleetOf(t require.TestingT, spans [][2]int) *fleet.View {
+// newTestView returns a view in which each span is held by two runners.
+func newTestView(t require.TestingT, spans [][2]int) *fleet.View {
 	f := protocol.Fleet{Name: "dc"}
 	for i, s := range spans {
-		for _, copyName := range []string{"x", "y"} {
+		for _, replica := range []string{"x", "y"} {
 			f.Runners = append(f.Runners, protocol.Runner{
-				Name: string(rune('a'+i)) + copyName, VM: "v", DataCenter: "dc", Accelerator: "a",
+				Name: string(rune('a'+i)) + replica, VM: "v", DataCenter: "dc", Accelerator: "a",
 				Address: "127.0.0.1:1", Model: "m", From: s[0], To: s[1], Speed: 600, Epoch: 1,
 			})
 		}
@@ -36,15 +36,15 @@
 	return fleet.NewViewFromConfig(nil, c, fleet.Entry{Name: "e1", DataCenter: "dc"})
 }
 
-// engine answers a step as a stage does: it records the span run for each
-// position, and its last stage answers with the number of the position.
-func engine(s *protocol.Step, ran map[int][]protocol.Span) protocol.Reply {
+// runStep answers a step as a stage does. It records the span that ran for each position. The last
+// stage answers with the number of the position.
+func runStep(s *protocol.Step, spans map[int][]protocol.Span) protocol.Reply {
 	r := protocol.Reply{
 		Request: s.Request, Attempt: s.Attempt, Number: s.Number, Position: s.Position,
 		Count: s.Count, Span: s.Span, Epoch: s.Epoch,
 	}
 	for p := s.Position; p < s.Position+s.Count; p++ {
-		ran[p] = append(ran[p], s.Span)
+		spans[p] = append(spans[p], s.Span)
 	}
 	r.Hidden = make([]byte, s.Count*protocol.HiddenBytes)
 	binary.LittleEndian.PutUint64(r.Hidden, uint64(s.Position))
@@ -55,131 +55,130 @@
 	return r
 }
 
-// TestAnyOrderOfRepliesGivesTheSameAnswer delivers replies late, out of order,
-// doubled, cut short and under wrong positions, loses some, and breaks paths in
-// between. Every token must come out once and in order, and each attempt must
-// have run every layer of each position once and in order.
-func TestAnyOrderOfRepliesGivesTheSameAnswer(t *testing.T) {
+// TestReplyOrderDoesNotChangeAnswer delivers replies late, out of order, duplicated, truncated and
+// with wrong positions, loses some, and restarts attempts in between. Every token must be emitted
+// once and in order, and each attempt must have run every layer of each position once and in order.
+func TestReplyOrderDoesNotChangeAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		view := fleetOf(t, [][2]int{{0, 4}, {4, 9}, {9, 12}})
+		view := newTestView(t, [][2]int{{0, 4}, {4, 9}, {9, 12}})
 		prompt := make([]int32, rapid.IntRange(1, 20).Draw(t, "prompt"))
 		limit := rapid.IntRange(1, 12).Draw(t, "limit")
 		var m stream.Machine
 		m.Open(7, layers, prompt, limit, 0)
-		d := &delivery{t: t, machine: &m, view: view}
-		d.begin()
-		for moves := 0; !m.Finished() && moves < 300; moves++ {
-			d.move()
+		n := &network{t: t, machine: &m, view: view}
+		n.beginAttempt()
+		for steps := 0; !m.Finished() && steps < 300; steps++ {
+			n.step()
 		}
-		for !m.Finished() { // the rest goes undisturbed
-			if len(d.flying) == 0 {
-				d.begin()
+		for !m.Finished() { // deliver the rest undisturbed
+			if len(n.inFlight) == 0 {
+				n.beginAttempt()
 			}
-			d.deliver(0)
+			n.deliver(0)
 		}
-		require.Len(t, d.answer, limit)
-		for i, token := range d.answer {
+		require.Len(t, n.answer, limit)
+		for i, token := range n.answer {
 			require.Equal(t, int32(len(prompt)+i), token)
 		}
 	})
 }
 
-// delivery is the network between a machine and its stages.
-type delivery struct {
-	t       *rapid.T
-	machine *stream.Machine
-	view    *fleet.View
-	flying  []flying
-	ran     map[int][]protocol.Span
-	answer  []int32
+// network carries the steps and replies between a machine and its stages.
+type network struct {
+	t        *rapid.T
+	machine  *stream.Machine
+	view     *fleet.View
+	inFlight []sentReply
+	ranSpans map[int][]protocol.Span
+	answer   []int32
 }
 
-type flying struct {
+type sentReply struct {
 	from  *fleet.Runner
 	reply protocol.Reply
 }
 
-func (d *delivery) begin() {
-	d.ran = map[int][]protocol.Span{}
-	found, ok := path.Choose(d.view.Model("m"), path.Query{
-		Now: time.Unix(1, 0), Positions: 1, Rand: rand.New(rand.NewPCG(uint64(d.machine.Attempt()), 1)),
+func (n *network) beginAttempt() {
+	n.ranSpans = map[int][]protocol.Span{}
+	found, ok := path.Choose(n.view.Model("m"), path.Query{
+		Now: time.Unix(1, 0), Positions: 1, Rand: rand.New(rand.NewPCG(uint64(n.machine.Attempt()), 1)),
 	}).(*path.Found)
-	require.True(d.t, ok)
-	d.send(d.machine.Begin(found.Path()))
+	require.True(n.t, ok)
+	n.send(n.machine.Begin(found.Path()))
 }
 
-func (d *delivery) send(s stream.Dispatch) {
-	d.flying = append(d.flying, flying{from: s.Runner(), reply: engine(s.Step(), d.ran)})
+func (n *network) send(d stream.Dispatch) {
+	n.inFlight = append(n.inFlight, sentReply{from: d.Runner(), reply: runStep(d.Step(), n.ranSpans)})
 }
 
-func (d *delivery) move() {
-	if len(d.flying) == 0 {
-		d.begin()
+func (n *network) step() {
+	if len(n.inFlight) == 0 {
+		n.beginAttempt()
 		return
 	}
-	at := rapid.IntRange(0, len(d.flying)-1).Draw(d.t, "which")
-	switch rapid.IntRange(0, 9).Draw(d.t, "what") {
-	case 0: // double
-		d.flying = append(d.flying, d.flying[at])
-	case 1: // another position
-		bad := d.flying[at]
+	index := rapid.IntRange(0, len(n.inFlight)-1).Draw(n.t, "reply")
+	switch rapid.IntRange(0, 9).Draw(n.t, "fault") {
+	case 0: // duplicate
+		n.inFlight = append(n.inFlight, n.inFlight[index])
+	case 1: // wrong position
+		bad := n.inFlight[index]
 		bad.reply.Position++
-		d.flying = append(d.flying, bad)
-	case 2: // cut short
-		bad := d.flying[at]
+		n.inFlight = append(n.inFlight, bad)
+	case 2: // truncated
+		bad := n.inFlight[index]
 		if len(bad.reply.Hidden) > 0 {
 			bad.reply.Hidden = bad.reply.Hidden[1:]
-			d.flying = append(d.flying, bad)
+			n.inFlight = append(n.inFlight, bad)
 		}
-	case 3: // another stage's reply
-		bad := d.flying[at]
-		bad.from = d.view.Runner("ax")
-		d.flying = append(d.flying, bad)
-	case 4: // a new attempt; what flies of the old one arrives late
-		d.begin()
+	case 3: // reply of another stage
+		bad := n.inFlight[index]
+		bad.from = n.view.Runner("ax")
+		n.inFlight = append(n.inFlight, bad)
+	case 4: // new attempt; replies to the old one arrive late
+		n.beginAttempt()
 	default:
-		d.deliver(at)
+		n.deliver(index)
 	}
 }
 
-func (d *delivery) deliver(at int) {
-	f := d.flying[at]
-	d.flying = append(d.flying[:at:at], d.flying[at+1:]...)
-	switch x := d.machine.HandleReply(f.from, f.reply).(type) {
+func (n *network) deliver(index int) {
+	f := n.inFlight[index]
+	n.inFlight = append(n.inFlight[:index:index], n.inFlight[index+1:]...)
+	switch d := n.machine.HandleReply(f.from, f.reply).(type) {
 	case stream.Dispatches:
-		for _, s := range x.All() {
-			d.send(s)
+		for _, s := range d.All() {
+			n.send(s)
 		}
 	case stream.Emit:
-		d.checkLayers()
-		d.answer = append(d.answer, x.Token())
-		d.send(x.Next())
+		n.checkLayers()
+		n.answer = append(n.answer, d.Token())
+		n.send(d.Next())
 	case stream.Finish:
-		d.checkLayers()
-		if token, ok := x.Token(); ok {
-			d.answer = append(d.answer, token)
+		n.checkLayers()
+		if token, ok := d.Token(); ok {
+			n.answer = append(n.answer, token)
 		}
 	case stream.Restart:
-		d.begin()
+		n.beginAttempt()
 	case stream.Ignore:
 	}
 }
 
 // checkLayers checks that the attempt has run all layers of each position.
-func (d *delivery) checkLayers() {
-	for p := range len(d.ran) {
-		at := 0
-		for _, s := range d.ran[p] {
-			require.Equal(d.t, at, s.From, "position %d", p)
-			at = s.To
+func (n *network) checkLayers() {
+	for p := range len(n.ranSpans) {
+		layer := 0
+		for _, s := range n.ranSpans[p] {
+			require.Equal(n.t, layer, s.From, "position %d", p)
+			layer = s.To
 		}
-		require.Equal(d.t, layers, at, "position %d", p)
+		require.Equal(n.t, layers, layer, "position %d", p)
 	}
 }
 
-func TestFaultsTellWhy(t *testing.T) {
+func TestFaultsRestartAttempt(t *testing.T) {
 	for fault := protocol.FaultSpan; fault <= protocol.FaultOverload; fault++ {
-		view := fleetOf(t, [][2]int{{0, 12}})
+		view := newTestView(t, [][2]int{{0, 12}})
 		var m stream.Machine
 		m.Open(7, layers, []int32{1}, 4, 0)
 		found := path.Choose(view.Model("m"), path.Query{Now: time.Unix(1, 0), Rand: rand.New(rand.NewPCG(1, 1))}).(*path.Found)
