--- a/coordination/pressure/decision.go
+++ b/coordination/pressure/decision.go
@@ -17,7 +17,7 @@
 // complete event, once its caller has read what is held.
 type DropAttempt struct{}
 
-// Abort means that the response is broken off. Its bytes have been released to other accounts.
+// Abort means that the response is aborted. Its bytes have been released to other accounts.
 type Abort struct{}
 
 func (Continue) decision()    {}
@@ -30,7 +30,7 @@
 
 // Decide decides how a stream continues, by what its connection holds. A paused stream continues at
 // half of its allowance, so that it does not switch at each event. Once its engine may cut it off,
-// it continues at the full allowance, so that a caller who reads steadily keeps its attempt.
+// it continues at the full allowance, so that a caller that reads steadily keeps its attempt.
 func (b *Budget) Decide(a *Account, now time.Time) Decision {
 	allowance := b.allowance(a)
 	resumeBy := a.pausedSince.Add(pauseTimeout)
--- a/coordination/pressure/pressure.go
+++ b/coordination/pressure/pressure.go
@@ -12,7 +12,7 @@
 //	case pressure.Continue:    // read on from the engine
 //	case pressure.Pause:       // stop reading from the engine, decide again at d.Until()
 //	case pressure.DropAttempt: // end the attempt; resume elsewhere once the caller has read all
-//	case pressure.Abort:       // break off the response
+//	case pressure.Abort:       // abort the response
 //	}
 //
 // An account may hold a share of the free bytes, as switches share their buffers among ports. With
--- a/coordination/quarantine/bench_test.go
+++ b/coordination/quarantine/bench_test.go
@@ -11,8 +11,8 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// BenchmarkStatus queries work among 1,000 pieces that were at a crash, as an entry does for each
-// request while any work is suspected.
+// BenchmarkStatus queries the status among 1,000 pieces of work that were involved in a crash, as
+// an entry does for each request while any work is suspected.
 func BenchmarkStatus(b *testing.B) {
 	h := newHarness()
 	for n := range 1000 {
@@ -25,7 +25,7 @@
 	}
 }
 
-// BenchmarkApply applies the reports of an outage: new work at crashes, ten pieces at each.
+// BenchmarkApply applies the reports of an outage: crashes with ten new pieces of work each.
 func BenchmarkApply(b *testing.B) {
 	h := newHarness()
 	endpoints := []string{"e-0", "e-1", "e-2", "e-3", "e-4", "e-5", "e-6", "e-7", "e-8", "e-9"}
@@ -46,8 +46,8 @@
 	}
 }
 
-// BenchmarkFull fills a tracker with 4,096 pieces of work, ten at each crash and with two crashes
-// each.
+// BenchmarkFull fills a tracker with 4,096 pieces of work. Ten of them share each crash, and each
+// is involved in two.
 func BenchmarkFull(b *testing.B) {
 	const works = 4096
 	for range b.N {
--- a/coordination/quarantine/decide.go
+++ b/coordination/quarantine/decide.go
@@ -59,9 +59,9 @@
 	return r, true
 }
 
-// crashedInIsolation reports whether the work was at a crash, after two earlier ones, where no
-// other work had been at an earlier crash. That crash was its isolated run; other work at it ran
-// there for the first time.
+// crashedInIsolation reports whether the work was involved in a crash, after two earlier ones,
+// without other work that had been involved in an earlier crash. That crash was its isolated run;
+// other work there ran for the first time.
 func (t *Tracker) crashedInIsolation(f protocol.Fingerprint, w *workState) bool {
 	for id, fail := range w.failures {
 		if fail.confirmed && w.crashesBefore(fail.at) >= isolationThreshold && t.isolatedAt(f, id, fail.at) && !t.explainedByOther(f, id) {
@@ -71,7 +71,7 @@
 	return false
 }
 
-// isolatedAt reports whether no other work at a crash had been at an earlier one.
+// isolatedAt reports whether no other work at a crash had been involved in an earlier one.
 func (t *Tracker) isolatedAt(f protocol.Fingerprint, id crashID, at time.Time) bool {
 	for other := range t.crashes[id] {
 		if other != f && t.works[other].crashesBefore(at) > 0 {
@@ -81,8 +81,8 @@
 	return true
 }
 
-// explainedByOther reports whether other work at a crash is refused and so explains the crash. Such
-// work may have run for the first time at the endpoint of the isolated run.
+// explainedByOther reports whether other work that was involved in a crash is refused and so
+// explains it. Such work may have run for the first time at the endpoint of the isolated run.
 func (t *Tracker) explainedByOther(f protocol.Fingerprint, id crashID) bool {
 	for other := range t.crashes[id] {
 		if other != f && t.works[other].reported && len(t.works[other].failures) >= len(t.works[f].failures) {
@@ -92,8 +92,8 @@
 	return false
 }
 
-// crashesBefore returns the number of crashes that count before a time. It leaves out the crash at
-// that time.
+// crashesBefore returns the number of crashes that count before a time. It does not include the
+// crash at that time.
 func (w *workState) crashesBefore(at time.Time) int {
 	var c crashCount
 	for _, fail := range w.failures {
--- a/coordination/quarantine/doc.go
+++ b/coordination/quarantine/doc.go
@@ -13,15 +13,15 @@
 //	case quarantine.Unrestricted:     // nothing is known against it
 //	case quarantine.PreferIsolation:  // one crash: if possible, not where other suspected work runs
 //	case quarantine.RequireIsolation: // two or more crashes: only where no other suspected work runs
-//	case quarantine.Waiting:          // not before s.Until(): the last crash is not analyzed yet
+//	case quarantine.Waiting:          // not before s.Until(): reports or probes may still be missing
 //	case quarantine.Refused:          // not before s.Until()
 //	}
 //
 // An entry that does not know yet whether an endpoint crashed reports that (RecordUnresolved) and
-// later what it found out (RecordCrash, RecordAnswer). Work that may have been at two crashes waits
-// for the result.
+// later what it found out (RecordCrash, RecordAnswer). Work that may have been involved in two
+// crashes waits for the result.
 //
 // Only confirmed crashes count, and only against work that had just started to run at the endpoint.
-// Work is refused after three crashes if no other work was at all of them. Isolated runs separate
-// it from work that merely ran next to it. Work that runs without a crash is cleared.
+// Work is refused after three crashes if no other work was involved in all of them. Isolated runs
+// separate it from work that merely ran next to it. Work that runs without a crash is cleared.
 package quarantine
--- a/coordination/quarantine/model_test.go
+++ b/coordination/quarantine/model_test.go
@@ -111,7 +111,7 @@
 			}
 		case quarantine.RequireIsolation:
 			if crashes == 0 {
-				t.Fatalf("work %d must run in isolation, but was at no crash", work)
+				t.Fatalf("work %d must run in isolation, but was involved in no crash", work)
 			}
 		case quarantine.Waiting:
 			if wait := s.Until().Sub(m.now); wait > maxWait || wait <= 0 {
--- a/coordination/quarantine/report.go
+++ b/coordination/quarantine/report.go
@@ -16,7 +16,7 @@
 	incarnation protocol.Incarnation
 	observer    string
 	at          time.Time
-	unresolved  bool // whether the endpoint crashed may become known soon
+	unresolved  bool // it may become known soon whether the endpoint crashed
 }
 
 // NewReport returns the report of an observer. The time is by the clock of the entry that holds the
@@ -25,8 +25,8 @@
 	return Report{work: message.Work, observation: message.Observation, endpoint: message.Endpoint, incarnation: message.Incarnation, observer: message.Observer, at: at}
 }
 
-// AsUnresolved returns a copy of the report for work that failed at an endpoint of which it may
-// become known soon whether it crashed.
+// AsUnresolved returns a copy of the report for work that failed at an endpoint that may or may not
+// have crashed. Whether it did may become known soon.
 func (r Report) AsUnresolved() Report { //nolint:gocritic // the result is a copy
 	r.unresolved = true
 	return r
--- a/coordination/quarantine/simulation_test.go
+++ b/coordination/quarantine/simulation_test.go
@@ -302,11 +302,11 @@
 
 // TestSimulatedPoisonRequests simulates the load with one and two poison requests and checks the
 // effect on other callers. Without a tracker each try crashes up to three engines, at 14 tries for
-// each poison request. In the simulations with the seeds from 29 on other work was refused: by a
-// mere count of three crashes, since one of the two poison requests was at each of them; and
-// because isolated runs of two pieces of work started together again and again. With the seed 29 one try is
-// still refused: the other poison request arrives for the first time at the endpoint of the
-// isolated run.
+// each poison request. The simulations with the seeds from 29 on once refused other work, for two
+// reasons: a mere count of three crashes, although one of the two poison requests was involved in
+// each of them; and isolated runs of two pieces of work that started together again and again. With
+// the seed 29 one try is still refused: the other poison request arrives for the first time at the
+// endpoint of the isolated run.
 func TestSimulatedPoisonRequests(t *testing.T) {
 	seeds := []uint64{0, 1, 2, 3, 4, 5, 9, 29, 47, 50, 56, 57}
 	for poison := 1; poison <= 2; poison++ {
--- a/coordination/quarantine/status.go
+++ b/coordination/quarantine/status.go
@@ -15,8 +15,8 @@
 // such an endpoint.
 type PreferIsolation struct{}
 
-// RequireIsolation means that the work was at two or more crashes. It runs only where no other
-// suspected work runs.
+// RequireIsolation means that the work was involved in two or more crashes. It runs only where no
+// other suspected work runs.
 type RequireIsolation struct{}
 
 // Waiting means that the work must not run yet: it runs in isolation at another endpoint, reports
--- a/coordination/quarantine/tracker.go
+++ b/coordination/quarantine/tracker.go
@@ -18,12 +18,12 @@
 	// chance, because failed requests are sent again to the same few engines.
 	refusalThreshold = 3
 	// sharedRefusalThreshold is the number of crashes from which work is refused even if other work
-	// was at all of them too. Work runs in isolation from its second crash on, so it gets this far
-	// only if entries cannot reach each other.
+	// was involved in all of them too. Work runs in isolation from its second crash on, so it gets
+	// this far only if entries cannot reach each other.
 	sharedRefusalThreshold = 6
 	// isolationThreshold is the number of crashes from which work runs in isolation.
 	isolationThreshold = 2
-	// laterStageThreshold is the number of crashes of later stages from which these count at all.
+	// laterStageThreshold is the number of crashes of later stages from which they count at all.
 	// Every request whose path contains a stage waits for it when it crashes, even if the request
 	// had not reached it. With one or two, requests would wait for isolated runs whenever many
 	// engines crash in a day.
@@ -57,7 +57,7 @@
 	// remembered after it has expired.
 	Retention = time.Hour
 	// maxWorks limits the work that is remembered, at some 1,000 bytes each. An outage of a data
-	// center crashes some hundred endpoints, with a few new pieces of work at each.
+	// center crashes some hundred endpoints, each with a few new pieces of work.
 	maxWorks = 4096
 	// evictionDivisor sets the share of work that is evicted at once when the limit is reached: one
 	// in evictionDivisor.
@@ -71,7 +71,7 @@
 // Tracker tracks the reports of all entries. The zero value is empty.
 type Tracker struct {
 	works        map[protocol.Fingerprint]*workState
-	crashes      map[crashID]map[protocol.Fingerprint]bool // the work that failed at each
+	crashes      map[crashID]map[protocol.Fingerprint]bool // the work that failed in each confirmed or possible crash
 	exits        map[string]exit                           // the latest known exit of each endpoint
 	isolatedRuns map[isolatedRunKey]isolatedRun
 	lastExpiry   time.Time
@@ -237,7 +237,7 @@
 	return last
 }
 
-// crashCount is the number of crashes at which some work was.
+// crashCount is the number of crashes in which some work was involved.
 type crashCount struct {
 	firstStage  int // confirmed, at the first engine of its path
 	laterStage  int // confirmed, at later engines
@@ -252,10 +252,10 @@
 	return c.firstStage + c.laterStage
 }
 
-// possible returns the largest number of crashes that the work may have been at.
+// possible returns the largest number of crashes in which the work may have been involved.
 func (c crashCount) possible() int { return c.confirmed() + c.unconfirmed }
 
-// countCrashes returns the number of crashes at which the work was.
+// countCrashes returns the number of crashes in which the work was involved.
 func (w *workState) countCrashes(now time.Time) crashCount {
 	var c crashCount
 	for _, fail := range w.failures {
@@ -271,8 +271,8 @@
 	return c
 }
 
-// Confirmed reports whether the work of a report was at a confirmed crash. For a failure it is the
-// crash of the report's endpoint, for other observations any crash.
+// Confirmed reports whether the work of a report was involved in a confirmed crash. For a failure
+// it is the crash of the report's endpoint, for other observations any crash.
 func (t *Tracker) Confirmed(r *Report) bool {
 	w := t.works[r.work]
 	if w == nil {
--- a/coordination/quarantine/unresolved.go
+++ b/coordination/quarantine/unresolved.go
@@ -9,7 +9,7 @@
 )
 
 // RecordUnresolved records that it may become known soon whether an incarnation of an endpoint
-// crashed at which work failed.
+// crashed. Work that failed there waits for the result.
 func (t *Tracker) RecordUnresolved(endpoint string, incarnation protocol.Incarnation, now time.Time) {
 	id := crashID{endpoint: endpoint, incarnation: incarnation}
 	for f := range t.crashes[id] {
@@ -39,8 +39,8 @@
 	}
 }
 
-// unresolvedUntil returns until when the work may turn out to have been at a further crash, zero if
-// no crash is unresolved.
+// unresolvedUntil returns until when the work may turn out to have been involved in a further
+// crash, zero if no crash is unresolved.
 func (w *workState) unresolvedUntil(now time.Time) time.Time {
 	var until time.Time
 	for _, fail := range w.failures {
--- a/coordination/quarantine/unresolved_test.go
+++ b/coordination/quarantine/unresolved_test.go
@@ -12,7 +12,7 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// failUnresolved fails work at an endpoint of which it is unresolved whether it crashed.
+// failUnresolved fails work at an endpoint that may or may not have crashed.
 func (h *harness) failUnresolved(endpoint string, works ...protocol.Fingerprint) {
 	h.now = h.now.Add(50 * time.Millisecond)
 	for _, f := range works {
