--- a/transport/ending/ending.go
+++ b/transport/ending/ending.go
@@ -23,46 +23,46 @@
 // has ended.
 const checkEvery = 50 * time.Millisecond
 
-// Book takes what turns out.
-type Book interface {
-	// Unclear is told that it is not clear yet whether a life of an endpoint has ended.
-	Unclear(endpoint string, life protocol.Incarnation)
-	// Ended and Lives note what has turned out: Lives that an endpoint answered a question that
+// Recorder takes what turns out.
+type Recorder interface {
+	// ReportUnresolved is told that it is not clear yet whether a life of an endpoint has ended.
+	ReportUnresolved(endpoint string, life protocol.Incarnation)
+	// RecordCrash and Lives note what has turned out: Lives that an endpoint answered a question that
 	// was asked at a time, in the same life as far as it told.
-	Ended(endpoint string, life protocol.Incarnation, at time.Time)
-	Lives(endpoint string, life protocol.Incarnation, same bool, asked time.Time)
+	RecordCrash(endpoint string, life protocol.Incarnation, at time.Time)
+	RecordAnswer(endpoint string, life protocol.Incarnation, same bool, asked time.Time)
 }
 
-// Asker asks an endpoint once how it stands.
-type Asker interface {
-	Ask() quarantine.ProbeResult
+// Prober asks an endpoint once how it stands.
+type Prober interface {
+	Probe() quarantine.ProbeResult
 }
 
-// Case is a life of an endpoint that may have ended.
-type Case struct {
-	Endpoint string
-	Life     protocol.Incarnation
-	Asker    Asker
-	Book     Book
-	Logger   *slog.Logger // nil for none
+// Suspect is a life of an endpoint that may have ended.
+type Suspect struct {
+	Endpoint    string
+	Incarnation protocol.Incarnation
+	Prober      Prober
+	Recorder    Recorder
+	Logger      *slog.Logger // nil for none
 }
 
-// Checks finds out about endpoints, one check at a time for each. The zero value has none under way.
-type Checks struct {
+// Checker finds out about endpoints, one check at a time for each. The zero value has none under way.
+type Checker struct {
 	done  part.Done
 	mutex sync.Mutex
 	open  map[string]*check // by the endpoint's name
 }
 
 // Close ends every check.
-func (c *Checks) Close() { c.done.Close() }
+func (c *Checker) Close() { c.done.Close() }
 
 // Begin sees to it that an endpoint is asked after what broke there, for a while from now on.
-func (c *Checks) Begin(k *Case, now time.Time) {
+func (c *Checker) Begin(k *Suspect, now time.Time) {
 	till := now.Add(quarantine.UnresolvedTimeout)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if open := c.open[k.Endpoint]; open != nil && open.is.Life == k.Life {
+	if open := c.open[k.Endpoint]; open != nil && open.is.Incarnation == k.Incarnation {
 		open.till, open.again = till, true
 		return
 	}
@@ -75,14 +75,14 @@
 }
 
 // Open returns how many endpoints are asked.
-func (c *Checks) Open() int {
+func (c *Checker) Open() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return len(c.open)
 }
 
 // goesOn reports whether a check asks again, and forgets it otherwise.
-func (c *Checks) goesOn(k *check, found quarantine.ProbeResult, now time.Time) bool {
+func (c *Checker) goesOn(k *check, found quarantine.ProbeResult, now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if now.Before(k.till) && found != quarantine.ProbeCrashed && (found == quarantine.ProbeInconclusive || k.again) {
@@ -97,8 +97,8 @@
 
 // check finds out about one case.
 type check struct {
-	checks *Checks
-	is     Case
+	checks *Checker
+	is     Suspect
 	till   time.Time // guarded by the mutex of checks, as again is
 	again  bool      // more broke there since the last question
 }
@@ -109,9 +109,9 @@
 	begun, before := clock.Now(), quarantine.ProbeCrashed // what is clear at once is not logged
 	for {
 		asked := clock.Now()
-		found := k.is.Asker.Ask()
+		found := k.is.Prober.Probe()
 		if found != before && (found == quarantine.ProbeInconclusive || before == quarantine.ProbeInconclusive) {
-			event.EndInDoubt.Log(k.is.Logger, slog.String("endpoint", k.is.Endpoint), slog.Int64("lifetime", int64(k.is.Life)),
+			event.EndInDoubt.Log(k.is.Logger, slog.String("endpoint", k.is.Endpoint), slog.Int64("lifetime", int64(k.is.Incarnation)),
 				slog.String("state", found.String()), slog.Int64("after_ms", clock.Since(begun).Milliseconds()))
 		}
 		before = found
@@ -131,10 +131,10 @@
 func (k *check) note(found quarantine.ProbeResult, asked time.Time) {
 	switch found {
 	case quarantine.ProbeCrashed:
-		k.is.Book.Ended(k.is.Endpoint, k.is.Life, asked)
+		k.is.Recorder.RecordCrash(k.is.Endpoint, k.is.Incarnation, asked)
 	case quarantine.ProbeAnswered, quarantine.ProbeSameIncarnation:
-		k.is.Book.Lives(k.is.Endpoint, k.is.Life, found == quarantine.ProbeSameIncarnation, asked)
+		k.is.Recorder.RecordAnswer(k.is.Endpoint, k.is.Incarnation, found == quarantine.ProbeSameIncarnation, asked)
 	case quarantine.ProbeInconclusive:
-		k.is.Book.Unclear(k.is.Endpoint, k.is.Life)
+		k.is.Recorder.ReportUnresolved(k.is.Endpoint, k.is.Incarnation)
 	}
 }
--- a/transport/ending/ending_test.go
+++ b/transport/ending/ending_test.go
@@ -22,16 +22,16 @@
 	ended, lives, unclear int
 }
 
-func (e *endpoint) Ask() quarantine.ProbeResult {
+func (e *endpoint) Probe() quarantine.ProbeResult {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.asked++
 	return e.answer
 }
 
-func (e *endpoint) Ended(string, protocol.Incarnation, time.Time)       { e.count(&e.ended) }
-func (e *endpoint) Lives(string, protocol.Incarnation, bool, time.Time) { e.count(&e.lives) }
-func (e *endpoint) Unclear(string, protocol.Incarnation)                { e.count(&e.unclear) }
+func (e *endpoint) RecordCrash(string, protocol.Incarnation, time.Time)        { e.count(&e.ended) }
+func (e *endpoint) RecordAnswer(string, protocol.Incarnation, bool, time.Time) { e.count(&e.lives) }
+func (e *endpoint) ReportUnresolved(string, protocol.Incarnation)              { e.count(&e.unclear) }
 
 func (e *endpoint) count(n *int) {
 	e.mutex.Lock()
@@ -45,8 +45,8 @@
 	e.answer = answer
 }
 
-func (e *endpoint) begin(c *Checks, life protocol.Incarnation) {
-	c.Begin(&Case{Endpoint: "e", Life: life, Asker: e, Book: e}, time.Now())
+func (e *endpoint) begin(c *Checker, life protocol.Incarnation) {
+	c.Begin(&Suspect{Endpoint: "e", Incarnation: life, Prober: e, Recorder: e}, time.Now())
 }
 
 // pass lets time pass, and what is due in it be done.
@@ -57,7 +57,7 @@
 
 func TestAnEndpointIsAskedUntilItIsClear(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var c Checks
+		var c Checker
 		e := &endpoint{answer: quarantine.ProbeInconclusive}
 		e.begin(&c, 1)
 		pass(4*checkEvery + checkEvery/2)
@@ -73,7 +73,7 @@
 
 func TestWhatStaysUnclearIsGivenUpUnlessMoreBreaks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var c Checks
+		var c Checker
 		e := &endpoint{answer: quarantine.ProbeInconclusive}
 		e.begin(&c, 1)
 		pass(quarantine.UnresolvedTimeout / 2)
@@ -88,7 +88,7 @@
 
 func TestAnEndpointThatAnswersIsAskedAgainOnlyIfMoreBroke(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var c Checks
+		var c Checker
 		e := &endpoint{answer: quarantine.ProbeSameIncarnation}
 		e.begin(&c, 1)
 		synctest.Wait()
@@ -106,7 +106,7 @@
 
 func TestChecksEndWithTheirOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var c Checks
+		var c Checker
 		e := &endpoint{answer: quarantine.ProbeInconclusive}
 		e.begin(&c, 1)
 		e.begin(&c, 2) // another life is another matter
--- a/transport/entry/end_check.go
+++ b/transport/entry/end_check.go
@@ -25,9 +25,9 @@
 	at     time.Time // of day, when what broke was there
 }
 
-// Ask asks the runner once how it stands. A port that refuses connections has no process; one that
+// Probe asks the runner once how it stands. A port that refuses connections has no process; one that
 // takes them and says nothing proves nothing.
-func (k *endCheck) Ask() quarantine.ProbeResult {
+func (k *endCheck) Probe() quarantine.ProbeResult {
 	ctx, cancel := context.WithTimeout(context.Background(), checkLimit)
 	defer cancel()
 	report, err := k.load(ctx)
--- a/transport/forward/end_check.go
+++ b/transport/forward/end_check.go
@@ -23,9 +23,9 @@
 // checkEnd sees to it that an attempt's endpoint is asked after what broke there.
 func (f *Forwarder) checkEnd(a *attempt, engine bool, now time.Time) {
 	f.Quarantine.RecordUnresolved(a.endpoint.Name(), a.life, now)
-	f.endings.Begin(&ending.Case{
-		Endpoint: a.endpoint.Name(), Life: a.life, Book: f.Quarantine, Logger: f.Logger,
-		Asker: &endCheck{forwarder: f, runner: a.endpoint, life: a.life, engine: engine, sentAt: time.Now().Add(-now.Sub(a.sentAt))},
+	f.endings.Begin(&ending.Suspect{
+		Endpoint: a.endpoint.Name(), Incarnation: a.life, Recorder: f.Quarantine, Logger: f.Logger,
+		Prober: &endCheck{forwarder: f, runner: a.endpoint, life: a.life, engine: engine, sentAt: time.Now().Add(-now.Sub(a.sentAt))},
 	}, now)
 }
 
@@ -38,8 +38,8 @@
 	sentAt    time.Time // when what broke was sent there, by the time of day
 }
 
-// Ask asks the endpoint once.
-func (k *endCheck) Ask() quarantine.ProbeResult {
+// Probe asks the endpoint once.
+func (k *endCheck) Probe() quarantine.ProbeResult {
 	if !k.engine {
 		return k.connect()
 	}
--- a/transport/forward/forwarder.go
+++ b/transport/forward/forwarder.go
@@ -74,7 +74,7 @@
 	pool     pool
 	inflight inflight
 	suspects suspects
-	endings  ending.Checks
+	endings  ending.Checker
 	lines    lines
 	poller   poller
 	paces    paces
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -41,7 +41,7 @@
 	Report(news protocol.RelayWork, at time.Time)
 	// RecordUnresolved notes that it may turn out soon whether a life of an endpoint has ended.
 	RecordUnresolved(endpoint string, life protocol.Incarnation, now time.Time)
-	ending.Book
+	ending.Recorder
 }
 
 // trialWait is a request that waits until its work may run alone.
--- a/transport/front/endpoint_sink.go
+++ b/transport/front/endpoint_sink.go
@@ -41,7 +41,7 @@
 	f := s.front
 	if c.Gone {
 		f.records.gone(c.Object.Name)
-		f.source.Quarantine().Ended(c.Object.Name, f.roster.Incarnation(c.Object.Name), now)
+		f.source.Quarantine().RecordCrash(c.Object.Name, f.roster.Incarnation(c.Object.Name), now)
 		if f.roster.Remove(c.Object.Name, now) {
 			event.EndpointGone.Log(f.Logger, slog.String("endpoint", c.Object.Name), slog.String("reason", "record gone"),
 				slog.Uint64("revision", c.Object.Version))
--- a/transport/front/occupants.go
+++ b/transport/front/occupants.go
@@ -70,7 +70,7 @@
 func (f *Front) restarted(e protocol.Endpoint, revision uint64) {
 	f.director.Restarted(e.ID)
 	if e.Incarnation.Known() {
-		f.source.Quarantine().Ended(e.ID, e.Incarnation-1, clock.Now()) // the lives before
+		f.source.Quarantine().RecordCrash(e.ID, e.Incarnation-1, clock.Now()) // the lives before
 	}
 	f.Counters.Add(metric.RestartsSeen, 1)
 	event.EndpointRestarted.Log(f.Logger, slog.String("endpoint", e.ID), slog.Int64("lifetime", int64(e.Incarnation)),
--- a/transport/relay/news.go
+++ b/transport/relay/news.go
@@ -55,7 +55,7 @@
 	}
 	now := clock.Now()
 	if r.Observation() == protocol.LossRefused {
-		s.quarantine.Ended(r.Endpoint(), r.Incarnation(), r.At())
+		s.quarantine.RecordCrash(r.Endpoint(), r.Incarnation(), r.At())
 	}
 	v := s.news.take(r, via, known, now)
 	if _, nothing := v.(loss.NoChange); nothing || s.OnLossChange == nil {
--- a/transport/relay/quarantine.go
+++ b/transport/relay/quarantine.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// Ended notes that a life of an endpoint ended, which each entry hears by itself, and tells what
+// RecordCrash notes that a life of an endpoint ended, which each entry hears by itself, and tells what
 // it proves.
-func (q *Quarantine) Ended(endpoint string, life protocol.Incarnation, at time.Time) {
+func (q *Quarantine) RecordCrash(endpoint string, life protocol.Incarnation, at time.Time) {
 	now := clock.Now()
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -87,17 +87,17 @@
 	q.book.RecordUnresolved(endpoint, life, now)
 }
 
-// Lives notes that an endpoint answered a question that was asked at a time, in the same
+// RecordAnswer notes that an endpoint answered a question that was asked at a time, in the same
 // life as far as it told.
-func (q *Quarantine) Lives(endpoint string, life protocol.Incarnation, same bool, asked time.Time) {
+func (q *Quarantine) RecordAnswer(endpoint string, life protocol.Incarnation, same bool, asked time.Time) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	q.book.RecordAnswer(endpoint, life, same, asked)
 }
 
-// Unclear tells the others what broke here at a life of an endpoint of which it is not clear
+// ReportUnresolved tells the others what broke here at a life of an endpoint of which it is not clear
 // whether it has ended: they must not send such work to further ones meanwhile.
-func (q *Quarantine) Unclear(endpoint string, life protocol.Incarnation) {
+func (q *Quarantine) ReportUnresolved(endpoint string, life protocol.Incarnation) {
 	now := clock.Now()
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -189,7 +189,7 @@
 	for _, n := range all {
 		at := n.At(now)
 		if n.Observation.Broke() && s.isOver(n.Endpoint, n.Incarnation) {
-			s.quarantine.Ended(n.Endpoint, n.Incarnation, at)
+			s.quarantine.RecordCrash(n.Endpoint, n.Incarnation, at)
 		}
 		s.quarantine.hear(quarantine.NewReport(n, at).AsUnresolved(), via)
 	}
