--- a/transport/engine/client.go
+++ b/transport/engine/client.go
@@ -84,7 +84,7 @@
 	c.mutex.Lock()
 	if c.done.Closed() {
 		c.mutex.Unlock()
-		m.put(Lost{from: c.Runner})
+		m.put(ConnectionLost{from: c.Runner})
 		return
 	}
 	c.queue = append(c.queue, *step)
@@ -97,9 +97,9 @@
 	c.nudge()
 }
 
-// Forget drops a request up to an attempt, here and at the engine, and reports
+// Cancel drops a request up to an attempt, here and at the engine, and reports
 // whether a step of it that was still queued here was removed unsent.
-func (c *Client) Forget(id protocol.RequestID, attempt uint32) bool {
+func (c *Client) Cancel(id protocol.RequestID, attempt uint32) bool {
 	c.mutex.Lock()
 	w, waits := c.waiting[id]
 	if waits {
@@ -264,13 +264,13 @@
 	c.mutex.Unlock()
 	for _, w := range waiting {
 		c.Runner.Settled(w.passes)
-		w.mailbox.put(Lost{from: c.Runner, sent: w.sent, life: life})
+		w.mailbox.put(ConnectionLost{from: c.Runner, sent: w.sent, life: life})
 	}
 }
 
-// Lifetime returns which life of the engine this entry is connected to, 0 if it is to none or the
+// Incarnation returns which life of the engine this entry is connected to, 0 if it is to none or the
 // engine has not told.
-func (c *Client) Lifetime() protocol.Incarnation {
+func (c *Client) Incarnation() protocol.Incarnation {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.life
--- a/transport/engine/client_test.go
+++ b/transport/engine/client_test.go
@@ -41,8 +41,8 @@
 	require.Len(t, c.takeFrame().Steps, 1)
 	c.queue = []protocol.Step{{Request: 2}}
 	c.loseAll()
-	require.True(t, (<-sent.Arrivals()).(Lost).Sent())
-	require.False(t, (<-queued.Arrivals()).(Lost).Sent())
+	require.True(t, (<-sent.Arrivals()).(ConnectionLost).Sent())
+	require.False(t, (<-queued.Arrivals()).(ConnectionLost).Sent())
 }
 
 // TestABrokenFrameLosesTheConnectionAndIsCounted: an engine that sends bytes that
@@ -77,7 +77,7 @@
 	send := m.Begin(found.Path())
 	box := NewMailbox()
 	pool.Client(send.Runner()).Send(&send, 1, box)
-	lost, ok := (<-box.Arrivals()).(Lost)
+	lost, ok := (<-box.Arrivals()).(ConnectionLost)
 	require.True(t, ok)
 	require.True(t, lost.Sent(), "the engine may have run it")
 	require.EqualValues(t, 1, pool.Counters.Value(string(metric.FramesBroken)))
--- a/transport/engine/mailbox.go
+++ b/transport/engine/mailbox.go
@@ -26,24 +26,24 @@
 // Reply returns the reply.
 func (r Replied) Reply() protocol.Reply { return r.reply }
 
-// Lost says that the connection ended before the reply came.
-type Lost struct {
+// ConnectionLost says that the connection ended before the reply came.
+type ConnectionLost struct {
 	from *fleet.Runner
 	sent bool
 	life protocol.Incarnation
 }
 
 // From returns the runner whose connection ended.
-func (l Lost) From() *fleet.Runner { return l.from }
+func (l ConnectionLost) From() *fleet.Runner { return l.from }
 
 // Sent reports whether any byte of the step may have reached the engine.
-func (l Lost) Sent() bool { return l.sent }
+func (l ConnectionLost) Sent() bool { return l.sent }
 
-// Lifetime returns the life of the engine that the connection was to, 0 if it had not told.
-func (l Lost) Lifetime() protocol.Incarnation { return l.life }
+// Incarnation returns the life of the engine that the connection was to, 0 if it had not told.
+func (l ConnectionLost) Incarnation() protocol.Incarnation { return l.life }
 
-func (Replied) arrival() {}
-func (Lost) arrival()    {}
+func (Replied) arrival()        {}
+func (ConnectionLost) arrival() {}
 
 // Mailbox gets the arrivals of one request. Make it with NewMailbox.
 type Mailbox struct{ arrivals chan Arrival }
--- a/transport/engine/pool.go
+++ b/transport/engine/pool.go
@@ -41,9 +41,9 @@
 	return c
 }
 
-// Keep closes the clients of runners that the view no longer holds and that no
+// CloseUnused closes the clients of runners that the view no longer holds and that no
 // request waits for.
-func (p *Pool) Keep(v *fleet.View) {
+func (p *Pool) CloseUnused(v *fleet.View) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for r, c := range p.clients {
--- a/transport/entry/entry.go
+++ b/transport/entry/entry.go
@@ -174,7 +174,7 @@
 		r.SetVMLeaving(e.leaving.has(r.Spec().VM))
 	}
 	e.view.Store(view)
-	e.pool.Keep(view)
+	e.pool.CloseUnused(view)
 }
 
 // CallerAddress returns the IP and port that callers reach.
--- a/transport/entry/entry_test.go
+++ b/transport/entry/entry_test.go
@@ -360,7 +360,7 @@
 			x.send(d.Next(), box)
 		default:
 			for i := range p.Len() {
-				x.pool.Client(p.Runner(i)).Forget(id, 1)
+				x.pool.Client(p.Runner(i)).Cancel(id, 1)
 			}
 			return nil
 		}
--- a/transport/entry/flight.go
+++ b/transport/entry/flight.go
@@ -84,7 +84,7 @@
 	p := m.machine.Path()
 	for i := range p.Len() {
 		r := p.Runner(i)
-		unsent := m.entry.pool.Client(r).Forget(m.id, m.machine.Attempt())
+		unsent := m.entry.pool.Client(r).Cancel(m.id, m.machine.Attempt())
 		if _, inFlight := m.landed(r); inFlight && !unsent {
 			m.ran = true
 		}
--- a/transport/entry/model_run.go
+++ b/transport/entry/model_run.go
@@ -139,14 +139,14 @@
 	switch a := a.(type) {
 	case engine.Replied:
 		return m.replied(ctx, a)
-	case engine.Lost:
+	case engine.ConnectionLost:
 		f, waited := m.landed(a.From())
 		if !waited {
 			return false, nil // an older attempt's runner
 		}
 		m.ran = m.ran || a.Sent()
 		if a.Sent() {
-			m.broke(a.From(), a.Lifetime(), f.step.SentAt)
+			m.broke(a.From(), a.Incarnation(), f.step.SentAt)
 		}
 		m.entry.detected.Record(time.Since(f.step.SentAt))
 		reason := metric.StreamError
--- a/transport/entry/restrain.go
+++ b/transport/entry/restrain.go
@@ -177,5 +177,5 @@
 }
 
 func (m *modelRun) lifeOf(r *fleet.Runner) protocol.Incarnation {
-	return m.entry.pool.Client(r).Lifetime()
+	return m.entry.pool.Client(r).Incarnation()
 }
