--- a/transport/front/endpoint_sink.go
+++ b/transport/front/endpoint_sink.go
@@ -87,7 +87,7 @@
 // of use.
 func (s *endpointSink) decode(o protocol.Object) (protocol.Endpoint, bool) {
 	f := s.front
-	e, err := f.Outside.Decoder.Endpoint(o)
+	e, err := f.Dependencies.Decoder.Endpoint(o)
 	if err == nil {
 		f.records.sound(o)
 		return e, true
--- a/transport/front/firsts.go
+++ b/transport/front/firsts.go
@@ -43,7 +43,7 @@
 	if err != nil || bytes.Equal(value, r.firsts.value) {
 		return
 	}
-	version, err := r.front.Outside.Objects.Put(ctx, firstsKind, firstsName, r.firsts.version, value)
+	version, err := r.front.Dependencies.Objects.Put(ctx, firstsKind, firstsName, r.firsts.version, value)
 	var raced *platform.Conflict
 	if errors.As(err, &raced) {
 		r.firsts.version = raced.Held() // written over at the next look
@@ -62,7 +62,7 @@
 	if r.looks > 0 {
 		return protocol.Listing{}, nil // they were tried
 	}
-	objects := r.front.Outside.Objects
+	objects := r.front.Dependencies.Objects
 	own, err := objects.GetLately(ctx, entryKind, r.front.Settings.Name)
 	var missing *platform.NotFound
 	if err != nil && !errors.As(err, &missing) {
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -44,10 +44,10 @@
 
 // Front is one entry. Set the exported fields before Start.
 type Front struct {
-	Settings settings.Front
-	Outside  Outside
-	Counters *metric.Set
-	Logger   *slog.Logger
+	Settings     settings.Front
+	Dependencies Dependencies
+	Counters     *metric.Set
+	Logger       *slog.Logger
 
 	done      part.Done
 	routing   routing.Store
@@ -102,24 +102,24 @@
 	f.held.Counters, f.held.Logger = f.Counters, f.Logger
 	f.held.Limit(s.HeldBytes())
 	f.forwarder = forward.Forwarder{
-		Home: home, Routing: &f.routing, Roster: &f.roster, Headers: f.Outside.Headers, Reporter: f.Outside.Engines,
+		Home: home, Routing: &f.routing, Roster: &f.roster, Headers: f.Dependencies.Headers, Reporter: f.Dependencies.Engines,
 		Counters: f.Counters, Logger: f.Logger,
 		KeysTrustedUntil: s.KeyTrust, ReportFailure: f.source.ReportLoss, ReportOccupant: f.source.ReportOwner, MemoryBudget: &f.held, ReportPace: f.source.ReportSlowness,
 		Quarantine: f.source.Quarantine(), OnResume: f.woke,
 	}
 	if s.ChangePaths {
-		f.forwarder.PathChanger = f.Outside.Engines
+		f.forwarder.PathChanger = f.Dependencies.Engines
 	}
 	f.forwarder.InitRetryBudget(forward.RetryBudget{Share: s.RetryShare * shareKept, Slack: s.RetrySlack, WindowEnd: s.RetryWindow}, census.DefaultCount, clock.Now())
 	f.director = director.Director{
-		Self: s.Name, LeaseKind: ownKind, Routing: &f.routing, Roster: &f.roster, Engines: f.Outside.Engines,
-		Objects: f.Outside.Objects, Entries: f.watching, Following: f.source.Following, Followed: f.source.Followed, Counters: f.Counters, Logger: f.Logger,
+		Self: s.Name, LeaseKind: ownKind, Routing: &f.routing, Roster: &f.roster, Engines: f.Dependencies.Engines,
+		Objects: f.Dependencies.Objects, Entries: f.watching, Following: f.source.Following, Followed: f.source.Followed, Counters: f.Counters, Logger: f.Logger,
 		Misdirected: f.misdirected,
 	}
 	f.source = relay.Source{
-		Platform: f.Outside.Objects,
+		Platform: f.Dependencies.Objects,
 		Self:     protocol.EntryRecord{Name: s.Name, DataCenter: s.DataCenter, MemoryMB: s.MemoryMB},
-		Kinds:    []string{f.Outside.RoutingKind, f.Outside.EndpointKind, entryKind, ownKind}, ConfirmedKind: f.Outside.RoutingKind, ConfirmedName: f.Outside.RoutingName,
+		Kinds:    []string{f.Dependencies.RoutingKind, f.Dependencies.EndpointKind, entryKind, ownKind}, ConfirmedKind: f.Dependencies.RoutingKind, ConfirmedName: f.Dependencies.RoutingName,
 		Counters: f.Counters, Logger: f.Logger, OnPlatformFailure: f.roster.MarkOutage,
 		EndpointCount: f.roster.Count, OnLossChange: f.judged, Incarnation: f.roster.Incarnation, OnSlownessChange: f.paced,
 	}
@@ -143,12 +143,12 @@
 func (f *Front) watch() {
 	tables := &routingSink{front: f}
 	f.watchers = []*watch.Watcher{
-		{Source: &f.source, Kind: f.Outside.RoutingKind, Sink: tables, EntryCount: f.watching},
-		{Source: &f.source, Kind: f.Outside.EndpointKind, Sink: &endpointSink{front: f}, EntryCount: f.watching},
+		{Source: &f.source, Kind: f.Dependencies.RoutingKind, Sink: tables, EntryCount: f.watching},
+		{Source: &f.source, Kind: f.Dependencies.EndpointKind, Sink: &endpointSink{front: f}, EntryCount: f.watching},
 		{Source: &f.source, Kind: ownKind, Sink: &ownSink{front: f}, EntryCount: f.watching},
 	}
 	f.confirmer = watch.Confirmer{
-		Source: &f.source, Kind: f.Outside.RoutingKind, Name: f.Outside.RoutingName,
+		Source: &f.source, Kind: f.Dependencies.RoutingKind, Name: f.Dependencies.RoutingName,
 		Sink: tables, Watchers: f.watchers,
 	}
 	f.source.Start()
--- a/transport/front/occupants.go
+++ b/transport/front/occupants.go
@@ -113,7 +113,7 @@
 		return ""
 	}
 	f.Counters.Add(metric.ReportsAsked, 1)
-	id, err := f.Outside.Engines.Identify(ctx, q.Address(), s.HealthPath)
+	id, err := f.Dependencies.Engines.Identify(ctx, q.Address(), s.HealthPath)
 	if err != nil {
 		return ""
 	}
@@ -125,7 +125,7 @@
 func (i *inquiry) holds(ctx context.Context) bool {
 	f, q := i.front, i.question
 	f.Counters.Add(metric.ReportsAsked, 1)
-	report, err := f.Outside.Engines.Report(ctx, q.Address())
+	report, err := f.Dependencies.Engines.Report(ctx, q.Address())
 	if err != nil {
 		return false
 	}
--- a/transport/front/occupants_test.go
+++ b/transport/front/occupants_test.go
@@ -47,7 +47,7 @@
 		{"nothing", asked{err: errors.New("no answer")}, true, protocol.Span{}},
 		{"no name", asked{}, true, protocol.Span{}},
 	} {
-		f := &Front{Counters: &metric.Set{}, Outside: Outside{Engines: &c.says}}
+		f := &Front{Counters: &metric.Set{}, Dependencies: Dependencies{Engines: &c.says}}
 		f.forwarder = forward.Forwarder{Roster: &f.roster, Counters: f.Counters}
 		f.source.OnLossChange = f.judged
 		services := []protocol.RoutedService{{Name: "llm", HealthPath: "/health", Engine: &protocol.EngineFacts{Layers: 5}}}
--- a/transport/front/opening_test.go
+++ b/transport/front/opening_test.go
@@ -46,7 +46,7 @@
 			if keyed {
 				table.Teams = []protocol.RoutedTeam{{Name: "team", Keys: []string{"key"}}}
 			}
-			f := &Front{Counters: &metric.Set{}, Outside: Outside{RoutingName: "main", Decoder: fixed{table: table}}}
+			f := &Front{Counters: &metric.Set{}, Dependencies: Dependencies{RoutingName: "main", Decoder: fixed{table: table}}}
 			f.forwarder = forward.Forwarder{Routing: &f.routing, Roster: &f.roster, Headers: silentHeaders{}, Counters: f.Counters}
 			f.forwarder.Start()
 			defer f.forwarder.Close()
@@ -77,7 +77,7 @@
 // TestCallersWaitUntilRefusalsAreRead has everything else come first.
 func TestCallersWaitUntilRefusalsAreRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &Front{Counters: &metric.Set{}, Outside: Outside{RoutingName: "main", Decoder: fixed{table: protocol.Routing{Version: 1}}}}
+		f := &Front{Counters: &metric.Set{}, Dependencies: Dependencies{RoutingName: "main", Decoder: fixed{table: protocol.Routing{Version: 1}}}}
 		f.forwarder = forward.Forwarder{Routing: &f.routing, Roster: &f.roster, Headers: silentHeaders{}, Counters: f.Counters}
 		f.refusals.front = f
 		f.forwarder.Start()
--- a/transport/front/outside.go
+++ b/transport/front/outside.go
@@ -11,8 +11,8 @@
 	"pinerun.example/pinerun/transport/watch"
 )
 
-// Outside is everything that a front meets, behind one platform's names.
-type Outside struct {
+// Dependencies is everything that a front meets, behind one platform's names.
+type Dependencies struct {
 	Objects      Objects
 	Engines      Engines
 	Headers      forward.HeaderCodec
--- a/transport/front/records_test.go
+++ b/transport/front/records_test.go
@@ -41,7 +41,7 @@
 func newRecordWorld(t *testing.T) *recordWorld {
 	w := &recordWorld{t: t, now: time.Now()}
 	logger := slog.New(slog.NewJSONHandler(&w.lines, nil))
-	w.front = &Front{Counters: &metric.Set{}, Logger: logger, Outside: Outside{RoutingName: "main", Decoder: written{}}}
+	w.front = &Front{Counters: &metric.Set{}, Logger: logger, Dependencies: Dependencies{RoutingName: "main", Decoder: written{}}}
 	w.front.records = records{counters: w.front.Counters, logger: logger}
 	w.sink = &endpointSink{front: w.front}
 	return w
@@ -161,7 +161,7 @@
 // sound one.
 func TestATableThatCantBeReadLeavesTheOneBefore(t *testing.T) {
 	w := newRecordWorld(t)
-	w.front.Outside.Decoder = tables{}
+	w.front.Dependencies.Decoder = tables{}
 	sink := &routingSink{front: w.front}
 	sink.Listed([]protocol.Object{w.object("main", "plain")}, w.now)
 	w.list(map[string]string{"e1": "plain"})
--- a/transport/front/refusals.go
+++ b/transport/front/refusals.go
@@ -149,7 +149,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), keepLimit)
 	defer cancel()
-	_, err = r.front.Outside.Objects.Put(ctx, ownKind, refusedPrefix+work.String(), r.version(work), value)
+	_, err = r.front.Dependencies.Objects.Put(ctx, ownKind, refusedPrefix+work.String(), r.version(work), value)
 	var raced *platform.Conflict
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -287,7 +287,7 @@
 func (r *refusals) remove(work protocol.Fingerprint, version uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), keepLimit)
 	defer cancel()
-	err := r.front.Outside.Objects.Delete(ctx, ownKind, refusedPrefix+work.String(), version)
+	err := r.front.Dependencies.Objects.Delete(ctx, ownKind, refusedPrefix+work.String(), version)
 	if err != nil {
 		r.front.platformFailed("refusals", err)
 	}
--- a/transport/front/refusals_test.go
+++ b/transport/front/refusals_test.go
@@ -59,7 +59,7 @@
 // TestARefusalThatComesIsNotTakenForOneThatLapsed has refusals come while lapsed ones are looked for.
 func TestARefusalThatComesIsNotTakenForOneThatLapsed(t *testing.T) {
 	store := &deletions{}
-	f := &Front{Counters: &metric.Set{}, Outside: Outside{Objects: store}}
+	f := &Front{Counters: &metric.Set{}, Dependencies: Dependencies{Objects: store}}
 	f.assemble()
 	l := &teller{refusals: &f.refusals, times: 128, done: make(chan struct{})}
 	go l.run()
--- a/transport/front/register.go
+++ b/transport/front/register.go
@@ -105,7 +105,7 @@
 		r.count(now)
 		return now.Add(lookFollowed)
 	}
-	list, err := r.front.Outside.Objects.ListLately(ctx, entryKind)
+	list, err := r.front.Dependencies.Objects.ListLately(ctx, entryKind)
 	if err != nil {
 		r.front.platformFailed("entries", err)
 		return now.Add(registerAgain)
@@ -131,7 +131,7 @@
 	}
 	r.keepFirsts(ctx, relay.SeedEntries(records))
 	for _, old := range r.census.Stale(now) {
-		if err := r.front.Outside.Objects.Delete(ctx, entryKind, old.Name(), old.Version()); err != nil {
+		if err := r.front.Dependencies.Objects.Delete(ctx, entryKind, old.Name(), old.Version()); err != nil {
 			r.front.platformFailed("entries", err)
 		}
 	}
@@ -185,11 +185,11 @@
 	if err != nil {
 		return err
 	}
-	version, err := f.Outside.Objects.Put(ctx, entryKind, f.Settings.Name, r.version, value)
+	version, err := f.Dependencies.Objects.Put(ctx, entryKind, f.Settings.Name, r.version, value)
 	var raced *platform.Conflict
 	if errors.As(err, &raced) {
 		r.version = raced.Held()
-		version, err = f.Outside.Objects.Put(ctx, entryKind, f.Settings.Name, r.version, value)
+		version, err = f.Dependencies.Objects.Put(ctx, entryKind, f.Settings.Name, r.version, value)
 	}
 	if err != nil {
 		f.platformFailed("entries", err)
--- a/transport/front/register_test.go
+++ b/transport/front/register_test.go
@@ -125,7 +125,7 @@
 }
 
 func newRegister(store *lateStore, name string) *register {
-	f := &Front{Settings: settings.Front{Name: name}, Outside: Outside{Objects: store}, Counters: &metric.Set{}}
+	f := &Front{Settings: settings.Front{Name: name}, Dependencies: Dependencies{Objects: store}, Counters: &metric.Set{}}
 	f.source.Self = protocol.EntryRecord{Name: name, DataCenter: "a"}
 	f.source.Platform = store
 	return &register{front: f}
--- a/transport/front/routing_sink.go
+++ b/transport/front/routing_sink.go
@@ -58,7 +58,7 @@
 	f := s.front
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if o.Name != f.Outside.RoutingName || o.Version <= s.seen {
+	if o.Name != f.Dependencies.RoutingName || o.Version <= s.seen {
 		return
 	}
 	s.seen = o.Version
@@ -74,7 +74,7 @@
 // use puts a table in force unless it is older than the one that is.
 func (s *routingSink) use(o protocol.Object) error {
 	f := s.front
-	decoded, err := f.Outside.Decoder.Routing(o)
+	decoded, err := f.Dependencies.Decoder.Routing(o)
 	if err != nil {
 		return err
 	}
--- a/transport/front/search_test.go
+++ b/transport/front/search_test.go
@@ -110,7 +110,7 @@
 		s.put(t, protocol.EntryRecord{Name: fmt.Sprint("entry-", i), DataCenter: "a", Peers: "p", MemoryMB: 1})
 	}
 	r := newRegister(&s.lateStore, "entry-57")
-	r.front.Outside.Objects = s
+	r.front.Dependencies.Objects = s
 	now := time.Now()
 	for range 2 * firstLooks {
 		before := s.pages
@@ -130,11 +130,11 @@
 		s.put(t, all[i])
 	}
 	first := newRegister(&s.lateStore, "first")
-	first.front.Outside.Objects = s
+	first.front.Dependencies.Objects = s
 	first.keepFirsts(t.Context(), relay.SeedEntries(all))
 
 	r := newRegister(&s.lateStore, "late") // of a smaller VM than all others
-	r.front.Outside.Objects = s
+	r.front.Dependencies.Objects = s
 	begun := time.Now()
 	next := r.begin(t.Context(), begun)
 	require.Greater(t, next.Sub(begun), time.Second)
--- a/transport/front/sinks_test.go
+++ b/transport/front/sinks_test.go
@@ -30,7 +30,7 @@
 func TestATableIsInForceOnlyOnceItsServicesHaveEndpoints(t *testing.T) {
 	f := &Front{
 		Counters: &metric.Set{},
-		Outside: Outside{RoutingName: "main", Decoder: fixed{table: protocol.Routing{
+		Dependencies: Dependencies{RoutingName: "main", Decoder: fixed{table: protocol.Routing{
 			Version: 1, Services: []protocol.RoutedService{{Name: "plain"}},
 		}}},
 	}
@@ -53,7 +53,7 @@
 // TestEndpointsOutliveAnOutageThatOnlyAReadMet lets the watch of endpoints rest through
 // the end of an outage, in which a read of the routing table fails.
 func TestEndpointsOutliveAnOutageThatOnlyAReadMet(t *testing.T) {
-	f := &Front{Counters: &metric.Set{}, Outside: Outside{RoutingName: "main", Decoder: fixed{}}}
+	f := &Front{Counters: &metric.Set{}, Dependencies: Dependencies{RoutingName: "main", Decoder: fixed{}}}
 	endpoints := &endpointSink{front: f}
 	tables := &routingSink{front: f}
 	began := time.Now()
@@ -74,7 +74,7 @@
 // TestAnEndpointThatStartsAgainIsCountedOnce: its record tells a later start, and then one of
 // its earlier life is written late.
 func TestAnEndpointThatStartsAgainIsCountedOnce(t *testing.T) {
-	f := &Front{Counters: &metric.Set{}, Outside: Outside{RoutingName: "main", Decoder: lived{}}}
+	f := &Front{Counters: &metric.Set{}, Dependencies: Dependencies{RoutingName: "main", Decoder: lived{}}}
 	s := &endpointSink{front: f}
 	now := time.Now()
 	for i, life := range []int{1, 2, 1, 2} {
@@ -87,7 +87,7 @@
 
 // TestAnEndpointThatStartsAgainIsCountedInAListToo: changes that are missed are made good by a list.
 func TestAnEndpointThatStartsAgainIsCountedInAListToo(t *testing.T) {
-	f := &Front{Counters: &metric.Set{}, Outside: Outside{RoutingName: "main", Decoder: lived{}}}
+	f := &Front{Counters: &metric.Set{}, Dependencies: Dependencies{RoutingName: "main", Decoder: lived{}}}
 	s := &endpointSink{front: f}
 	now := time.Now()
 	for i, life := range []int{1, 2, 1, 2} {
--- a/transport/front/start.go
+++ b/transport/front/start.go
@@ -96,7 +96,7 @@
 // read returns records to find peers in, and whether they are all there are: only as many as that
 // takes. If none was found in the first looks, they are all, as of this moment.
 func (r *register) read(ctx context.Context) (protocol.Listing, bool, error) {
-	objects := r.front.Outside.Objects
+	objects := r.front.Dependencies.Objects
 	switch {
 	case r.looks < cheapLooks, len(peersAmong(r.search.objects, r.front.source.Record())) > 0:
 		return r.search.run(ctx, objects, r.front.source.Record())
