--- a/transport/ending/ending.go
+++ b/transport/crashcheck/ending.go
@@ -5,7 +5,7 @@
 // passed on, or held by the host while the process starts again.
 //
 //	checks.Begin(&ending.Case{Endpoint: name, Life: life, Asker: asker, Book: book}, now)
-package ending
+package crashcheck
 
 import (
 	"log/slog"
--- a/transport/ending/ending_test.go
+++ b/transport/crashcheck/ending_test.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package ending
+package crashcheck
 
 import (
 	"sync"
--- a/transport/entry/suspects.go
+++ b/transport/entry/suspects.go
@@ -14,7 +14,7 @@
 	"pinerun.example/pinerun/internal/part"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
-	"pinerun.example/pinerun/transport/ending"
+	"pinerun.example/pinerun/transport/crashcheck"
 	"pinerun.example/pinerun/transport/relay"
 )
 
@@ -39,7 +39,7 @@
 	againAt time.Time // when they were last told again
 
 	done    part.Done
-	endings ending.Checker
+	endings crashcheck.Checker
 	mutex   sync.Mutex
 	heard   []heardEnd // that are not asked after yet
 	kept    []keptNews // for peers to come
@@ -192,7 +192,7 @@
 // check begins to find out whether a life of a runner has ended under what was there at a time of
 // day, unless that is being found out.
 func (s *suspects) check(r *fleet.Runner, life protocol.Incarnation, at time.Time) {
-	s.endings.Begin(&ending.Suspect{
+	s.endings.Begin(&crashcheck.Suspect{
 		Endpoint: r.Name(), Incarnation: life, Recorder: &s.book, Logger: s.entry.Logger, Prober: &endCheck{runner: r, life: life, at: at},
 	}, clock.Now())
 }
--- a/transport/forward/end_check.go
+++ b/transport/forward/end_check.go
@@ -13,7 +13,7 @@
 	"pinerun.example/pinerun/internal/clock"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
-	"pinerun.example/pinerun/transport/ending"
+	"pinerun.example/pinerun/transport/crashcheck"
 )
 
 // portQuiet is how long a connection to a plain service must stay open to show that a process has
@@ -23,7 +23,7 @@
 // checkEnd sees to it that an attempt's endpoint is asked after what broke there.
 func (f *Forwarder) checkEnd(a *attempt, engine bool, now time.Time) {
 	f.Quarantine.RecordUnresolved(a.endpoint.Name(), a.life, now)
-	f.endings.Begin(&ending.Suspect{
+	f.endings.Begin(&crashcheck.Suspect{
 		Endpoint: a.endpoint.Name(), Incarnation: a.life, Recorder: f.Quarantine, Logger: f.Logger,
 		Prober: &endCheck{forwarder: f, runner: a.endpoint, life: a.life, engine: engine, sentAt: time.Now().Add(-now.Sub(a.sentAt))},
 	}, now)
--- a/transport/forward/forwarder.go
+++ b/transport/forward/forwarder.go
@@ -18,7 +18,7 @@
 	"pinerun.example/pinerun/state/registry"
 	"pinerun.example/pinerun/state/routing"
 	"pinerun.example/pinerun/transport/backlog"
-	"pinerun.example/pinerun/transport/ending"
+	"pinerun.example/pinerun/transport/crashcheck"
 )
 
 // HeaderCodec translates between headers and what they say.
@@ -74,7 +74,7 @@
 	pool     pool
 	inflight inflight
 	suspects suspects
-	endings  ending.Checker
+	endings  crashcheck.Checker
 	lines    lines
 	poller   poller
 	paces    paces
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -18,7 +18,7 @@
 	"pinerun.example/pinerun/internal/metric"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
-	"pinerun.example/pinerun/transport/ending"
+	"pinerun.example/pinerun/transport/crashcheck"
 )
 
 // apartFor is how long a request that was at one end is open at a single endpoint before its first
@@ -41,7 +41,7 @@
 	Report(news protocol.RelayWork, at time.Time)
 	// RecordUnresolved notes that it may turn out soon whether a life of an endpoint has ended.
 	RecordUnresolved(endpoint string, life protocol.Incarnation, now time.Time)
-	ending.Recorder
+	crashcheck.Recorder
 }
 
 // trialWait is a request that waits until its work may run alone.
