--- a/transport/crashcheck/ending.go
+++ b/transport/crashcheck/crashcheck.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package ending finds out whether lives of endpoints have ended whose answers broke off, by asking
+// Package crashcheck finds out whether lives of endpoints have ended whose answers broke off, by asking
 // them again and again. A port that takes connections is no proof that its endpoint lives: it may be
 // passed on, or held by the host while the process starts again.
 //
