--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -65,7 +65,7 @@
 		{"fleet_heap", viewRun, "runners", "B", runners},
 		{"view_ms", viewRun, "runners", "ms", runners},
 		{"view_heap", viewRun, "runners", "B", runners},
-		{"story_heap", "go test -run xxx -bench Book -benchtime 1x ./state/trace", "stories", "B", storiesKept},
+		{"story_heap", "go test -run xxx -bench Log -benchtime 1x ./state/trace", "stories", "B", storiesKept},
 		{"report_us", "go test -run xxx -bench Report ./transport/engine", "reports", "µs", 1},
 		{"report_bytes", "go test -run xxx -bench Report ./transport/engine", "reports", "B", 1},
 		{"beat_us", "go test -run xxx -bench Beat ./protocol", "heartbeats", "µs", 1},
