--- a/transport/entry/membership.go
+++ b/transport/entry/membership.go
@@ -118,8 +118,8 @@
 // peerHandler takes what peers say.
 type peerHandler struct{ entry *Entry }
 
-// Frame takes one frame of a peer.
-func (h *peerHandler) Frame(from string, f *protocol.PeerFrame) {
+// HandleFrame takes one frame of a peer.
+func (h *peerHandler) HandleFrame(from string, f *protocol.PeerFrame) {
 	e := h.entry
 	if f.Heartbeat != nil {
 		e.hearLeaving(f.Heartbeat)
@@ -131,16 +131,16 @@
 	e.claims.Frame(from, f)
 }
 
-// Beat returns what this entry tells its peers.
-func (h *peerHandler) Beat() protocol.PeerHeartbeat {
+// Heartbeat returns what this entry tells its peers.
+func (h *peerHandler) Heartbeat() protocol.PeerHeartbeat {
 	e := h.entry
 	beat := protocol.PeerHeartbeat{Version: e.follower.Version()}
 	e.tellLeaving(&beat)
 	return beat
 }
 
-// Work returns what this entry knows of work that may end runners.
-func (h *peerHandler) Work() []protocol.RelayWork { return h.entry.suspects.all() }
+// UnresolvedWork returns what this entry knows of work that may end runners.
+func (h *peerHandler) UnresolvedWork() []protocol.RelayWork { return h.entry.suspects.all() }
 
 // liveEntries returns how many entries share the callers, at least 1.
 func (e *Entry) liveEntries() int { return max(1, e.mesh.CountAlive()) }
--- a/transport/follow/follow_test.go
+++ b/transport/follow/follow_test.go
@@ -37,11 +37,11 @@
 	steps    []uint64
 }
 
-func (n *node) Frame(from string, f *protocol.PeerFrame) { n.follower.Frame(from, f) }
-func (n *node) Beat() protocol.PeerHeartbeat {
+func (n *node) HandleFrame(from string, f *protocol.PeerFrame) { n.follower.Frame(from, f) }
+func (n *node) Heartbeat() protocol.PeerHeartbeat {
 	return protocol.PeerHeartbeat{Version: n.follower.Version()}
 }
-func (n *node) Work() []protocol.RelayWork { return nil }
+func (n *node) UnresolvedWork() []protocol.RelayWork { return nil }
 
 func (n *node) inForce(c *config.Config) {
 	n.mutex.Lock()
--- a/transport/peer/link.go
+++ b/transport/peer/link.go
@@ -78,8 +78,8 @@
 	defer socket.CloseNow()
 	socket.SetReadLimit(protocol.MaxFrameBytes)
 	hello := l.mesh.Self
-	beat := l.mesh.Handler.Beat()
-	first := protocol.PeerFrame{Hello: &hello, Heartbeat: &beat, Members: l.mesh.Known(), Work: l.mesh.Handler.Work()}
+	beat := l.mesh.Handler.Heartbeat()
+	first := protocol.PeerFrame{Hello: &hello, Heartbeat: &beat, Members: l.mesh.Known(), Work: l.mesh.Handler.UnresolvedWork()}
 	go (&linkWriter{link: l, socket: socket, first: first}).run(ctx)
 	l.mesh.lost(l, l.read(ctx, socket))
 }
@@ -107,7 +107,7 @@
 		}
 		l.note()
 		l.mesh.heard(l, &f)
-		l.mesh.Handler.Frame(l.name, &f)
+		l.mesh.Handler.HandleFrame(l.name, &f)
 	}
 }
 
--- a/transport/peer/mesh.go
+++ b/transport/peer/mesh.go
@@ -44,12 +44,12 @@
 
 // Handler gets what peers say. Its methods are called from many goroutines.
 type Handler interface {
-	// Frame takes a frame from a peer.
-	Frame(from string, f *protocol.PeerFrame)
-	// Beat returns what to tell peers now.
-	Beat() protocol.PeerHeartbeat
-	// Work returns what to tell a peer that has just been met of work that may end runners.
-	Work() []protocol.RelayWork
+	// HandleFrame takes a frame from a peer.
+	HandleFrame(from string, f *protocol.PeerFrame)
+	// Heartbeat returns what to tell peers now.
+	Heartbeat() protocol.PeerHeartbeat
+	// UnresolvedWork returns what to tell a peer that has just been met of work that may end runners.
+	UnresolvedWork() []protocol.RelayWork
 }
 
 // Mesh is an entry's links to its peers. Set the exported fields before Start.
@@ -110,7 +110,7 @@
 
 // Beat sends a heartbeat on every link now.
 func (m *Mesh) Beat() {
-	beat := m.Handler.Beat()
+	beat := m.Handler.Heartbeat()
 	m.mutex.Lock()
 	beat.Stops = m.stops
 	m.mutex.Unlock()
