--- a/transport/claims/ask.go
+++ b/transport/claims/ask.go
@@ -33,7 +33,7 @@
 }
 
 // remote reports whether another entry ranks first for a shard, and which.
-func (k *Keeper) remote(s *shard) (string, bool) {
+func (k *Store) remote(s *shard) (string, bool) {
 	if k.Mesh == nil {
 		return "", false
 	}
@@ -42,7 +42,7 @@
 }
 
 // ask puts one record to another entry and waits for the verdict.
-func (k *Keeper) ask(ctx context.Context, writer string, r protocol.ClaimRecord) (claim.Result, error) {
+func (k *Store) ask(ctx context.Context, writer string, r protocol.ClaimRecord) (claim.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, askLimit)
 	defer cancel()
 	id, answer := k.asks.add()
@@ -92,8 +92,8 @@
 	}
 }
 
-// Frame takes what a peer asks or answers.
-func (k *Keeper) Frame(from string, f *protocol.PeerFrame) {
+// HandleFrame takes what a peer asks or answers.
+func (k *Store) HandleFrame(from string, f *protocol.PeerFrame) {
 	for _, a := range f.Answers {
 		k.asks.answered(a)
 	}
@@ -104,7 +104,7 @@
 
 // asked is one question of another entry.
 type asked struct {
-	keeper *Keeper
+	keeper *Store
 	from   string
 	ask    protocol.ClaimAsk
 }
@@ -126,7 +126,7 @@
 
 // keeping is one release or outcome on its way through another entry.
 type keeping struct {
-	keeper *Keeper
+	keeper *Store
 	shard  *shard
 	writer string
 	record protocol.ClaimRecord
--- a/transport/claims/keeper.go
+++ b/transport/claims/keeper.go
@@ -39,24 +39,24 @@
 	expireEvery = 10 * time.Second
 )
 
-// Keeper holds every claim shard. Set the exported fields before Start.
-type Keeper struct {
+// Store holds every claim shard. Set the exported fields before Start.
+type Store struct {
 	Platform *platform.Client
 	Counters *metric.Set
 	Logger   *slog.Logger
 	Mesh     *peer.Mesh // nil when this entry writes every shard itself
-	// Gone reports whether an entry's life is over or can't be reached; nil never
+	// IsGone reports whether an entry's life is over or can't be reached; nil never
 	// says so.
-	Gone   func(entry string, life uint64) bool
-	Shards int
-	Retain func(issued time.Time) time.Time
+	IsGone      func(entry string, life uint64) bool
+	Shards      int
+	RetainUntil func(issued time.Time) time.Time
 
 	shards []*shard
 	asks   asks
 }
 
 // Start begins to serve claims. No shard is read before its first claim.
-func (k *Keeper) Start() {
+func (k *Store) Start() {
 	for i := range k.Shards {
 		s := newShard(k, i)
 		k.shards = append(k.shards, s)
@@ -65,18 +65,18 @@
 }
 
 // Close ends the shards; what was not written is lost.
-func (k *Keeper) Close() {
+func (k *Store) Close() {
 	for _, s := range k.shards {
 		s.done.Close()
 	}
 }
 
-func (k *Keeper) shardOf(key protocol.ClaimKey) *shard { return k.shards[key.Shard(len(k.shards))] }
+func (k *Store) shardOf(key protocol.ClaimKey) *shard { return k.shards[key.Shard(len(k.shards))] }
 
 // Claim returns once the claim is durable or refused. An error means that it
 // was given up before either; it will then never be granted. The entry that
 // ranks first for the shard writes for all; without its verdict this one writes.
-func (k *Keeper) Claim(ctx context.Context, r protocol.ClaimRecord) (claim.Result, error) {
+func (k *Store) Claim(ctx context.Context, r protocol.ClaimRecord) (claim.Result, error) {
 	s := k.shardOf(r.Key)
 	writer, remote := k.remote(s)
 	if !remote {
@@ -92,7 +92,7 @@
 		// The writer may still make the claim durable. The release goes the same
 		// way, so that it comes behind the claim.
 		r.Kind = protocol.ClaimReleased
-		k.Keep(r)
+		k.Persist(r)
 	}
 	return result, err
 }
@@ -100,7 +100,7 @@
 // Await claims again and again while another claimant holds the key, until it
 // has settled, has released the key to us, or ctx ends. A claimant whose entry is
 // gone won't tell any more: its request may have run, and that is said soon.
-func (k *Keeper) Await(ctx context.Context, r protocol.ClaimRecord) (claim.Result, error) {
+func (k *Store) Await(ctx context.Context, r protocol.ClaimRecord) (claim.Result, error) {
 	pause := lookFirst
 	var gone time.Time // from when the holder was gone at every look
 	var seen claim.Result
@@ -115,7 +115,7 @@
 		seen = result
 		held := result.Existing()
 		switch {
-		case k.Gone == nil || held.Holder == "" || !k.Gone(held.Holder, held.Life):
+		case k.IsGone == nil || held.Holder == "" || !k.IsGone(held.Holder, held.Life):
 			gone = time.Time{}
 		case gone.IsZero():
 			gone = time.Now()
@@ -134,8 +134,8 @@
 	}
 }
 
-// Keep makes a release or an outcome durable in the background.
-func (k *Keeper) Keep(r protocol.ClaimRecord) {
+// Persist makes a release or an outcome durable in the background.
+func (k *Store) Persist(r protocol.ClaimRecord) {
 	s := k.shardOf(r.Key)
 	writer, remote := k.remote(s)
 	if !remote {
@@ -148,7 +148,7 @@
 
 // Flush waits until everything is durable or ctx ends, and returns how many
 // records are not.
-func (k *Keeper) Flush(ctx context.Context) int {
+func (k *Store) Flush(ctx context.Context) int {
 	k.asks.flush(ctx)
 	left := 0
 	for _, s := range k.shards {
--- a/transport/claims/keeper_test.go
+++ b/transport/claims/keeper_test.go
@@ -25,9 +25,9 @@
 
 func retain(issued time.Time) time.Time { return issued.Add(10 * time.Minute) }
 
-func newKeeper(tb testing.TB, p *standin.Platform) *claims.Keeper {
-	k := &claims.Keeper{
-		Platform: &platform.Client{Base: "http://" + p.Address()}, Counters: &metric.Set{}, Shards: 4, Retain: retain,
+func newKeeper(tb testing.TB, p *standin.Platform) *claims.Store {
+	k := &claims.Store{
+		Platform: &platform.Client{Base: "http://" + p.Address()}, Counters: &metric.Set{}, Shards: 4, RetainUntil: retain,
 	}
 	k.Start()
 	tb.Cleanup(k.Close)
@@ -48,7 +48,7 @@
 	t.Cleanup(p.Close)
 	p.Unlimited = true
 	p.Fail(standin.Faults{LoseAnswer: 3, Slow: time.Millisecond})
-	keepers := []*claims.Keeper{newKeeper(t, &p), newKeeper(t, &p), newKeeper(t, &p)}
+	keepers := []*claims.Store{newKeeper(t, &p), newKeeper(t, &p), newKeeper(t, &p)}
 	const keys = 20
 	var granted [keys]atomic.Int32
 	var all sync.WaitGroup
@@ -202,7 +202,7 @@
 
 // besideAHolder starts a platform, has the seventh life of the entry e1 claim "key" there, and returns
 // another entry's keeper.
-func besideAHolder(t *testing.T, p *standin.Platform) *claims.Keeper {
+func besideAHolder(t *testing.T, p *standin.Platform) *claims.Store {
 	require.NoError(t, p.Listen("127.0.0.1:0"))
 	t.Cleanup(p.Close)
 	p.Unlimited = true
@@ -223,7 +223,7 @@
 	var looked atomic.Int32
 	short, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	second.Gone = func(entry string, life uint64) bool {
+	second.IsGone = func(entry string, life uint64) bool {
 		require.Equal(t, "e1", entry)
 		require.Equal(t, uint64(7), life)
 		n := looked.Add(1)
@@ -236,7 +236,7 @@
 	require.NoError(t, err)
 	require.Equal(t, claim.Held, result.Verdict(), "it may only be paused")
 	require.Greater(t, looked.Load(), int32(2))
-	second.Gone = func(string, uint64) bool { return true }
+	second.IsGone = func(string, uint64) bool { return true }
 	result, err = second.Await(context.Background(), record("key"))
 	require.NoError(t, err)
 	require.Equal(t, claim.Doubtful, result.Verdict())
@@ -253,7 +253,7 @@
 	second := besideAHolder(t, &p)
 	deadline, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	second.Gone = func(string, uint64) bool {
+	second.IsGone = func(string, uint64) bool {
 		p.Fail(standin.Faults{Slow: time.Hour})
 		return false
 	}
--- a/transport/claims/shard.go
+++ b/transport/claims/shard.go
@@ -16,7 +16,7 @@
 
 // shard runs one claim log against the platform.
 type shard struct {
-	keeper *Keeper
+	keeper *Store
 	number int
 	done   part.Done
 	wake   chan struct{}
@@ -38,10 +38,10 @@
 
 func keyOf(r protocol.ClaimRecord) waitKey { return waitKey{claimant: r.Claimant, kind: r.Kind} }
 
-func newShard(k *Keeper, number int) *shard {
+func newShard(k *Store, number int) *shard {
 	return &shard{
 		keeper: k, number: number, wake: make(chan struct{}, 1),
-		log: claim.Log{RetainUntil: k.Retain}, waiting: map[waitKey][]chan claim.Result{},
+		log: claim.Log{RetainUntil: k.RetainUntil}, waiting: map[waitKey][]chan claim.Result{},
 	}
 }
 
--- a/transport/entry/claimed.go
+++ b/transport/entry/claimed.go
@@ -97,7 +97,7 @@
 
 func (s *serviceRun) keep(r protocol.ClaimRecord, k protocol.ClaimKind) {
 	r.Kind = k
-	s.entry.claims.Keep(r)
+	s.entry.claims.Persist(r)
 }
 
 // replay answers a repeat from what the claim log holds.
--- a/transport/entry/entry.go
+++ b/transport/entry/entry.go
@@ -52,7 +52,7 @@
 	services  serviceClient
 	leaving   leavingVMs
 	retries   retries
-	claims    claims.Keeper
+	claims    claims.Store
 	suspects  suspects
 	mesh      peer.Mesh
 	follower  follow.Follower
@@ -160,9 +160,9 @@
 	e.claims.Counters = &e.counters
 	e.claims.Logger = e.Logger
 	e.claims.Mesh = &e.mesh
-	e.claims.Gone = e.mesh.Gone
+	e.claims.IsGone = e.mesh.Gone
 	e.claims.Shards = e.Settings.ClaimShards
-	e.claims.Retain = e.Settings.Limits.KeyExpiry
+	e.claims.RetainUntil = e.Settings.Limits.KeyExpiry
 	e.claims.Start()
 }
 
--- a/transport/entry/membership.go
+++ b/transport/entry/membership.go
@@ -128,7 +128,7 @@
 		e.suspects.hear(f.Work, from)
 	}
 	e.follower.Frame(from, f)
-	e.claims.Frame(from, f)
+	e.claims.HandleFrame(from, f)
 }
 
 // Heartbeat returns what this entry tells its peers.
