--- a/transport/forward/body_test.go
+++ b/transport/forward/body_test.go
@@ -43,7 +43,7 @@
 	require.NoError(t, err)
 	counters := &metric.Set{}
 	held := &backlog.Budget{Counters: counters}
-	held.Limit(512 << 10)
+	held.SetLimit(512 << 10)
 	f := &Forwarder{Routing: &routing.Store{}, Roster: &registry.Registry{}, Headers: plainHeaders{}, Counters: counters, MemoryBudget: held}
 	f.Routing.Offer(table)
 	f.Routing.Confirm(time.Now())
--- a/transport/forward/reservation.go
+++ b/transport/forward/reservation.go
@@ -37,7 +37,7 @@
 	if r.budget == nil || r.closed {
 		return true
 	}
-	if !r.budget.Body(n) {
+	if !r.budget.ReserveBody(n) {
 		return false
 	}
 	r.bytes += n
@@ -69,7 +69,7 @@
 	defer r.mutex.Unlock()
 	r.closed = true
 	if r.bytes != 0 {
-		r.budget.Body(-r.bytes)
+		r.budget.ReserveBody(-r.bytes)
 		r.bytes = 0
 	}
 }
--- a/transport/forward/slow_caller.go
+++ b/transport/forward/slow_caller.go
@@ -38,7 +38,7 @@
 	if x.caller == nil {
 		return nil
 	}
-	return x.caller.Told()
+	return x.caller.Progress()
 }
 
 // heed acts on whether the caller keeps up with its stream. Bytes that wait before the
@@ -51,7 +51,7 @@
 		x.writeFailed()
 		return
 	}
-	d := x.caller.Look(now)
+	d := x.caller.Decide(now)
 	if x.parked != nil {
 		x.heedParked(d, now)
 		return
@@ -126,7 +126,7 @@
 
 // writeFailed ends a stream whose caller's connection can't be written to any more.
 func (x *exchange) writeFailed() {
-	if x.caller != nil && errors.Is(x.caller.Err(), backlog.ErrEnded) {
+	if x.caller != nil && errors.Is(x.caller.Err(), backlog.ErrOverBudget) {
 		x.endForRoom()
 		return
 	}
@@ -166,7 +166,7 @@
 	x.flush()
 	for x.caller.Held() > 0 && x.caller.Err() == nil {
 		select {
-		case <-x.caller.Told():
+		case <-x.caller.Progress():
 		case <-x.request.Context().Done():
 			return false
 		}
@@ -180,9 +180,9 @@
 	switch {
 	case x.caller == nil:
 	case admitted:
-		x.caller.Serve(x.teamName(), x.urgency(), x.route.Resumable && x.route.MayRepeat())
+		x.caller.Assign(x.teamName(), x.urgency(), x.route.Resumable && x.route.MayRepeat())
 	default:
-		x.caller.Serve("", mostUrgency, true)
+		x.caller.Assign("", mostUrgency, true)
 	}
 }
 
