--- a/transport/claims/ask.go
+++ b/transport/claims/ask.go
@@ -37,7 +37,7 @@
 	if k.Mesh == nil {
 		return "", false
 	}
-	writer := k.Mesh.First(s.kind())
+	writer := k.Mesh.Owner(s.kind())
 	return writer, writer != k.Mesh.Self.Name
 }
 
--- a/transport/entry/entry.go
+++ b/transport/entry/entry.go
@@ -160,7 +160,7 @@
 	e.claims.Counters = &e.counters
 	e.claims.Logger = e.Logger
 	e.claims.Mesh = &e.mesh
-	e.claims.IsGone = e.mesh.Gone
+	e.claims.IsGone = e.mesh.IsGone
 	e.claims.Shards = e.Settings.ClaimShards
 	e.claims.RetainUntil = e.Settings.Limits.KeyExpiry
 	e.claims.Start()
@@ -202,7 +202,7 @@
 		return
 	}
 	event.EntryStopping.Log(e.Logger, slog.Int64("open", e.open.Load()))
-	e.mesh.Goodbye()
+	e.mesh.Leave()
 	e.removeLine(ctx)
 	waited := &waitForOpen{entry: e}
 	go waited.run()
--- a/transport/entry/membership.go
+++ b/transport/entry/membership.go
@@ -69,7 +69,7 @@
 	}
 	r.listed = true
 	r.entry.mesh.Learn(membersOf(objects))
-	if r.entry.mesh.First(member.SweepTask) == r.entry.Settings.Name {
+	if r.entry.mesh.Owner(member.SweepTask) == r.entry.Settings.Name {
 		for _, o := range r.sweep.Stale(objects, now) {
 			_ = r.entry.platform.Delete(ctx, o.Kind, o.Name, o.Version)
 		}
--- a/transport/follow/follow.go
+++ b/transport/follow/follow.go
@@ -242,7 +242,7 @@
 		f.Mesh.Broadcast(protocol.PeerFrame{Change: &change})
 		return
 	}
-	f.Mesh.Beat() // tell the version without waiting for the next second
+	f.Mesh.SendHeartbeats() // tell the version without waiting for the next second
 }
 
 // Frame takes what a peer says about configurations.
--- a/transport/follow/follow_test.go
+++ b/transport/follow/follow_test.go
@@ -123,7 +123,7 @@
 	}
 	n.mesh.Key, n.mesh.Handler, n.mesh.Counters = "a key that all nodes share", n, &n.counters
 	if loseOneIn > 0 {
-		n.mesh.Lose = func() bool { return rand.IntN(loseOneIn) == 0 }
+		n.mesh.DropFrame = func() bool { return rand.IntN(loseOneIn) == 0 }
 	}
 	n.follower.Platform = &platform.Client{Base: c.client.Base, Counters: &n.counters}
 	n.follower.Mesh, n.follower.Counters, n.follower.OnVersion = &n.mesh, &n.counters, n.inForce
--- a/transport/peer/known.go
+++ b/transport/peer/known.go
@@ -28,9 +28,9 @@
 	return m.table.Known()
 }
 
-// Gone reports whether an entry's life is over: it has another life by now, or
+// IsGone reports whether an entry's life is over: it has another life by now, or
 // can't be reached.
-func (m *Mesh) Gone(name string, incarnation uint64) bool {
+func (m *Mesh) IsGone(name string, incarnation uint64) bool {
 	if name == m.Self.Name {
 		return incarnation != m.Self.Incarnation
 	}
@@ -61,9 +61,9 @@
 	return m.table.RelayCount(time.Now())
 }
 
-// First returns the name of the entry that ranks first for a piece of work,
+// Owner returns the name of the entry that ranks first for a piece of work,
 // this one's if it knows nobody.
-func (m *Mesh) First(work string) string {
+func (m *Mesh) Owner(work string) string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	first, ok := m.table.Owner(work, time.Now())
@@ -73,22 +73,22 @@
 	return first.Name
 }
 
-// Told is the configuration version that a linked peer last told.
-type Told struct {
+// PeerVersion is the configuration version that a linked peer last told.
+type PeerVersion struct {
 	Name    string
 	Version uint64
 }
 
 // Versions returns what every linked peer last told, in order of name.
-func (m *Mesh) Versions() []Told {
+func (m *Mesh) Versions() []PeerVersion {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	all := make([]Told, 0, len(m.links))
+	all := make([]PeerVersion, 0, len(m.links))
 	for name, l := range m.links {
 		if l.isOpen() {
-			all = append(all, Told{Name: name, Version: l.told.Load()})
+			all = append(all, PeerVersion{Name: name, Version: l.told.Load()})
 		}
 	}
-	slices.SortFunc(all, func(a, b Told) int { return cmp.Compare(a.Name, b.Name) })
+	slices.SortFunc(all, func(a, b PeerVersion) int { return cmp.Compare(a.Name, b.Name) })
 	return all
 }
--- a/transport/peer/link.go
+++ b/transport/peer/link.go
@@ -41,7 +41,7 @@
 
 // send queues a frame and reports whether there was room.
 func (l *link) send(f protocol.PeerFrame) bool {
-	if l.done.Closed() || l.mesh.Lose != nil && l.mesh.Lose() {
+	if l.done.Closed() || l.mesh.DropFrame != nil && l.mesh.DropFrame() {
 		return false
 	}
 	select {
--- a/transport/peer/mesh.go
+++ b/transport/peer/mesh.go
@@ -26,8 +26,8 @@
 )
 
 const (
-	// BeatEvery is the time between two heartbeats on a link.
-	BeatEvery = time.Second
+	// HeartbeatInterval is the time between two heartbeats on a link.
+	HeartbeatInterval = time.Second
 	// silentFor is the time without a frame after which a link is closed.
 	silentFor = 3500 * time.Millisecond
 	// wantedFor is how long a link that was asked for stays without being used.
@@ -60,8 +60,8 @@
 	Handler  Handler
 	Counters *metric.Set
 	Logger   *slog.Logger
-	// Lose, if set, is asked for each frame whether to lose it; for tests.
-	Lose func() bool
+	// DropFrame, if set, is asked for each frame whether to lose it; for tests.
+	DropFrame func() bool
 
 	done      part.Done
 	mutex     sync.Mutex
@@ -98,18 +98,18 @@
 	}
 }
 
-// Goodbye tells the peers that this entry takes no new work, so that others
+// Leave tells the peers that this entry takes no new work, so that others
 // take over what it ranks first for.
-func (m *Mesh) Goodbye() {
+func (m *Mesh) Leave() {
 	m.mutex.Lock()
 	m.stops = true
 	m.table.Forget(m.Self.Name)
 	m.mutex.Unlock()
-	m.Beat()
+	m.SendHeartbeats()
 }
 
-// Beat sends a heartbeat on every link now.
-func (m *Mesh) Beat() {
+// SendHeartbeats sends a heartbeat on every link now.
+func (m *Mesh) SendHeartbeats() {
 	beat := m.Handler.Heartbeat()
 	m.mutex.Lock()
 	beat.Stops = m.stops
@@ -145,7 +145,7 @@
 
 // run keeps links and heartbeats going.
 func (m *Mesh) run() {
-	t := time.NewTicker(BeatEvery)
+	t := time.NewTicker(HeartbeatInterval)
 	defer t.Stop()
 	m.tick(time.Now())
 	for {
@@ -170,7 +170,7 @@
 	}
 	m.dialMissing(now)
 	m.mutex.Unlock()
-	m.Beat()
+	m.SendHeartbeats()
 }
 
 // dialMissing opens the links that should be there. The mutex is held.
