--- a/coordination/plan/plan.go
+++ b/coordination/plan/plan.go
@@ -103,7 +103,7 @@
 	}
 	after, err := p.result(c)
 	if err != nil {
-		return nil, protocol.Refuse(protocol.MalformedRequest, "the resulting configuration would not be valid").Because(err)
+		return nil, protocol.Refuse(protocol.MalformedRequest, "the result would not be valid").Because(err)
 	}
 	if err := p.effects(c, after); err != nil {
 		return nil, err
@@ -147,7 +147,7 @@
 		if _, stays := after.Model(m.Name); stays {
 			newFlow = flowBound(after, m)
 			if oldFlow > 0 && newFlow == 0 {
-				return malformed("model " + m.Name + " would lose the last runner of some layer; add runners first")
+				return malformed("model " + m.Name + " would lose its last holder of some layer; add runners first")
 			}
 		}
 		if oldFlow != newFlow {
--- a/transport/entry/admission.go
+++ b/transport/entry/admission.go
@@ -81,7 +81,7 @@
 // resolve turns a decision into an admitted slot or a refusal.
 func (s *slot) resolve(d admit.Decision) (*slot, error) {
 	if r, ok := d.(admit.Refuse); ok {
-		return nil, protocol.Refuse(r.Kind(), "model "+s.model+" has no capacity for the request").Again(r.RetryAfter())
+		return nil, protocol.Refuse(r.Kind(), "model "+s.model+" has no room for the request").Again(r.RetryAfter())
 	}
 	s.started = time.Now()
 	return s, nil
@@ -99,7 +99,7 @@
 			s.release()
 		}
 	}
-	return nil, protocol.Refuse(protocol.DeadlinePassed, "the deadline passed while the request was queued")
+	return nil, protocol.Refuse(protocol.DeadlinePassed, "the deadline passed while the request waited")
 }
 
 // release frees the slot for the next request.
--- a/transport/entry/caller.go
+++ b/transport/entry/caller.go
@@ -174,7 +174,7 @@
 		return protocol.Refuse(protocol.Stopping, "this entry is stopping")
 	}
 	if openRequests > e.Settings.Limits.OpenRequests {
-		return protocol.Refuse(protocol.TooManyOpen, "this entry has reached its limit of open requests").Again(now.Add(time.Second))
+		return protocol.Refuse(protocol.TooManyOpen, "this entry has all the open requests that it may").Again(now.Add(time.Second))
 	}
 	k.config = e.follower.Current()
 	if k.config == nil {
@@ -220,7 +220,7 @@
 		return protocol.Refuse(protocol.MalformedRequest, headerDeadline+" must be a time like 2026-01-02T15:04:05Z")
 	}
 	if !deadline.After(now) {
-		return protocol.Refuse(protocol.DeadlinePassed, "the deadline had passed when the request arrived")
+		return protocol.Refuse(protocol.DeadlinePassed, "the deadline had passed when the request came")
 	}
 	if latest := e.Settings.Limits.LongestDeadline(now); deadline.After(latest) {
 		deadline = latest
@@ -240,7 +240,7 @@
 		return protocol.Refuse(protocol.BodyTooLarge, "the body is longer than "+strconv.FormatInt(tooLarge.Limit, 10)+" bytes")
 	}
 	if err != nil {
-		return protocol.Refuse(protocol.MalformedRequest, "the body was truncated or arrived too slowly").Because(err)
+		return protocol.Refuse(protocol.MalformedRequest, "the body was cut off or came too slowly").Because(err)
 	}
 	k.body = body
 	return nil
--- a/transport/entry/chat.go
+++ b/transport/entry/chat.go
@@ -27,7 +27,7 @@
 	}
 	prompt := r.Prompt()
 	if len(prompt)+r.Limit() > m.Context {
-		return protocol.Refuse(protocol.MalformedRequest, "prompt and completion together exceed the model's context of "+itoa(m.Context)+" tokens")
+		return protocol.Refuse(protocol.MalformedRequest, "prompt and answer together exceed the model's "+itoa(m.Context)+" tokens")
 	}
 	k.trace.Add(time.Now(), trace.Queued, "")
 	slot, err := e.admission.acquire(c.Request().Context(), m, e.localShare(m.Open), admit.Request{
--- a/transport/entry/claimed.go
+++ b/transport/entry/claimed.go
@@ -57,7 +57,7 @@
 			"a keyed call that may not be repeated needs "+headerIssued+", the time like 2026-01-02T15:04:05Z at which it was first issued")
 	}
 	if issuedAt.After(now.Add(maxIssuedSkew)) {
-		return protocol.ClaimRecord{}, protocol.Refuse(protocol.MalformedRequest, headerIssued+" is in the future")
+		return protocol.ClaimRecord{}, protocol.Refuse(protocol.MalformedRequest, headerIssued+" lies in the future")
 	}
 	digest := xxhash.New()
 	for _, field := range []string{s.service.Name, s.method, s.target, s.header.Get("Content-Type")} {
@@ -111,19 +111,19 @@
 	switch result.Verdict() {
 	case claim.Settled:
 		if existing.Status < http.StatusOK {
-			return serviceResponse{}, protocol.Uncertain(protocol.ClaimHeld, "the call ran once and its response was too large to store")
+			return serviceResponse{}, protocol.Uncertain(protocol.ClaimHeld, "the call ran once and its answer was too large to keep")
 		}
 		s.entry.counters.Add(metric.ClaimsReplayed, 1)
 		return serviceResponse{status: existing.Status, contentType: existing.Type, body: existing.Answer}, nil
 	case claim.Held:
-		return serviceResponse{}, protocol.Uncertain(protocol.ClaimHeld, "an earlier attempt with this key has not finished").Again(retryAt)
+		return serviceResponse{}, protocol.Uncertain(protocol.ClaimHeld, "an earlier try of this key has not ended").Again(retryAt)
 	case claim.Doubtful:
-		return serviceResponse{}, protocol.Uncertain(protocol.ServiceFailed, "an earlier attempt with this key may have run")
+		return serviceResponse{}, protocol.Uncertain(protocol.ServiceFailed, "an earlier try of this key may have run")
 	case claim.Reused:
 		return serviceResponse{}, protocol.Refuse(protocol.KeyReused, "the key was used for another request")
 	case claim.Expired:
-		return serviceResponse{}, protocol.Uncertain(protocol.KeyExpired, "the request was issued longer ago than keys are retained")
+		return serviceResponse{}, protocol.Uncertain(protocol.KeyExpired, "the request was issued longer ago than keys are remembered")
 	default:
-		return serviceResponse{}, protocol.Refuse(protocol.ClaimsFull, "the claim log is full until older claims expire").Again(retryAt)
+		return serviceResponse{}, protocol.Refuse(protocol.ClaimsFull, "no claim can be kept until older ones expire").Again(retryAt)
 	}
 }
--- a/transport/entry/confirm.go
+++ b/transport/entry/confirm.go
@@ -68,7 +68,7 @@
 	}
 	var m protocol.Manifest
 	if err := json.Unmarshal(current.Value, &m); err != nil {
-		return 0, false, protocol.Refuse(protocol.StalePlan, "the manifest in the platform can't be decoded").Because(err)
+		return 0, false, protocol.Refuse(protocol.StalePlan, "the manifest in the platform is broken").Because(err)
 	}
 	if version, ok := plan.AcceptedVersion(m, id); ok {
 		e.finishPlan(ctx, id, version, o)
@@ -102,7 +102,7 @@
 		return err
 	}
 	if len(value) > protocol.MaxObjectBytes {
-		return protocol.Refuse(protocol.BodyTooLarge, "the manifest would exceed the platform's object size limit")
+		return protocol.Refuse(protocol.BodyTooLarge, "the manifest would be larger than the platform holds")
 	}
 	_, err = e.platform.Put(ctx, protocol.ObjectManifest, protocol.ManifestName, version, value)
 	return err
--- a/transport/entry/isolation.go
+++ b/transport/entry/isolation.go
@@ -100,7 +100,7 @@
 
 // crashRefusal returns the refusal for work that is refused because it crashed runners.
 func (m *modelRun) crashRefusal(refused quarantine.Refused) *protocol.Refusal {
-	message := fmt.Sprintf("%d runners crashed while running the same request", refused.Crashes())
+	message := fmt.Sprintf("%d runners ended when they ran the same request", refused.Crashes())
 	if m.mayHaveRun {
 		return protocol.Uncertain(protocol.StageFailed, message)
 	}
@@ -110,7 +110,7 @@
 // isolationRefusal returns the refusal for a request that found no runner for an isolated run in
 // time.
 func (m *modelRun) isolationRefusal() *protocol.Refusal {
-	const message = "runners crashed while running this request, and none is free to run it alone"
+	const message = "runners ended when they ran this request, and none is free to run it alone"
 	if m.mayHaveRun {
 		return protocol.Uncertain(protocol.StageFailed, message)
 	}
--- a/transport/entry/operator.go
+++ b/transport/entry/operator.go
@@ -125,7 +125,7 @@
 	}
 	events, dropped, ok := e.traces.Read(id)
 	if !ok {
-		return protocol.Refuse(protocol.UnknownRequest, "the trace of request "+id.String()+" is not available at this entry")
+		return protocol.Refuse(protocol.UnknownRequest, "this entry has not run "+id.String()+" lately")
 	}
 	return c.JSON(http.StatusOK, struct {
 		Request string        `json:"request"`
--- a/transport/entry/plans.go
+++ b/transport/entry/plans.go
@@ -88,7 +88,7 @@
 		return 0, err
 	}
 	if len(value) > protocol.MaxObjectBytes {
-		return 0, protocol.Refuse(protocol.BodyTooLarge, "the plan exceeds the platform's object size limit; change fewer parts at once")
+		return 0, protocol.Refuse(protocol.BodyTooLarge, "the plan is larger than the platform holds; change fewer parts at once")
 	}
 	return e.platform.Put(ctx, kind, p.ID, version, value)
 }
@@ -105,7 +105,7 @@
 	}
 	var p plan.Plan
 	if err := json.Unmarshal(object.Value, &p); err != nil || p.ID != id {
-		return nil, 0, protocol.Refuse(protocol.UnknownPlan, "the object of plan "+id+" does not hold that plan").Because(err)
+		return nil, 0, protocol.Refuse(protocol.UnknownPlan, "the object of plan "+id+" is not a plan").Because(err)
 	}
 	return &p, object.Version, nil
 }
@@ -124,7 +124,7 @@
 	if day := c.QueryParam("day"); day != "" {
 		date, err := time.Parse("20060102", day)
 		if err != nil {
-			return protocol.Refuse(protocol.MalformedRequest, "day must have the form 20261202")
+			return protocol.Refuse(protocol.MalformedRequest, "day must be like 20261202")
 		}
 		kind = auditKind(date)
 	}
--- a/transport/entry/recover.go
+++ b/transport/entry/recover.go
@@ -100,7 +100,7 @@
 
 // retryDenied returns the refusal for a request that may not be retried.
 func (m *modelRun) retryDenied(stop retry.Stop, reason metric.Reason) error {
-	message := "a stage failed (" + string(reason) + ") and no further attempt is allowed"
+	message := "a stage failed (" + string(reason) + ") and no further try is allowed"
 	if m.mayHaveRun {
 		return protocol.Uncertain(stop.Kind(), message)
 	}
--- a/transport/entry/service.go
+++ b/transport/entry/service.go
@@ -197,7 +197,7 @@
 	s.sent = true
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil || len(body) > maxResponseBytes {
-		return serviceResponse{}, protocol.Uncertain(protocol.ServiceFailed, "the service's response was truncated or too large").Because(err)
+		return serviceResponse{}, protocol.Uncertain(protocol.ServiceFailed, "the service's answer was cut off or too long").Because(err)
 	}
 	return serviceResponse{
 		status: resp.StatusCode, contentType: resp.Header.Get("Content-Type"), header: resp.Header, body: body,
@@ -209,7 +209,7 @@
 func (s *serviceCall) callError(err error) error {
 	var opErr *net.OpError
 	if errors.As(err, &opErr) && opErr.Op == "dial" {
-		return protocol.Refuse(protocol.ServiceUnreachable, "could not connect to the service").Because(err).Again(time.Now().Add(time.Second))
+		return protocol.Refuse(protocol.ServiceUnreachable, "no connection to the service").Because(err).Again(time.Now().Add(time.Second))
 	}
 	s.sent = true
 	if errors.Is(err, context.DeadlineExceeded) || !clock.Now().Before(s.call.deadline) {
