--- a/transport/forward/admit.go
+++ b/transport/forward/admit.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// againUnsure is when to come back to an entry that can't reach the platform.
-	againUnsure = 300 * time.Millisecond
-	// unsureAfter is the age of the routing table's confirmation from which an
+	// unconfirmedRetryAfter is when to come back to an entry that can't reach the platform.
+	unconfirmedRetryAfter = 300 * time.Millisecond
+	// unconfirmedAfter is the age of the routing table's confirmation from which an
 	// unknown route or key is answered "come back" instead of "unknown": the
 	// table may have changed. It is a little more than a watch takes.
-	unsureAfter = 4 * time.Second
+	unconfirmedAfter = 4 * time.Second
 )
 
 // admit finds the route, the team and the deadline, and reads the body.
@@ -31,18 +31,18 @@
 	}
 	table := f.Routing.Current()
 	if table == nil || !f.Roster.HasList() {
-		return protocol.Refuse(protocol.NoConfiguration, "no routing table was read yet").Again(x.begun.Add(againUnsure))
+		return protocol.Refuse(protocol.NoConfiguration, "no routing table was read yet").Again(x.begun.Add(unconfirmedRetryAfter))
 	}
 	x.table = table
 	if most := table.CallerLimits().HeaderBytes; most > 0 && headBytes(x.request) > most {
 		return protocol.Refuse(protocol.HeadTooLarge, "the head is longer than "+strconv.Itoa(most)+" bytes")
 	}
-	unsure := x.begun.Sub(f.Routing.ConfirmedAt()) > unsureAfter
+	unsure := x.begun.Sub(f.Routing.ConfirmedAt()) > unconfirmedAfter
 	target, _, _ := strings.Cut(x.request.RequestURI, "?")
 	x.route = table.Match(x.request.Host, target)
 	if x.route == nil {
 		if unsure {
-			return protocol.Refuse(protocol.PlatformDown, "the route is unknown, but the table may be old").Again(x.begun.Add(againUnsure))
+			return protocol.Refuse(protocol.PlatformDown, "the route is unknown, but the table may be old").Again(x.begun.Add(unconfirmedRetryAfter))
 		}
 		return protocol.Refuse(protocol.UnknownService, "no route matches the host and path")
 	}
@@ -79,12 +79,12 @@
 	}
 	f := x.forwarder
 	if x.begun.After(f.KeysTrustedUntil(f.Routing.ConfirmedAt())) {
-		return protocol.Refuse(protocol.PlatformDown, "keys can't be confirmed").Again(x.begun.Add(againUnsure))
+		return protocol.Refuse(protocol.PlatformDown, "keys can't be confirmed").Again(x.begun.Add(unconfirmedRetryAfter))
 	}
 	team := x.table.Team(x.terms.Key)
 	if team == nil {
 		if unsure {
-			return protocol.Refuse(protocol.PlatformDown, "the key is unknown, but the table may be old").Again(x.begun.Add(againUnsure))
+			return protocol.Refuse(protocol.PlatformDown, "the key is unknown, but the table may be old").Again(x.begun.Add(unconfirmedRetryAfter))
 		}
 		return protocol.Refuse(protocol.WrongKey, "the key is not known")
 	}
--- a/transport/forward/usual_test.go
+++ b/transport/forward/baseline_test.go
@@ -15,9 +15,9 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// plain returns a forwarder before three endpoints of a plain service, and a way to call it.
-func plain(t *testing.T) (*Forwarder, func() *exchange) {
-	f, _, _ := staged(t, 1)
+// newPlainForwarder returns a forwarder before three endpoints of a newPlainForwarder service, and a way to call it.
+func newPlainForwarder(t *testing.T) (*Forwarder, func() *exchange) {
+	f, _, _ := newStagedForwarder(t, 1)
 	s := protocol.RoutedService{Name: "ledger"}
 	f.Roster.SetServices([]protocol.RoutedService{s})
 	var list []protocol.Endpoint
@@ -27,30 +27,30 @@
 	f.Roster.Replace(list, time.Now())
 	calls := uint64(0)
 	return f, func() *exchange {
-		x := stream(t, f, &s)
+		x := newStreamExchange(t, f, &s)
 		x.route = &protocol.Route{Repeat: protocol.AtMostOnce, MaxTries: 2, AimMS: 200}
 		calls++
-		x.draw = rand.New(rand.NewPCG(calls, 2))
-		x.rhythm = rhythm{}
-		x.rhythm.begin(x.route, &s, x.begun)
+		x.rng = rand.New(rand.NewPCG(calls, 2))
+		x.timing = eventTiming{}
+		x.timing.start(x.route, &s, x.begun)
 		return x
 	}
 }
 
-// answers has the open attempt of a call answered.
-func answers(x *exchange) {
-	a := x.live[0]
+// respond has the open attempt of a call answered.
+func respond(x *exchange) {
+	a := x.open[0]
 	head := &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}
-	x.take(wholeCame{attempt: a, head: head, terms: protocol.AnswerTerms{Signed: true, RequestID: "r"}})
+	x.handleMessage(responseReceived{attempt: a, head: head, terms: protocol.AnswerTerms{Signed: true, RequestID: "r"}})
 }
 
-// TestASlowOneOfThreePlainEndpointsIsLeftOutInTime plays 20 calls a second that take 30 ms,
+// TestSlowPlainEndpointIsAvoidedInTime plays 20 calls a second that take 30 ms,
 // at one endpoint 360 ms from some time on. Half a second after its first slow call began,
 // before it gets a further one, no call goes there; each call was sent once.
-func TestASlowOneOfThreePlainEndpointsIsLeftOutInTime(t *testing.T) {
+func TestSlowPlainEndpointIsAvoidedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, call := plain(t)
-		judged(f)
+		f, call := newPlainForwarder(t)
+		applyOwnReports(f)
 		begun := time.Now()
 		slowFrom := begun.Add(2 * time.Second)
 		var firstSlow time.Time
@@ -63,9 +63,9 @@
 		for now := begun; now.Before(begun.Add(4 * time.Second)); now = time.Now() {
 			if now.Sub(begun)%(50*time.Millisecond) == 0 {
 				x := call()
-				p, found := x.pick(now)
+				p, found := x.pickPath(now)
 				require.True(t, found)
-				x.send(&p)
+				x.startAttempt(&p)
 				took := 30 * time.Millisecond
 				if name := p.Runner(0).Name(); name == "p2" && !now.Before(slowFrom) {
 					took = 360 * time.Millisecond
@@ -83,9 +83,9 @@
 				switch {
 				case x.finished:
 				case !now.Before(o.due):
-					answers(x)
-					require.Equal(t, 1, x.tries)
-				case !now.Before(x.rhythm.overdueAt()):
+					respond(x)
+					require.Equal(t, 1, x.attempts)
+				case !now.Before(x.timing.overdueAt()):
 					x.wake(now)
 				}
 			}
@@ -96,24 +96,24 @@
 	})
 }
 
-// TestWhatIsUsualIsLearnt: a service that always takes long is not slow, and one hanging
+// TestBaselineFollowsDurations: a service that always takes long is not slow, and one hanging
 // call hardly changes what is usual.
-func TestWhatIsUsualIsLearnt(t *testing.T) {
-	var p paces
-	require.Equal(t, 30*time.Millisecond, p.usualOf("s", 30*time.Millisecond))
+func TestBaselineFollowsDurations(t *testing.T) {
+	var p slowdownMonitor
+	require.Equal(t, 30*time.Millisecond, p.baseline("s", 30*time.Millisecond))
 	for range 100 {
-		p.learn("s", 200*time.Millisecond, 30*time.Millisecond)
+		p.recordDuration("s", 200*time.Millisecond, 30*time.Millisecond)
 	}
-	require.InDelta(t, 0.2, p.usualOf("s", 30*time.Millisecond).Seconds(), 0.01)
-	p.learn("s", 10*time.Second, 30*time.Millisecond)
-	require.InDelta(t, 0.22, p.usualOf("s", 30*time.Millisecond).Seconds(), 0.01)
+	require.InDelta(t, 0.2, p.baseline("s", 30*time.Millisecond).Seconds(), 0.01)
+	p.recordDuration("s", 10*time.Second, 30*time.Millisecond)
+	require.InDelta(t, 0.22, p.baseline("s", 30*time.Millisecond).Seconds(), 0.01)
 }
 
-// TestQuickAnswersOnOneRouteMakeNoOtherSlow has an entry get a few quick answers on one route, and then
+// TestBaselinesAreSeparatePerRoute has an entry get a few quick answers on one route, and then
 // answers that take longer on another route to the same service: none of its endpoints is told as slow.
-func TestQuickAnswersOnOneRouteMakeNoOtherSlow(t *testing.T) {
+func TestBaselinesAreSeparatePerRoute(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, call := plain(t)
+		f, call := newPlainForwarder(t)
 		var paces []float64
 		f.ReportPace = func(news protocol.RelaySlow, _ time.Time) { paces = append(paces, news.Pace) }
 		for i := range 12 {
@@ -123,33 +123,33 @@
 			if i >= 6 {
 				x.route.Name, took = "usual", 20*time.Millisecond
 			}
-			p, found := x.pick(time.Now())
+			p, found := x.pickPath(time.Now())
 			require.True(t, found)
-			x.send(&p)
+			x.startAttempt(&p)
 			time.Sleep(took)
-			answers(x)
+			respond(x)
 		}
 		require.Len(t, paces, 12)
 		for _, pace := range paces {
-			require.Less(t, pace, float64(openLate))
+			require.Less(t, pace, float64(slowCallRatio))
 		}
 	})
 }
 
-// TestALostAnswerOfACallThatRunsOnceEndsUnknown, whatever is known of its endpoint.
-func TestALostAnswerOfACallThatRunsOnceEndsUnknown(t *testing.T) {
+// TestLostResponseOfNonRepeatableCallIsUncertain, whatever is known of its endpoint.
+func TestLostResponseOfNonRepeatableCallIsUncertain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, call := plain(t)
+		f, call := newPlainForwarder(t)
 		x := call()
-		p, _ := x.pick(time.Now())
-		x.send(&p)
-		slowed(f, p.Runner(0))
-		time.Sleep(x.rhythm.firstBy)
+		p, _ := x.pickPath(time.Now())
+		x.startAttempt(&p)
+		markSlow(f, p.Runner(0))
+		time.Sleep(x.timing.firstEventLimit)
 		x.wake(time.Now())
-		require.Len(t, x.live, 1, "it may not run twice")
-		x.take(attemptEnded{attempt: x.live[0], cause: errCutEvent})
+		require.Len(t, x.open, 1, "it may not run twice")
+		x.handleMessage(attemptEnded{attempt: x.open[0], cause: errTruncatedEvent})
 		require.True(t, x.finished)
-		require.Equal(t, 1, x.tries)
+		require.Equal(t, 1, x.attempts)
 		require.Equal(t, http.StatusBadGateway, x.writer.(*httptest.ResponseRecorder).Code)
 	})
 }
--- a/transport/forward/body_test.go
+++ b/transport/forward/body_test.go
@@ -18,21 +18,21 @@
 	"pinerun.example/pinerun/transport/backlog"
 )
 
-// watchedAnswer notes how many bytes of bodies are held when an answer begins.
-type watchedAnswer struct {
+// recordingWriter notes how many bytes of bodies are held when an answer begins.
+type recordingWriter struct {
 	*httptest.ResponseRecorder
 	counters *metric.Set
 	held     int64
 }
 
-func (w *watchedAnswer) WriteHeader(status int) {
+func (w *recordingWriter) WriteHeader(status int) {
 	w.held = w.counters.Value(string(metric.HeldBodyBytes))
 	w.ResponseRecorder.WriteHeader(status)
 }
 
-// TestARefusedBodyIsGivenUpBeforeTheRefusalIsWritten: a refusal may wait for its caller, and
+// TestRefusedBodyIsReleasedBeforeRefusalIsWritten: a refusal may wait for its caller, and
 // must not keep the room that other bodies need meanwhile.
-func TestARefusedBodyIsGivenUpBeforeTheRefusalIsWritten(t *testing.T) {
+func TestRefusedBodyIsReleasedBeforeRefusalIsWritten(t *testing.T) {
 	table, err := routing.Build(protocol.Routing{
 		Version: 1, Services: []protocol.RoutedService{{Name: "plain"}},
 		Routes: []protocol.Route{{
@@ -48,7 +48,7 @@
 	f.Routing.Offer(table)
 	f.Routing.Confirm(time.Now())
 	f.Roster.Replace(nil, time.Now())
-	w := &watchedAnswer{ResponseRecorder: httptest.NewRecorder(), counters: counters, held: -1}
+	w := &recordingWriter{ResponseRecorder: httptest.NewRecorder(), counters: counters, held: -1}
 	r := httptest.NewRequest(http.MethodPost, "/x", strings.NewReader(strings.Repeat("x", 400<<10)))
 	r.Host = "h.example"
 	f.ServeHTTP(w, r)
--- a/transport/forward/candidate.go
+++ b/transport/forward/candidate.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	// homeFull is the part of the room for requests up to which an entry's own data
+	// localUtilizationLimit is the part of the room for requests up to which an entry's own data
 	// center is used whatever stands free elsewhere: bytes between data centers
 	// have a price, and below it the engines' steps are hardly longer.
-	homeFull = 0.6
-	// awayGain is how much emptier another data center has to be.
-	awayGain = 0.2
-	// fullAt is the part of a runner's room up to which requests are sent there. Lengths of
+	localUtilizationLimit = 0.6
+	// minRemoteGain is how much emptier another data center has to be.
+	minRemoteGain = 0.2
+	// maxUtilization is the part of a runner's room up to which requests are sent there. Lengths of
 	// answers are guesses, and what does not fit is put back and read anew.
-	fullAt = 0.9
+	maxUtilization = 0.9
 )
 
 // candidate is a path in one data center.
 type candidate struct {
-	path  path.Path
-	sound bool    // every runner may take work and has not failed the request
-	ready bool    // every runner may take work and has room
-	fill  float64 // the part of the room that is taken at the fullest runner
+	path        path.Path
+	healthy     bool    // every runner may take work and has not failed the request
+	ready       bool    // every runner may take work and has room
+	utilization float64 // the part of the room that is taken at the fullest runner
 }
 
-// choose finds a path for a service. The first data center comes first, as long as
+// choosePath finds a path for a service. The first data center comes first, as long as
 // it has room and no other has much more; then the emptiest other one with room; then
 // whatever there is.
-func (f *Forwarder) choose(s *protocol.RoutedService, q *path.Query, first string, into *path.Path) bool {
+func (f *Forwarder) choosePath(s *protocol.RoutedService, q *path.Query, first string, into *path.Path) bool {
 	view := f.Roster.View()
 	if s.Engine == nil {
 		return path.ChooseInto(view.Model(registry.ModelName(s.Name, "")), q, into) < 0
 	}
 	best, found := candidateIn(view, s.Name, first, q)
-	if found && best.ready && best.sound && best.fill < homeFull {
+	if found && best.ready && best.healthy && best.utilization < localUtilizationLimit {
 		*into = best.path
 		return true
 	}
@@ -50,7 +50,7 @@
 			continue
 		}
 		other, ok := candidateIn(view, s.Name, center, q)
-		if ok && (!found || other.better(&best)) {
+		if ok && (!found || other.betterThan(&best)) {
 			best, found = other, true
 		}
 	}
@@ -64,32 +64,32 @@
 	if path.ChooseSubspans(m, q, &c.path) >= 0 {
 		return c, false
 	}
-	c.sound = sound(&c.path, q.Now, q.Avoid)
-	c.fill = fill(&c.path, q)
-	c.ready = ready(&c.path, q)
+	c.healthy = pathHealthy(&c.path, q.Now, q.Avoid)
+	c.utilization = pathUtilization(&c.path, q)
+	c.ready = pathReady(&c.path, q)
 	return c, true
 }
 
-func (c *candidate) better(than *candidate) bool {
+func (c *candidate) betterThan(than *candidate) bool {
 	if c.ready != than.ready {
 		return c.ready
 	}
-	if c.sound != than.sound {
-		return c.sound
+	if c.healthy != than.healthy {
+		return c.healthy
 	}
-	return c.fill+awayGain < than.fill
+	return c.utilization+minRemoteGain < than.utilization
 }
 
-// ready reports whether every runner of a path may take work now and has room for the
+// pathReady reports whether every runner of a path may take work now and has room for the
 // request. One that has failed it before may, where no other holds its layers: waiting for
 // another would be in vain.
-func ready(p *path.Path, q *path.Query) bool {
-	return sound(p, q.Now, nil) && fill(p, q) <= fullAt
+func pathReady(p *path.Path, q *path.Query) bool {
+	return pathHealthy(p, q.Now, nil) && pathUtilization(p, q) <= maxUtilization
 }
 
-// fill returns which part of the room is taken at the fullest runner of a path, the
+// pathUtilization returns which part of the room is taken at the fullest runner of a path, the
 // request included.
-func fill(p *path.Path, q *path.Query) float64 {
+func pathUtilization(p *path.Path, q *path.Query) float64 {
 	most := 0.0
 	for i := range p.Len() {
 		passes := float64((q.Positions + q.OutputTokens) * p.Span(i).Layers())
@@ -98,9 +98,9 @@
 	return most
 }
 
-// sound reports whether every runner of a path may take work now and need not be
+// pathHealthy reports whether every runner of a path may take work now and need not be
 // avoided.
-func sound(p *path.Path, now time.Time, avoid []*fleet.Runner) bool {
+func pathHealthy(p *path.Path, now time.Time, avoid []*fleet.Runner) bool {
 	for i := range p.Len() {
 		if r := p.Runner(i); !r.Usable(now) || slices.Contains(avoid, r) {
 			return false
--- a/transport/forward/conn.go
+++ b/transport/forward/conn.go
@@ -18,65 +18,65 @@
 )
 
 const (
-	// dialLimit is how long an endpoint may take to accept a connection. It is
+	// dialTimeout is how long an endpoint may take to accept a connection. It is
 	// within a millisecond away; a lost packet would be sent again after a second.
-	dialLimit = 300 * time.Millisecond
-	// restMost is how long a connection rests at most when the endpoint names no
+	dialTimeout = 300 * time.Millisecond
+	// maxIdleTime is how long a connection rests at most when the endpoint names no
 	// time of its own.
-	restMost = 5 * time.Second
-	// restMargin is how much sooner than the endpoint a connection is given up.
-	restMargin = 1500 * time.Millisecond
-	// restingMost bounds the connections to one endpoint that rest.
-	restingMost = 16
+	maxIdleTime = 5 * time.Second
+	// idleTimeMargin is how much sooner than the endpoint a connection is given up.
+	idleTimeMargin = 1500 * time.Millisecond
+	// maxIdlePerEndpoint bounds the connections to one endpoint that rest.
+	maxIdlePerEndpoint = 16
 )
 
 // conn is a connection to an endpoint.
 type conn struct {
 	net.Conn
-	reader   *bufio.Reader
-	endpoint string
-	reused   bool
-	restTill time.Time
+	reader    *bufio.Reader
+	endpoint  string
+	reused    bool
+	idleUntil time.Time
 }
 
-// pool keeps connections that rest, by endpoint ID: an address may be handed to
+// connPool keeps connections that rest, by endpoint ID: an address may be handed to
 // another endpoint. The zero value is empty.
-type pool struct {
+type connPool struct {
 	mutex   sync.Mutex
-	resting map[string][]*conn
+	idle    map[string][]*conn
 	opened  func()
-	readers readers
+	buffers bufferPool
 }
 
 // get returns a resting connection, or opens one. Fresh asks for a new one.
-func (p *pool) get(ctx context.Context, endpoint, address string, fresh bool) (*conn, error) {
+func (p *connPool) get(ctx context.Context, endpoint, address string, fresh bool) (*conn, error) {
 	if !fresh {
-		if c := p.take(endpoint, clock.Now()); c != nil {
+		if c := p.takeIdle(endpoint, clock.Now()); c != nil {
 			return c, nil
 		}
 	}
 	if p.opened != nil {
 		p.opened()
 	}
-	d := net.Dialer{Timeout: dialLimit, KeepAlive: -1, Control: backlog.BoundEngine}
+	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: backlog.BoundEngine}
 	raw, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: raw, reader: p.readers.get(raw), endpoint: endpoint}, nil
+	return &conn{Conn: raw, reader: p.buffers.get(raw), endpoint: endpoint}, nil
 }
 
-func (p *pool) take(endpoint string, now time.Time) *conn {
+func (p *connPool) takeIdle(endpoint string, now time.Time) *conn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for {
-		list := p.resting[endpoint]
+		list := p.idle[endpoint]
 		if len(list) == 0 {
 			return nil
 		}
 		c := list[len(list)-1]
-		p.resting[endpoint] = list[:len(list)-1]
-		if now.Before(c.restTill) && c.quiet() {
+		p.idle[endpoint] = list[:len(list)-1]
+		if now.Before(c.idleUntil) && c.usable() {
 			c.reused = true
 			return c
 		}
@@ -85,60 +85,60 @@
 }
 
 // put lets a connection rest after a whole answer with that head.
-func (p *pool) put(c *conn, h http.Header, now time.Time) {
-	c.restTill = now.Add(restMost)
-	if seconds, ok := keepAlive(h); ok {
-		c.restTill = now.Add(min(restMost, time.Duration(seconds)*time.Second-restMargin))
+func (p *connPool) put(c *conn, h http.Header, now time.Time) {
+	c.idleUntil = now.Add(maxIdleTime)
+	if seconds, ok := keepAliveSeconds(h); ok {
+		c.idleUntil = now.Add(min(maxIdleTime, time.Duration(seconds)*time.Second-idleTimeMargin))
 	}
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if c.reader.Buffered() > 0 || !now.Before(c.restTill) || len(p.resting[c.endpoint]) >= restingMost {
+	if c.reader.Buffered() > 0 || !now.Before(c.idleUntil) || len(p.idle[c.endpoint]) >= maxIdlePerEndpoint {
 		_ = c.Close()
 		return
 	}
-	if p.resting == nil {
-		p.resting = make(map[string][]*conn)
+	if p.idle == nil {
+		p.idle = make(map[string][]*conn)
 	}
-	p.resting[c.endpoint] = append(p.resting[c.endpoint], c)
+	p.idle[c.endpoint] = append(p.idle[c.endpoint], c)
 }
 
-// distrust gives up the connections to an endpoint that rest: one that had rested beside them
+// closeIdle gives up the connections to an endpoint that rest: one that had rested beside them
 // brought no answer, and what is on the way may have forgotten all that were open.
-func (p *pool) distrust(endpoint string) {
+func (p *connPool) closeIdle(endpoint string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, c := range p.resting[endpoint] {
+	for _, c := range p.idle[endpoint] {
 		_ = c.Close()
-		p.readers.put(c.reader)
+		p.buffers.put(c.reader)
 	}
-	delete(p.resting, endpoint)
+	delete(p.idle, endpoint)
 }
 
 // sweep closes connections that have rested long enough.
-func (p *pool) sweep(now time.Time) {
+func (p *connPool) sweep(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for endpoint, list := range p.resting {
+	for endpoint, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.restTill) {
+			if now.Before(c.idleUntil) {
 				kept = append(kept, c)
 				continue
 			}
 			_ = c.Close()
-			p.readers.put(c.reader)
+			p.buffers.put(c.reader)
 		}
 		if len(kept) == 0 {
-			delete(p.resting, endpoint)
+			delete(p.idle, endpoint)
 			continue
 		}
-		p.resting[endpoint] = kept
+		p.idle[endpoint] = kept
 	}
 }
 
-// quiet reports whether nothing has come on a resting connection, neither bytes
+// usable reports whether nothing has come on a resting connection, neither bytes
 // nor its end.
-func (c *conn) quiet() bool {
+func (c *conn) usable() bool {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return false
@@ -157,8 +157,8 @@
 	return err == nil && quiet
 }
 
-// keepAlive returns the seconds that an endpoint says it keeps a connection.
-func keepAlive(h http.Header) (int, bool) {
+// keepAliveSeconds returns the seconds that an endpoint says it keeps a connection.
+func keepAliveSeconds(h http.Header) (int, bool) {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		if value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
 			n, err := strconv.Atoi(value)
--- /dev/null
+++ b/transport/forward/crash_probe.go
@@ -0,0 +1,82 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package forward
+
+import (
+	"context"
+	"errors"
+	"net"
+	"os"
+	"time"
+
+	"pinerun.example/pinerun/coordination/quarantine"
+	"pinerun.example/pinerun/internal/clock"
+	"pinerun.example/pinerun/protocol"
+	"pinerun.example/pinerun/state/fleet"
+	"pinerun.example/pinerun/transport/crashcheck"
+)
+
+// portProbeTime is how long a connection to a plain service must stay open to show that a process has
+// it: a port that is only held for one is reset at once.
+const portProbeTime = 20 * time.Millisecond
+
+// startCrashProbe sees to it that an attempt's endpoint is asked after what broke there.
+func (f *Forwarder) startCrashProbe(a *attempt, engine bool, now time.Time) {
+	f.Quarantine.RecordUnresolved(a.endpoint.Name(), a.incarnation, now)
+	f.crashProbes.Begin(&crashcheck.Suspect{
+		Endpoint: a.endpoint.Name(), Incarnation: a.incarnation, Recorder: f.Quarantine, Logger: f.Logger,
+		Prober: &crashProbe{forwarder: f, runner: a.endpoint, incarnation: a.incarnation, engine: engine, sentAt: time.Now().Add(-now.Sub(a.sentAt))},
+	}, now)
+}
+
+// crashProbe asks an endpoint whether a life of it has ended.
+type crashProbe struct {
+	forwarder   *Forwarder
+	runner      *fleet.Runner
+	incarnation protocol.Incarnation
+	engine      bool
+	sentAt      time.Time // when what broke was sent there, by the time of day
+}
+
+// Probe asks the endpoint once.
+func (k *crashProbe) Probe() quarantine.ProbeResult {
+	if !k.engine {
+		return k.probePort()
+	}
+	asked := clock.Now()
+	report, err := k.forwarder.queryReport(k.runner)
+	switch {
+	case err != nil:
+		return k.classifyError(err, asked)
+	default:
+		return quarantine.ClassifyAnswer(k.incarnation, report.Incarnation, k.sentAt)
+	}
+}
+
+// probePort connects to an endpoint that makes no reports.
+func (k *crashProbe) probePort() quarantine.ProbeResult {
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
+	defer cancel()
+	asked := clock.Now()
+	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", k.runner.Spec().Address)
+	if err != nil {
+		return k.classifyError(err, asked)
+	}
+	defer func() { _ = c.Close() }() // nothing was asked on it
+	if err := c.SetReadDeadline(time.Now().Add(portProbeTime)); err != nil {
+		return quarantine.ProbeInconclusive // it is closed already
+	}
+	if _, err := c.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
+		return quarantine.ProbeAnswered
+	}
+	return quarantine.ProbeInconclusive
+}
+
+// classifyError takes a question without an answer: its port refuses connections, or it is not clear.
+func (k *crashProbe) classifyError(cause error, asked time.Time) quarantine.ProbeResult {
+	k.forwarder.reportError(k.runner, cause, asked, clock.Now())
+	if sign, _ := observationOf(cause); sign == protocol.LossRefused {
+		return quarantine.ProbeCrashed
+	}
+	return quarantine.ProbeInconclusive
+}
--- a/transport/forward/blame.go
+++ b/transport/forward/eject.go
@@ -10,12 +10,12 @@
 	"pinerun.example/pinerun/internal/metric"
 )
 
-// blame leaves out the runner at an address, or looks for the one at fault when
+// ejectFaulty leaves out the runner at an address, or looks for the one at fault when
 // it is "" and the answer came over several.
-func (x *exchange) blame(a *attempt, address string, why metric.Ejection, now time.Time) {
+func (x *exchange) ejectFaulty(a *attempt, address string, why metric.Ejection, now time.Time) {
 	if address == "" {
 		if a.path.Len() > 1 {
-			x.forwarder.suspects.silent(a, x.rhythm.last, now)
+			x.forwarder.faultLocator.silentRunners(a, x.timing.lastEvent, now)
 			return
 		}
 		address = a.endpoint.Spec().Address
@@ -28,16 +28,16 @@
 		till := r.Failed(now)
 		x.avoid = append(x.avoid, r)
 		x.forwarder.Counters.Ejected(why)
-		x.forwarder.log(event.RunnerEjected, slog.String("runner", r.Name()), slog.String("reason", string(why)), x.id(),
+		x.forwarder.log(event.RunnerEjected, slog.String("runner", r.Name()), slog.String("reason", string(why)), x.requestAttr(),
 			slog.Int64("till_ms", till.Sub(now).Milliseconds()))
 	}
 }
 
-// refused leaves out for a moment the runner that did not run a request, which is
+// avoidRefusing leaves out for a moment the runner that did not run a request, which is
 // the first of the path when it names no other.
-func (x *exchange) refused(m *wholeCame, now time.Time) {
+func (x *exchange) avoidRefusing(m *responseReceived, now time.Time) {
 	a, address := m.attempt, m.terms.AtFault
-	x.forwarder.log(event.AttemptNotRun, x.id(), slog.Int("attempt", a.number), slog.String("endpoint", a.endpoint.Name()),
+	x.forwarder.log(event.AttemptNotRun, x.requestAttr(), slog.Int("attempt", a.number), slog.String("endpoint", a.endpoint.Name()),
 		slog.Int("status", m.head.StatusCode), slog.String("at_fault", address), slog.String("by", m.terms.EndpointID))
 	for i := range a.path.Len() {
 		if a.isAtFault(i, address) {
@@ -54,8 +54,8 @@
 	return a.path.Runner(stage).Spec().Address == address || address == "" && stage == 0
 }
 
-// leaveRoom treats the runner that did not run a request as full for a moment.
-func (x *exchange) leaveRoom(a *attempt, address string, now time.Time) {
+// markFull treats the runner that did not run a request as full for a moment.
+func (x *exchange) markFull(a *attempt, address string, now time.Time) {
 	for i := range a.path.Len() {
 		if a.isAtFault(i, address) {
 			a.path.Runner(i).RefusedForCapacity(now)
--- a/transport/forward/encode.go
+++ b/transport/forward/encode.go
@@ -18,17 +18,17 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// mostUrgency is the least urgent rank an engine knows.
-const mostUrgency = 9
+// leastUrgent is the least urgent rank an engine knows.
+const leastUrgent = 9
 
-// teamRanks is how many ranks of routes lie between two ranks of teams.
-const teamRanks = 3
+// ranksPerTeam is how many ranks of routes lie between two ranks of teams.
+const ranksPerTeam = 3
 
 // encode returns the request as an attempt sends it: method, path and body as
 // the caller sent them, and the headers less those of the caller's connection.
 func (x *exchange) encode(a *attempt) []byte {
 	h := x.request.Header.Clone()
-	stripHops(h)
+	stripHopHeaders(h)
 	h.Del("Content-Length")
 	x.forwarder.Headers.SetAttemptHeaders(h, x.sendTerms(a), a.sentAt)
 	var b bytes.Buffer
@@ -75,15 +75,15 @@
 
 // urgency ranks by team first, then by route.
 func (x *exchange) urgency() int {
-	rank := min(x.route.Priority, teamRanks-1)
+	rank := min(x.route.Priority, ranksPerTeam-1)
 	if x.team != nil {
-		rank += teamRanks * x.team.Priority
+		rank += ranksPerTeam * x.team.Priority
 	}
-	return max(0, min(mostUrgency, rank))
+	return max(0, min(leastUrgent, rank))
 }
 
-// stripHops takes out the headers that concern one connection only.
-func stripHops(h http.Header) {
+// stripHopHeaders takes out the headers that concern one connection only.
+func stripHopHeaders(h http.Header) {
 	for _, list := range h["Connection"] {
 		for _, name := range strings.Split(list, ",") {
 			if name = strings.TrimSpace(name); name != "" {
--- a/transport/forward/event.go
+++ b/transport/forward/event.go
@@ -12,15 +12,15 @@
 // maxEventBytes bounds one event of a stream.
 const maxEventBytes = 1 << 20
 
-// usualEvent is the size in bytes for which an event's memory is taken at once: growing line
+// typicalEventBytes is the size in bytes for which an event's memory is taken at once: growing line
 // by line takes it three times.
-const usualEvent = 128
+const typicalEventBytes = 128
 
-// errCutEvent says that a stream ended inside an event.
-var errCutEvent = errors.New("the stream ended inside an event")
+// errTruncatedEvent says that a stream ended inside an event.
+var errTruncatedEvent = errors.New("the stream ended inside an event")
 
-// errLongEvent says that an event is longer than any endpoint sends.
-var errLongEvent = errors.New("an event of the stream is too long")
+// errEventTooLong says that an event is longer than any endpoint sends.
+var errEventTooLong = errors.New("an event of the stream is too long")
 
 // streamEvent is one whole event of a stream as it came, with its blank line.
 type streamEvent struct {
@@ -31,7 +31,7 @@
 // readEvent returns the next whole event. The error is io.EOF only between two
 // events.
 func readEvent(r *bufio.Reader) (streamEvent, error) {
-	e := streamEvent{content: make([]byte, 0, usualEvent)}
+	e := streamEvent{content: make([]byte, 0, typicalEventBytes)}
 	for {
 		line, err := r.ReadSlice('\n')
 		e.content = append(e.content, line...)
@@ -39,10 +39,10 @@
 			continue
 		}
 		if err != nil {
-			return streamEvent{}, cutAt(&e, err)
+			return streamEvent{}, streamError(&e, err)
 		}
 		if len(e.content) >= maxEventBytes {
-			return streamEvent{}, errLongEvent
+			return streamEvent{}, errEventTooLong
 		}
 		if id, ok := bytes.CutPrefix(line, []byte("id:")); ok {
 			e.id = string(bytes.TrimSpace(id))
@@ -53,9 +53,9 @@
 	}
 }
 
-func cutAt(e *streamEvent, err error) error {
+func streamError(e *streamEvent, err error) error {
 	if errors.Is(err, io.EOF) && len(e.content) > 0 {
-		return errCutEvent
+		return errTruncatedEvent
 	}
 	return err
 }
--- a/transport/forward/news.go
+++ b/transport/forward/failure.go
@@ -18,22 +18,22 @@
 	"pinerun.example/pinerun/state/fleet"
 )
 
-// met tells the other entries what a failed connection or question to a runner, begun at
+// reportError tells the other entries what a failed connection or question to a runner, begun at
 // a time, says about it. Otherwise each entry finds out for itself: one engine of 85 that was
-// lost met 120 connections of 47 entries in 3.7 s (logs of 73 entries over 48 s).
-func (f *Forwarder) met(r *fleet.Runner, cause error, since, now time.Time) {
-	sign, certain := signOf(cause)
-	if !certain && !f.reaches(r, since) {
+// lost reportError 120 connections of 47 entries in 3.7 s (logs of 73 entries over 48 s).
+func (f *Forwarder) reportError(r *fleet.Runner, cause error, since, now time.Time) {
+	sign, certain := observationOf(cause)
+	if !certain && !f.reachesOthers(r, since) {
 		return // this entry, or its way to the runner, may be at fault
 	}
 	if sign != 0 {
-		f.tell(r, sign, now)
+		f.reportObservation(r, sign, now)
 	}
 }
 
-// signOf returns what an error says of the endpoint, 0 for nothing, and whether that is
+// observationOf returns what an error says of the endpoint, 0 for nothing, and whether that is
 // certain whatever else this entry hears.
-func signOf(cause error) (sign protocol.LossObservation, certain bool) {
+func observationOf(cause error) (sign protocol.LossObservation, certain bool) {
 	var n net.Error
 	switch {
 	case errors.Is(cause, syscall.ECONNREFUSED):
@@ -45,24 +45,24 @@
 	}
 }
 
-// reaches reports whether this entry has heard other endpoints since a time, and not this
+// reachesOthers reports whether this entry has heard other endpoints since a time, and not this
 // one.
-func (f *Forwarder) reaches(r *fleet.Runner, since time.Time) bool {
-	return f.heardAt.Load() > since.UnixNano() && !r.HeardAt().After(since)
+func (f *Forwarder) reachesOthers(r *fleet.Runner, since time.Time) bool {
+	return f.lastHeard.Load() > since.UnixNano() && !r.HeardAt().After(since)
 }
 
-// works notes that something came from a runner, and tells the others if it was taken as
+// recordWorking notes that something came from a runner, and tells the others if it was taken as
 // lost.
-func (f *Forwarder) works(r *fleet.Runner, now time.Time) {
-	f.heardAt.Store(now.UnixNano())
+func (f *Forwarder) recordWorking(r *fleet.Runner, now time.Time) {
+	f.lastHeard.Store(now.UnixNano())
 	r.Heard(now)
 	r.MarkWorking()
 	if r.ClearLostIfHeard(now) {
-		f.tell(r, protocol.LossAnswered, now)
+		f.reportObservation(r, protocol.LossAnswered, now)
 	}
 }
 
-func (f *Forwarder) tell(r *fleet.Runner, sign protocol.LossObservation, now time.Time) {
+func (f *Forwarder) reportObservation(r *fleet.Runner, sign protocol.LossObservation, now time.Time) {
 	if f.ReportFailure != nil {
 		f.ReportFailure(r.Name(), sign, now)
 	}
@@ -72,7 +72,7 @@
 // who gives orders.
 func (f *Forwarder) ApplyFailureReport(report loss.Report, v loss.Change) bool {
 	if _, ok := v.(loss.OccupantObserved); ok {
-		return f.located(&report)
+		return f.applyOwner(&report)
 	}
 	r := f.Roster.View().Runner(report.Endpoint())
 	if r == nil {
@@ -85,7 +85,7 @@
 		f.Counters.Ejected(metric.EjectedLost)
 		f.losses.Tell()
 	case loss.Suspected:
-		r.Suspect(now.Add(suspectFor))
+		r.Suspect(now.Add(suspectDuration))
 	case loss.Recovered:
 		r.ClearLost()
 	default:
--- a/transport/forward/news_test.go
+++ b/transport/forward/failure_test.go
@@ -33,15 +33,15 @@
 func (plainHeaders) SetAttemptHeaders(http.Header, *protocol.AttemptTerms, time.Time) {}
 func (plainHeaders) ParseResponse(int, http.Header) (terms protocol.AnswerTerms)      { return terms }
 
-// told is a report as the forwarder tells it.
-type told struct {
+// reportedFailure is a report as the forwarder tells it.
+type reportedFailure struct {
 	endpoint string
 	sign     protocol.LossObservation
 }
 
-// engines returns a forwarder before engines that hold the whole model each, and an
+// newForwarder returns a forwarder before newForwarder that hold the whole model each, and an
 // exchange of a stream that was sent to the first it chose.
-func engines(t *testing.T, n int, tells *[]told) (*Forwarder, *exchange) {
+func newForwarder(t *testing.T, n int, tells *[]reportedFailure) (*Forwarder, *exchange) {
 	s := protocol.RoutedService{Name: "llm", Engine: &protocol.EngineFacts{
 		Layers: 10, LayerMB: 100, TokenLayerMB: 0.1, UsualPrompt: 10, UsualAnswer: 10, StepMS: 1, ReadPerSecond: 1e6,
 		Accelerators: []protocol.AcceleratorFacts{{Name: "t4", MemoryMB: 2000, StepFactor: 1, ReadFactor: 1}},
@@ -50,10 +50,10 @@
 		Home: fleet.Entry{Name: "one", DataCenter: "a"}, Roster: &registry.Registry{Entry: fleet.Entry{Name: "one", DataCenter: "a"}},
 		Headers: plainHeaders{}, Counters: &metric.Set{},
 	}
-	f.suspects.forwarder = f
+	f.faultLocator.forwarder = f
 	if tells != nil {
 		f.ReportFailure = func(endpoint string, sign protocol.LossObservation, _ time.Time) {
-			*tells = append(*tells, told{endpoint, sign})
+			*tells = append(*tells, reportedFailure{endpoint, sign})
 		}
 	}
 	f.InitRetryBudget(RetryBudget{Share: 0.2, Slack: 1000, WindowEnd: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
@@ -71,78 +71,78 @@
 	x := &exchange{
 		forwarder: f, table: table, writer: httptest.NewRecorder(), request: httptest.NewRequest(http.MethodPost, "/", nil), begun: time.Now(),
 		service: &s, route: &protocol.Route{Repeat: protocol.Stream, Resumable: true, MaxTries: 3}, deadline: time.Now().Add(time.Minute),
-		messages: make(chan message, 100), draw: rand.New(rand.NewPCG(1, 2)),
+		messages: make(chan message, 100), rng: rand.New(rand.NewPCG(1, 2)),
 	}
-	p, found := x.pick(time.Now())
+	p, found := x.pickPath(time.Now())
 	require.True(t, found)
-	x.send(&p)
-	t.Cleanup(x.stopAll)
+	x.startAttempt(&p)
+	t.Cleanup(x.closeAttempts)
 	return f, x
 }
 
-// lose has everybody take a runner as lost.
-func lose(f *Forwarder, r *fleet.Runner) {
+// markLost has everybody take a runner as lost.
+func markLost(f *Forwarder, r *fleet.Runner) {
 	var b loss.Tracker
 	now := time.Now()
 	report := loss.NewReport(r.Name(), "another", protocol.LossRefused, now)
 	f.ApplyFailureReport(report, b.Apply(report, 10, now))
 }
 
-// TestAStreamGoesOnAtOnceWhenItsEngineIsToldLost: it need not fall silent first.
-func TestAStreamGoesOnAtOnceWhenItsEngineIsToldLost(t *testing.T) {
-	f, x := engines(t, 4, nil)
-	first := x.live[0].endpoint
+// TestStreamRetriesWhenEngineIsReportedLost: it need not fall silent first.
+func TestStreamRetriesWhenEngineIsReportedLost(t *testing.T) {
+	f, x := newForwarder(t, 4, nil)
+	first := x.open[0].endpoint
 	news := f.losses.Awaited()
-	lose(f, first)
+	markLost(f, first)
 	<-news
-	x.lossTold(time.Now())
-	require.Len(t, x.live, 2)
-	second := x.live[1].endpoint
+	x.handleLosses(time.Now())
+	require.Len(t, x.open, 2)
+	second := x.open[1].endpoint
 	require.NotEqual(t, first, second)
 
-	x.lossTold(time.Now())
-	require.Equal(t, 2, x.tries, "one that may live is open")
-	require.Len(t, x.live, 1, "what waits for the lost one is ended")
+	x.handleLosses(time.Now())
+	require.Equal(t, 2, x.attempts, "one that may live is open")
+	require.Len(t, x.open, 1, "what waits for the lost one is ended")
 
-	lose(f, second)
-	x.lossTold(time.Now())
-	require.Equal(t, 3, x.tries)
-	require.NotContains(t, []*fleet.Runner{first, second}, x.live[len(x.live)-1].endpoint)
+	markLost(f, second)
+	x.handleLosses(time.Now())
+	require.Equal(t, 3, x.attempts)
+	require.NotContains(t, []*fleet.Runner{first, second}, x.open[len(x.open)-1].endpoint)
 }
 
-// TestALossElsewhereChangesNothing for streams that do not pass the lost engine.
-func TestALossElsewhereChangesNothing(t *testing.T) {
-	f, x := engines(t, 3, nil)
+// TestLossOffThePathIsIgnored for streams that do not pass the lost engine.
+func TestLossOffThePathIsIgnored(t *testing.T) {
+	f, x := newForwarder(t, 3, nil)
 	for _, r := range f.Roster.View().Runners() {
-		if r != x.live[0].endpoint {
-			lose(f, r)
+		if r != x.open[0].endpoint {
+			markLost(f, r)
 		}
 	}
-	x.lossTold(time.Now())
-	require.Equal(t, 1, x.tries)
+	x.handleLosses(time.Now())
+	require.Equal(t, 1, x.attempts)
 }
 
-// TestWhatMayNotRunTwiceWaits for the engine itself, whatever is told.
-func TestWhatMayNotRunTwiceWaits(t *testing.T) {
-	f, x := engines(t, 3, nil)
+// TestNonRepeatableRequestIsNotRetriedOnLoss for the engine itself, whatever is told.
+func TestNonRepeatableRequestIsNotRetriedOnLoss(t *testing.T) {
+	f, x := newForwarder(t, 3, nil)
 	x.route = &protocol.Route{Repeat: protocol.Stream, MaxTries: 3}
-	lose(f, x.live[0].endpoint)
-	x.lossTold(time.Now())
-	require.Equal(t, 1, x.tries)
+	markLost(f, x.open[0].endpoint)
+	x.handleLosses(time.Now())
+	require.Equal(t, 1, x.attempts)
 }
 
-// TestWhatIsToldOfAFailure: a refused connection is certain; silence says something only
+// TestReportErrorObservations: a refused connection is certain; silence says something only
 // while this entry hears others, and not that one.
-func TestWhatIsToldOfAFailure(t *testing.T) {
-	var tells []told
-	f, x := engines(t, 2, &tells)
-	r, begun := x.live[0].endpoint, time.Now()
+func TestReportErrorObservations(t *testing.T) {
+	var tells []reportedFailure
+	f, x := newForwarder(t, 2, &tells)
+	r, begun := x.open[0].endpoint, time.Now()
 	refused := &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
-	f.met(r, refused, begun, begun)
-	require.Equal(t, []told{{r.Name(), protocol.LossRefused}}, tells)
+	f.reportError(r, refused, begun, begun)
+	require.Equal(t, []reportedFailure{{r.Name(), protocol.LossRefused}}, tells)
 
 	tells = nil
-	f.met(r, context.DeadlineExceeded, begun, begun.Add(time.Second))
+	f.reportError(r, context.DeadlineExceeded, begun, begun.Add(time.Second))
 	require.Empty(t, tells, "this entry hears nobody")
 	var other *fleet.Runner
 	for _, o := range f.Roster.View().Runners() {
@@ -150,15 +150,15 @@
 			other = o
 		}
 	}
-	f.works(other, begun.Add(time.Millisecond))
-	f.met(r, errors.New("spoilt"), begun, begun.Add(time.Second))
+	f.recordWorking(other, begun.Add(time.Millisecond))
+	f.reportError(r, errors.New("spoilt"), begun, begun.Add(time.Second))
 	require.Empty(t, tells, "that may be anything")
-	f.met(r, context.DeadlineExceeded, begun, begun.Add(time.Second))
-	require.Equal(t, []told{{r.Name(), protocol.LossSilent}}, tells)
+	f.reportError(r, context.DeadlineExceeded, begun, begun.Add(time.Second))
+	require.Equal(t, []reportedFailure{{r.Name(), protocol.LossSilent}}, tells)
 
 	tells = nil
-	lose(f, r)
-	f.works(r, time.Now().Add(2*time.Second))
-	require.Equal(t, []told{{r.Name(), protocol.LossAnswered}}, tells)
+	markLost(f, r)
+	f.recordWorking(r, time.Now().Add(2*time.Second))
+	require.Equal(t, []reportedFailure{{r.Name(), protocol.LossAnswered}}, tells)
 	require.True(t, r.Usable(time.Now()))
 }
--- a/transport/forward/suspects.go
+++ b/transport/forward/fault_locator.go
@@ -16,64 +16,64 @@
 )
 
 const (
-	// suspectFor is how long runners of a silent path get no new work while it is
+	// suspectDuration is how long runners of a silent path get no new work while it is
 	// not clear which of them is at fault.
-	suspectFor = 400 * time.Millisecond
-	// quietAfter is how long a runner must not have been heard on any stream to be
+	suspectDuration = 400 * time.Millisecond
+	// silenceThreshold is how long a runner must not have been heard on any stream to be
 	// suspected. A runner with a few streams is heard every ten ms or so; reading
 	// the prompts of others holds all of them up for some tens of ms.
-	quietAfter = 70 * time.Millisecond
-	// askEvery is the least time between two questions to one engine.
-	askEvery = 250 * time.Millisecond
-	// askLimit bounds the wait for an engine's report.
-	askLimit = 300 * time.Millisecond
+	silenceThreshold = 70 * time.Millisecond
+	// minQueryInterval is the least time between two questions to one engine.
+	minQueryInterval = 250 * time.Millisecond
+	// queryTimeout bounds the wait for an engine's report.
+	queryTimeout = 300 * time.Millisecond
 )
 
-// suspects finds out which runner of a silent path is at fault: runners that
+// faultLocator finds out which runner of a silent path is at fault: runners that
 // other streams have heard since are cleared, the rest get no new work for a
 // moment, and the first engine is asked what its requests wait for.
-type suspects struct {
+type faultLocator struct {
 	forwarder *Forwarder
-	asked     asked
+	throttle  queryThrottle
 }
 
-// silent handles that nothing has come on an attempt since a time. It returns the
+// silentRunners handles that nothing has come on an attempt since a time. It returns the
 // runners of the path from which nothing came on any other stream either, which
 // get no new work for a moment. A path whose runners were all heard lately is
 // busy, not dead.
-func (s *suspects) silent(a *attempt, since, now time.Time) []*fleet.Runner {
+func (s *faultLocator) silentRunners(a *attempt, since, now time.Time) []*fleet.Runner {
 	var quiet []*fleet.Runner
 	for i := range a.path.Len() {
 		r := a.path.Runner(i)
-		if heard := r.HeardAt(); heard.After(now.Add(-quietAfter)) || heard.After(a.sentAt) && heard.After(since.Add(quietAfter)) {
+		if heard := r.HeardAt(); heard.After(now.Add(-silenceThreshold)) || heard.After(a.sentAt) && heard.After(since.Add(silenceThreshold)) {
 			continue
 		}
 		quiet = append(quiet, r)
 		if !r.IsSlow(now) { // it answers, only later
-			r.Suspect(now.Add(suspectFor))
+			r.Suspect(now.Add(suspectDuration))
 		}
 	}
-	if len(quiet) > 0 && a.path.Len() > 1 && s.asked.may(a.endpoint.Name(), askEvery, now) {
-		go (&question{suspects: s, path: a.path, since: since}).run()
+	if len(quiet) > 0 && a.path.Len() > 1 && s.throttle.allow(a.endpoint.Name(), minQueryInterval, now) {
+		go (&stallQuery{locator: s, path: a.path, since: since}).run()
 	}
 	return quiet
 }
 
-// question asks the first engine of a path which engine its requests wait for.
-type question struct {
-	suspects *suspects
-	path     path.Path
-	since    time.Time
+// stallQuery asks the first engine of a path which engine its requests wait for.
+type stallQuery struct {
+	locator *faultLocator
+	path    path.Path
+	since   time.Time
 }
 
-func (q *question) run() {
-	f := q.suspects.forwarder
+func (q *stallQuery) run() {
+	f := q.locator.forwarder
 	first := q.path.Runner(0)
 	asked := clock.Now()
-	report, err := f.report(first)
+	report, err := f.queryReport(first)
 	now := clock.Now()
 	if err != nil {
-		f.met(first, err, asked, now)
+		f.reportError(first, err, asked, now)
 		q.eject(first, metric.EjectedUnreported, err, now)
 		return
 	}
@@ -96,8 +96,8 @@
 }
 
 // eject leaves an engine out, and says what a question to it met, nil for an answer.
-func (q *question) eject(r *fleet.Runner, why metric.Ejection, met error, now time.Time) {
-	f := q.suspects.forwarder
+func (q *stallQuery) eject(r *fleet.Runner, why metric.Ejection, met error, now time.Time) {
+	f := q.locator.forwarder
 	till := r.Failed(now)
 	f.Counters.Ejected(why)
 	told := []slog.Attr{
@@ -122,13 +122,13 @@
 func (p *probe) run() {
 	f := p.forwarder
 	asked := clock.Now()
-	_, err := f.report(p.runner)
+	_, err := f.queryReport(p.runner)
 	if err == nil {
 		p.runner.MarkResponsive()
 		return
 	}
 	now := clock.Now()
-	f.met(p.runner, err, asked, now)
+	f.reportError(p.runner, err, asked, now)
 	till := p.runner.Failed(now)
 	f.Counters.Ejected(metric.EjectedUnanswered)
 	f.log(event.RunnerEjected, slog.String("runner", p.runner.Name()), slog.String("reason", string(metric.EjectedUnanswered)), slog.String("cause", err.Error()),
--- a/transport/forward/forwarder.go
+++ b/transport/forward/forwarder.go
@@ -34,11 +34,11 @@
 }
 
 const (
-	// sweepEvery is how often resting connections are looked through.
-	sweepEvery = time.Second
-	// idleLook is how often an entry with no open request looks whether the VM was suspended
+	// sweepInterval is how often resting connections are looked through.
+	sweepInterval = time.Second
+	// idleCheckInterval is how often an entry with no open request looks whether the VM was suspended
 	// and which slow engines are due to be asked.
-	idleLook = 250 * time.Millisecond
+	idleCheckInterval = 250 * time.Millisecond
 )
 
 // Forwarder forwards requests. Set the exported fields before Start.
@@ -68,46 +68,46 @@
 	// ReportPace tells them that this one met a sign of an endpoint's pace, nil for nobody.
 	ReportPace func(news protocol.RelaySlow, at time.Time)
 
-	done     part.Done
-	budgets  budgets
-	opening  opening
-	pool     pool
-	inflight inflight
-	suspects suspects
-	endings  crashcheck.Checker
-	lines    lines
-	poller   poller
-	paces    paces
-	losses   part.Signal   // told when a runner is found lost
-	refusals part.Signal   // told when work is found to end endpoints
-	woke     part.Signal   // told when the VM was suspended
-	slept    time.Duration // how long it had been, as far as is taken into account; of run
-	heardAt  atomic.Int64  // unix nanoseconds, when anything last came from an endpoint
-	open     atomic.Int64
-	busy     part.Signal // told when the first request is open
-	entries  atomic.Int64
-	refusing atomic.Bool
+	done         part.Done
+	retryBudgets serviceBudgets
+	startup      startupGate
+	pool         connPool
+	inflight     inflightBytes
+	faultLocator faultLocator
+	crashProbes  crashcheck.Checker
+	queues       waitQueues
+	poller       poller
+	slowdowns    slowdownMonitor
+	losses       part.Signal   // told when a runner is found lost
+	refusals     part.Signal   // told when work is found to end endpoints
+	resumed      part.Signal   // told when the VM was suspended
+	suspended    time.Duration // how long it had been, as far as is taken into account; of run
+	lastHeard    atomic.Int64  // unix nanoseconds, when anything last came from an endpoint
+	openCount    atomic.Int64
+	activated    part.Signal // told when the first request is open
+	entryCount   atomic.Int64
+	refusing     atomic.Bool
 }
 
 // Start begins the upkeep of connections.
 func (f *Forwarder) Start() {
 	f.pool.opened = func() { f.Counters.Add(metric.EndpointConnections, 1) }
-	f.suspects.forwarder = f
+	f.faultLocator.forwarder = f
 	f.poller.forwarder = f
-	f.paces.forwarder = f
-	f.opening.begin(clock.Now())
-	f.slept = clock.Slept()
+	f.slowdowns.forwarder = f
+	f.startup.start(clock.Now())
+	f.suspended = clock.Slept()
 	go f.run()
 }
 
 // Close ends it.
 func (f *Forwarder) Close() {
 	f.done.Close()
-	f.endings.Close()
+	f.crashProbes.Close()
 }
 
 // OpenRequests returns how many requests are being served.
-func (f *Forwarder) OpenRequests() int64 { return f.open.Load() }
+func (f *Forwarder) OpenRequests() int64 { return f.openCount.Load() }
 
 // RefuseNew makes the forwarder refuse every further request, because the entry
 // stops and the request would not be finished in time.
@@ -116,18 +116,18 @@
 // run does the upkeep. Of a large fleet most entries have nothing open most of the time: lines and
 // engines' room are looked at while some request is.
 func (f *Forwarder) run() {
-	t := time.NewTicker(sweepEvery)
+	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
-	turns := time.NewTicker(turnEvery)
+	turns := time.NewTicker(dispatchInterval)
 	defer turns.Stop()
-	polls := time.NewTicker(pollLook)
+	polls := time.NewTicker(pollCheckInterval)
 	defer polls.Stop()
-	idles := time.NewTicker(idleLook)
+	idles := time.NewTicker(idleCheckInterval)
 	defer idles.Stop()
 	for {
-		busy := f.busy.Awaited()
+		busy := f.activated.Awaited()
 		turning, polling, idling := turns.C, polls.C, idles.C
-		if f.open.Load() > 0 {
+		if f.openCount.Load() > 0 {
 			idling = nil
 		} else {
 			turning, polling = nil, nil // the timers behind them stop as well
@@ -139,16 +139,16 @@
 			f.inflight.sweep(f.Roster)
 		case <-turning:
 			now := clock.Now()
-			f.noteSleep(now)
-			f.lines.turn(now)
+			f.checkSuspension(now)
+			f.queues.dispatchFirst(now)
 		case <-polling:
 			now := clock.Now()
-			f.poller.look(now)
-			f.paces.look(now)
+			f.poller.pollDue(now)
+			f.slowdowns.queryDue(now)
 		case <-idling:
 			now := clock.Now()
-			f.noteSleep(now)
-			f.paces.look(now)
+			f.checkSuspension(now)
+			f.slowdowns.queryDue(now)
 		case <-busy:
 		case <-f.done.Done():
 			return
@@ -158,22 +158,22 @@
 
 // ServeHTTP serves one request of a caller.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if f.open.Add(1) == 1 {
-		f.busy.Tell()
+	if f.openCount.Add(1) == 1 {
+		f.activated.Tell()
 	}
-	defer f.open.Add(-1)
+	defer f.openCount.Add(-1)
 	f.Counters.Add(metric.Requests, 1)
 	x := &exchange{forwarder: f, writer: w, request: r, begun: clock.Now(), caller: backlog.FromContext(r.Context())}
-	f.opening.wait(r.Context())
-	x.reserved.budget = f.MemoryBudget
-	defer x.reserved.close()
+	f.startup.wait(r.Context())
+	x.reservation.budget = f.MemoryBudget
+	defer x.reservation.releaseAll()
 	refusal := x.admit()
 	if refusal == nil {
-		refusal = x.endsEndpoints(x.begun)
+		refusal = x.checkQuarantine(x.begun)
 	}
-	x.serve(refusal == nil)
+	x.tagCallerConn(refusal == nil)
 	if refusal != nil {
-		x.reserved.close() // its body is given up, however long the refusal waits for its caller
+		x.reservation.releaseAll() // its body is given up, however long the refusal waits for its caller
 		x.refuse(refusal)
 		return
 	}
--- /dev/null
+++ b/transport/forward/handle.go
@@ -0,0 +1,151 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package forward
+
+import (
+	"net/http"
+	"slices"
+
+	"pinerun.example/pinerun/coordination/retry"
+	"pinerun.example/pinerun/internal/clock"
+	"pinerun.example/pinerun/internal/metric"
+)
+
+// handleMessage acts on what an attempt tells, as long as the attempt is open.
+func (x *exchange) handleMessage(m message) {
+	if !slices.Contains(x.open, m.from()) {
+		return
+	}
+	switch m := m.(type) {
+	case headReceived:
+		x.handleHead(m)
+	case eventReceived:
+		x.handleEvent(m)
+	case responseReceived:
+		x.handleResponse(m)
+	case attemptEnded:
+		x.handleEnd(m)
+	case pathAnswered:
+		x.handlePathAnswer(m, clock.Now())
+	case stallReported:
+		x.handleStallReport(m, clock.Now())
+	}
+}
+
+func (x *exchange) handleHead(m headReceived) {
+	// The head waits for the first event: until then the request may still go
+	// elsewhere.
+	m.attempt.head = m.head
+}
+
+// handleEvent passes an event on. The attempt that speaks first stays; another one
+// that was started because it was silent ends.
+func (x *exchange) handleEvent(m eventReceived) {
+	x.keepOnly(m.attempt)
+	now := clock.Now()
+	x.recordPathChange(m.attempt, now)
+	x.recordHeard(m.attempt, now)
+	if slept := x.checkSuspension(now); x.timing.started && !slept {
+		x.checkSlowdown(m.attempt, now.Sub(x.timing.lastEvent), now)
+	}
+	x.timing.recordEvent(now)
+	x.recordProgress(m.attempt, now)
+	if m.attempt.markEvent() {
+		m.attempt.markAccepted()
+	}
+	if !x.headSent {
+		x.writeStreamHead(m.attempt.head)
+		x.forwarder.Counters.Took(metric.FirstEvent, now.Sub(x.begun))
+	}
+	x.events++
+	if m.event.id != "" {
+		x.lastEvent = m.event.id
+	}
+	if _, err := x.writer.Write(m.event.content); err != nil {
+		x.handleWriteError()
+		return
+	}
+	if n := len(m.event.content); n > smallBytes {
+		x.reservation.reserve(int64(-n))
+	}
+	if len(x.messages) == 0 {
+		x.flush()
+	}
+	if x.caller != nil && x.caller.Held() > 0 {
+		x.checkCaller(now)
+	}
+}
+
+// keepOnly ends all open attempts but one.
+func (x *exchange) keepOnly(a *attempt) {
+	for len(x.open) > 1 {
+		other := x.open[0]
+		if other == a {
+			other = x.open[1]
+		}
+		x.closeAttempt(other)
+	}
+}
+
+func (x *exchange) handleResponse(m responseReceived) {
+	now := clock.Now()
+	a := m.attempt
+	x.closeAttempt(a)
+	switch {
+	case m.head.StatusCode == http.StatusMisdirectedRequest:
+		x.handleMisplaced(&m, now)
+		x.decideRetry(a, retry.NotRun, &m)
+	case m.terms.NotRun:
+		x.avoidRefusing(&m, now)
+		x.markFull(a, m.terms.AtFault, now)
+		x.decideRetry(a, retry.NotRun, &m)
+	case x.headSent:
+		// The caller has the head of a stream, and this is no part of one, whether
+		// it is a success or the endpoint's own failure.
+		x.decideRetry(a, retry.Broken, &m)
+	case m.head.StatusCode >= http.StatusInternalServerError:
+		x.decideRetry(a, retry.Failed, &m)
+	case claimsNotRun(m.head.StatusCode) && !x.route.MayRepeat():
+		// Only the endpoint's own word says that a request did not run.
+		x.decideRetry(a, retry.Broken, &m)
+	default:
+		x.reportRan(a, now)
+		x.recordHeard(a, now)
+		x.recordResponseTime(a, now)
+		x.deliver(&m)
+	}
+}
+
+func (x *exchange) handleEnd(m attemptEnded) {
+	a := m.attempt
+	now := clock.Now()
+	a.disconnected = m.cause != nil && !m.unsent && !m.stale
+	x.closeAttempt(a)
+	if !m.unsent && isDisconnect(m.cause) {
+		x.reportBroken(a, now)
+	}
+	switch {
+	case m.cause == nil:
+		x.reportRan(a, now)
+		x.recordHeard(a, now)
+		x.endStream()
+	case m.unsent:
+		x.undoReached(a)
+		x.forwarder.reportError(a.endpoint, m.cause, a.sentAt, now)
+		x.ejectFaulty(a, a.endpoint.Spec().Address, metric.EjectedConnection, now)
+		x.attemptFailed(a, retry.NeverSent, m.cause)
+	case m.stale:
+		// A connection that had rested ended before the answer. The endpoint may
+		// have run the request all the same, but is hardly at fault.
+		x.attemptFailed(a, retry.Broken, m.cause)
+	default:
+		x.ejectFaulty(a, "", metric.EjectedFailed, now)
+		x.attemptFailed(a, retry.Broken, m.cause)
+	}
+}
+
+// claimsNotRun reports whether a status tells the caller that the request did not
+// run.
+func claimsNotRun(status int) bool {
+	return status == http.StatusTooManyRequests || status == http.StatusRequestTimeout
+}
--- a/transport/forward/idle_test.go
+++ b/transport/forward/idle_test.go
@@ -19,9 +19,9 @@
 	"pinerun.example/pinerun/state/routing"
 )
 
-// TestAnEntryWithNothingOpenDerivesNothing lets an endpoint change each 100 ms for ten seconds, before
+// TestIdleEntryDerivesNoView lets an endpoint change each 100 ms for ten seconds, before
 // an entry that serves nobody and before one with a request that waits all the while.
-func TestAnEntryWithNothingOpenDerivesNothing(t *testing.T) {
+func TestIdleEntryDerivesNoView(t *testing.T) {
 	derived := func(busy bool) (n uint64) {
 		synctest.Test(t, func(t *testing.T) {
 			home := fleet.Entry{Name: "one", DataCenter: "a"}
--- a/transport/forward/inflight.go
+++ b/transport/forward/inflight.go
@@ -10,63 +10,63 @@
 	"pinerun.example/pinerun/state/registry"
 )
 
-// inflight is the bytes of large requests at each endpoint, by ID. Requests up to smallBytes
+// inflightBytes is the bytes of large requests at each endpoint, by ID. Requests up to smallBytes
 // are bounded by their number. The zero value is empty.
-type inflight struct {
-	mutex sync.Mutex
-	at    map[string]*pressure.Inflight
+type inflightBytes struct {
+	mutex      sync.Mutex
+	byEndpoint map[string]*pressure.Inflight
 }
 
 // fits reports whether an endpoint may be sent a request of n bytes.
-func (f *inflight) fits(endpoint string, n int) bool {
+func (f *inflightBytes) fits(endpoint string, n int) bool {
 	if n <= smallBytes {
 		return true
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	at := f.at[endpoint]
+	at := f.byEndpoint[endpoint]
 	return at == nil || at.Admits(int64(n))
 }
 
 // sent notes a request of n bytes.
-func (f *inflight) sent(endpoint string, n int) {
+func (f *inflightBytes) sent(endpoint string, n int) {
 	if n <= smallBytes {
 		return
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.at == nil {
-		f.at = make(map[string]*pressure.Inflight)
+	if f.byEndpoint == nil {
+		f.byEndpoint = make(map[string]*pressure.Inflight)
 	}
-	if f.at[endpoint] == nil {
-		f.at[endpoint] = &pressure.Inflight{}
+	if f.byEndpoint[endpoint] == nil {
+		f.byEndpoint[endpoint] = &pressure.Inflight{}
 	}
-	f.at[endpoint].Sent(int64(n))
+	f.byEndpoint[endpoint].Sent(int64(n))
 }
 
 // ended notes that a request of n bytes is no longer there.
-func (f *inflight) ended(endpoint string, n int, fell bool) {
+func (f *inflightBytes) ended(endpoint string, n int, fell bool) {
 	if n <= smallBytes {
 		return
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if at := f.at[endpoint]; at != nil {
+	if at := f.byEndpoint[endpoint]; at != nil {
 		at.Finished(int64(n), fell)
 	}
 }
 
 // sweep forgets endpoints that are gone.
-func (f *inflight) sweep(endpoints *registry.Registry) {
+func (f *inflightBytes) sweep(endpoints *registry.Registry) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if len(f.at) == 0 {
+	if len(f.byEndpoint) == 0 {
 		return
 	}
 	v := endpoints.View()
-	for id, at := range f.at {
+	for id, at := range f.byEndpoint {
 		if at.Bytes() == 0 && v.Runner(id) == nil {
-			delete(f.at, id)
+			delete(f.byEndpoint, id)
 		}
 	}
 }
--- a/transport/forward/inflight_test.go
+++ b/transport/forward/inflight_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestALargeRequestWaitsWhereItsEngineHoldsTooManyBytes, and a small one does not.
-func TestALargeRequestWaitsWhereItsEngineHoldsTooManyBytes(t *testing.T) {
-	f, x := engines(t, 1, nil)
-	engine := x.live[0].endpoint.Name()
+// TestLargeRequestWaitsForInflightBytes, and a small one does not.
+func TestLargeRequestWaitsForInflightBytes(t *testing.T) {
+	f, x := newForwarder(t, 1, nil)
+	engine := x.open[0].endpoint.Name()
 	const large = 20 << 20
 	f.inflight.sent(engine, large)
 	x.body = make([]byte, large)
@@ -29,17 +29,17 @@
 	require.True(t, ready)
 }
 
-// TestAnEngineThatBreaksOffUnderLargeRequestsIsGivenLess from then on.
-func TestAnEngineThatBreaksOffUnderLargeRequestsIsGivenLess(t *testing.T) {
-	f, x := engines(t, 1, nil)
-	x.stopAll()
+// TestDisconnectLowersInflightLimit from then on.
+func TestDisconnectLowersInflightLimit(t *testing.T) {
+	f, x := newForwarder(t, 1, nil)
+	x.closeAttempts()
 	x.body = make([]byte, 4<<20)
-	p, found := x.pick(time.Now())
+	p, found := x.pickPath(time.Now())
 	require.True(t, found)
-	x.send(&p)
-	engine := x.live[0].endpoint.Name()
+	x.startAttempt(&p)
+	engine := x.open[0].endpoint.Name()
 	f.inflight.sent(engine, 4<<20)
-	before := f.inflight.at[engine].Limit()
-	x.takeEnd(attemptEnded{attempt: x.live[0], cause: errors.New("reset")})
-	require.Less(t, f.inflight.at[engine].Limit(), before)
+	before := f.inflight.byEndpoint[engine].Limit()
+	x.handleEnd(attemptEnded{attempt: x.open[0], cause: errors.New("reset")})
+	require.Less(t, f.inflight.byEndpoint[engine].Limit(), before)
 }
--- a/transport/forward/message.go
+++ b/transport/forward/message.go
@@ -12,21 +12,21 @@
 // attemptEnded, pathAnswered or waitReported.
 type message interface{ from() *attempt }
 
-// headCame is the head of a stream.
-type headCame struct {
+// headReceived is the head of a stream.
+type headReceived struct {
 	attempt *attempt
 	head    *http.Response
 	terms   protocol.AnswerTerms
 }
 
-// eventCame is one event of a stream.
-type eventCame struct {
+// eventReceived is one event of a stream.
+type eventReceived struct {
 	attempt *attempt
 	event   streamEvent
 }
 
-// wholeCame is a whole answer that is not a stream.
-type wholeCame struct {
+// responseReceived is a whole answer that is not a stream.
+type responseReceived struct {
 	attempt *attempt
 	head    *http.Response
 	body    []byte
@@ -43,7 +43,7 @@
 	stale   bool
 }
 
-func (m headCame) from() *attempt     { return m.attempt }
-func (m eventCame) from() *attempt    { return m.attempt }
-func (m wholeCame) from() *attempt    { return m.attempt }
-func (m attemptEnded) from() *attempt { return m.attempt }
+func (m headReceived) from() *attempt     { return m.attempt }
+func (m eventReceived) from() *attempt    { return m.attempt }
+func (m responseReceived) from() *attempt { return m.attempt }
+func (m attemptEnded) from() *attempt     { return m.attempt }
--- a/transport/forward/misplaced.go
+++ b/transport/forward/misplaced.go
@@ -13,14 +13,14 @@
 	"pinerun.example/pinerun/state/fleet"
 )
 
-// misplaced handles the answer that a request was sent where it can't run: another process
+// handleMisplaced handles the answer that a request was sent where it can't run: another process
 // has the address of a runner of its path, or that runner does not hold its layers. Unlike a
 // refusal for want of room this lasts, so all entries are told. 15 of 98 engines that had crashed
 // and started again gave twelve entries 344 such answers in 34 s while each found out for itself;
 // told, all 36 entries met 7 (their logs, one run each).
-func (x *exchange) misplaced(m *wholeCame, now time.Time) {
+func (x *exchange) handleMisplaced(m *responseReceived, now time.Time) {
 	f, a, terms := x.forwarder, m.attempt, &m.terms
-	x.refused(m, now)
+	x.avoidRefusing(m, now)
 	for i := range a.path.Len() {
 		if !a.isAtFault(i, terms.AtFault) {
 			continue
@@ -30,23 +30,23 @@
 		if i == 0 && terms.EndpointID != r.Name() {
 			occupant = terms.EndpointID
 		}
-		f.locate(r, occupant, a.sentAt)
+		f.reportOwner(r, occupant, a.sentAt)
 	}
 }
 
-// locate tells all entries that the process which answers at a runner's address is the
+// reportOwner tells all entries that the process which answers at a runner's address is the
 // occupant, "" for one that does not hold the runner's layers. The time is that of the
 // question, so that a record written later stands.
-func (f *Forwarder) locate(r *fleet.Runner, occupant string, at time.Time) {
+func (f *Forwarder) reportOwner(r *fleet.Runner, occupant string, at time.Time) {
 	f.Counters.Add(metric.RecordsDisproved, 1)
 	if f.ReportOccupant != nil {
 		f.ReportOccupant(r.Name(), occupant, at)
 	}
 }
 
-// located applies a report of who answers at an endpoint's address, and reports whether that
+// applyOwner applies a report of who answers at an endpoint's address, and reports whether that
 // changes which record is used or how.
-func (f *Forwarder) located(report *loss.Report) bool {
+func (f *Forwarder) applyOwner(report *loss.Report) bool {
 	id, occupant := report.Endpoint(), report.Occupant()
 	var news bool
 	switch occupant {
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -21,10 +21,10 @@
 	"pinerun.example/pinerun/transport/crashcheck"
 )
 
-// apartFor is how long a request that was at one end is open at a single endpoint before its first
+// singleEndpointTime is how long a request that was at one end is open at a single endpoint before its first
 // event. Where it was seen a request ended its endpoint 0.1 to 0.25 s after it was sent; after that
 // another send costs less than what a slow endpoint does.
-const apartFor = 400 * time.Millisecond
+const singleEndpointTime = 400 * time.Millisecond
 
 // Quarantine knows which work may end what runs it, from this entry and the others.
 type Quarantine interface {
@@ -44,84 +44,84 @@
 	crashcheck.Recorder
 }
 
-// trialWait is a request that waits until its work may run alone.
-type trialWait struct {
-	till   time.Time // until when waiting is of use
-	lookAt time.Time
-	failed *attempt // the last send, nil if there was none
-	result retry.Result
-	whole  *wholeCame
+// isolationWait is a request that waits until its work may run alone.
+type isolationWait struct {
+	deadline  time.Time // until when waiting is of use
+	recheckAt time.Time
+	failed    *attempt // the last send, nil if there was none
+	result    retry.Result
+	response  *responseReceived
 }
 
-// standing returns what the request's work may do now.
-func (x *exchange) standing(now time.Time) quarantine.Status {
+// quarantineStatus returns what the request's work may do now.
+func (x *exchange) quarantineStatus(now time.Time) quarantine.Status {
 	q := x.forwarder.Quarantine
 	if q == nil || q.Empty() {
 		return quarantine.Unrestricted{}
 	}
-	return q.Status(x.work(), now)
+	return q.Status(x.workFingerprint(), now)
 }
 
-// endsEndpoints refuses a request whose work is known to end what runs it, and returns nil for
+// checkQuarantine refuses a request whose work is known to end what runs it, and returns nil for
 // any other.
-func (x *exchange) endsEndpoints(now time.Time) *protocol.Refusal {
-	if r, refused := x.standing(now).(quarantine.Refused); refused {
-		return x.refusal(r)
+func (x *exchange) checkQuarantine(now time.Time) *protocol.Refusal {
+	if r, refused := x.quarantineStatus(now).(quarantine.Refused); refused {
+		return x.quarantineRefusal(r)
 	}
 	return nil
 }
 
-// refusal returns what the caller of refused work is told.
-func (x *exchange) refusal(r quarantine.Refused) *protocol.Refusal {
-	if x.mayHave {
+// quarantineRefusal returns what the caller of refused work is told.
+func (x *exchange) quarantineRefusal(r quarantine.Refused) *protocol.Refusal {
+	if x.mayHaveRun {
 		return protocol.Uncertain(protocol.StageFailed, fmt.Sprintf("%d endpoints ended when they ran this request", r.Crashes()))
 	}
 	return protocol.Refuse(protocol.EndsEndpoints, fmt.Sprintf("%d endpoints ended when they ran the same request", r.Crashes())).Again(r.Until())
 }
 
-// refusedMeanwhile ends a request that is under way while its work is found to end endpoints,
+// cancelRefused ends a request that is under way while its work is found to end endpoints,
 // unless it runs well, which proves the contrary.
-func (x *exchange) refusedMeanwhile(now time.Time) {
-	r, refused := x.standing(now).(quarantine.Refused)
+func (x *exchange) cancelRefused(now time.Time) {
+	r, refused := x.quarantineStatus(now).(quarantine.Refused)
 	if !refused {
 		return
 	}
-	for _, a := range x.live {
-		if !a.firstAt.IsZero() && now.Sub(a.firstAt) >= quarantine.SafeAfter {
-			a.proven = false
-			x.ran(a, now)
+	for _, a := range x.open {
+		if !a.firstEventAt.IsZero() && now.Sub(a.firstEventAt) >= quarantine.SafeAfter {
+			a.reportedRan = false
+			x.reportRan(a, now)
 			return
 		}
 	}
-	x.mayHave = x.mayHave || len(x.live) > 0
-	x.unhold()
-	x.trial = nil
-	x.stopAll()
-	x.finish(x.refusal(r))
+	x.mayHaveRun = x.mayHaveRun || len(x.open) > 0
+	x.dequeue()
+	x.isolation = nil
+	x.closeAttempts()
+	x.fail(x.quarantineRefusal(r))
 }
 
-// restrain keeps a request back whose work must not run now, after its last send or before
+// applyQuarantine keeps a request back whose work must not run now, after its last send or before
 // the first, and reports whether it does. It is refused, or waits for its trial. Forgotten with
 // its try and at each entry, such a request was sent on until half of the endpoints had ended.
-func (x *exchange) restrain(a *attempt, r retry.Result, whole *wholeCame, now time.Time) bool {
-	switch s := x.standing(now).(type) {
+func (x *exchange) applyQuarantine(a *attempt, r retry.Result, whole *responseReceived, now time.Time) bool {
+	switch s := x.quarantineStatus(now).(type) {
 	case quarantine.Refused:
-		x.finish(x.refusal(s))
+		x.fail(x.quarantineRefusal(s))
 		return true
 	case quarantine.RequireIsolation, quarantine.Waiting:
-		x.trial = &trialWait{till: x.trialTill(now), lookAt: now, failed: a, result: r, whole: whole}
+		x.isolation = &isolationWait{deadline: x.isolationDeadline(now), recheckAt: now, failed: a, result: r, response: whole}
 		x.forwarder.Counters.Add(metric.RequestsTried, 1)
-		x.forwarder.log(event.TrialAwaited, x.id(), slog.String("fingerprint", x.work().String()),
-			slog.Int64("till_ms", x.trial.till.Sub(now).Milliseconds()))
+		x.forwarder.log(event.TrialAwaited, x.requestAttr(), slog.String("fingerprint", x.workFingerprint().String()),
+			slog.Int64("till_ms", x.isolation.deadline.Sub(now).Milliseconds()))
 		return true
 	default:
 		return false
 	}
 }
 
-// trialTill returns until when it is of use to wait for a trial.
-func (x *exchange) trialTill(now time.Time) time.Time {
-	if till := x.hopeTill(); !till.IsZero() {
+// isolationDeadline returns until when it is of use to wait for a trial.
+func (x *exchange) isolationDeadline(now time.Time) time.Time {
+	if till := x.queueDeadline(); !till.IsZero() {
 		return till
 	}
 	if till := now.Add(quarantine.IsolationTimeout); till.Before(x.deadline) {
@@ -130,79 +130,79 @@
 	return x.deadline
 }
 
-// wakeTrial looks whether a request that waits for its trial may run.
-func (x *exchange) wakeTrial(now time.Time) {
-	t := x.trial
-	t.lookAt = now.Add(quarantine.IsolationPollInterval)
-	switch s := x.standing(now).(type) {
+// checkIsolation looks whether a request that waits for its trial may run.
+func (x *exchange) checkIsolation(now time.Time) {
+	t := x.isolation
+	t.recheckAt = now.Add(quarantine.IsolationPollInterval)
+	switch s := x.quarantineStatus(now).(type) {
 	case quarantine.Refused:
-		x.trial = nil
-		x.finish(x.refusal(s))
+		x.isolation = nil
+		x.fail(x.quarantineRefusal(s))
 		return
 	case quarantine.Waiting:
-		if s.Until().Before(t.lookAt) {
-			t.lookAt = s.Until()
+		if s.Until().Before(t.recheckAt) {
+			t.recheckAt = s.Until()
 		}
 	case quarantine.RequireIsolation:
-		if x.tryAlone(now) {
+		if x.startIsolated(now) {
 			return
 		}
 	default:
-		x.trial = nil
+		x.isolation = nil
 		if t.failed == nil {
-			x.begin(now)
+			x.start(now)
 			return
 		}
-		x.goOn(t.failed, t.result, t.whole, now)
+		x.retryOrFinish(t.failed, t.result, t.response, now)
 		return
 	}
-	if !now.Before(t.till) {
-		x.endTrialWait()
+	if !now.Before(t.deadline) {
+		x.expireIsolation()
 	}
 }
 
-// tryAlone sends a request whose turn has come to an endpoint where no other such work is, and
+// startIsolated sends a request whose turn has come to an endpoint where no other such work is, and
 // reports whether it did.
-func (x *exchange) tryAlone(now time.Time) bool {
-	t, f := x.trial, x.forwarder
+func (x *exchange) startIsolated(now time.Time) bool {
+	t, f := x.isolation, x.forwarder
 	p, ready := x.pickNext(now)
-	if !ready || !sound(&p, now, nil) || !x.mayReach(&p) || slices.Contains(f.Quarantine.ReservedEndpoints(x.work(), now), p.Runner(0).Name()) || !f.Quarantine.MayStartIsolatedRun(now) {
+	if !ready || !pathHealthy(&p, now, nil) || !x.mayReach(&p) || slices.Contains(f.Quarantine.ReservedEndpoints(x.workFingerprint(), now), p.Runner(0).Name()) || !f.Quarantine.MayStartIsolatedRun(now) {
 		return false
 	}
 	again := t.failed != nil && t.result != retry.NeverSent
-	if again && !f.budgets.take(x.service.Name, now) {
+	if again && !f.retryBudgets.takeRetry(x.service.Name, now) {
 		return false
 	}
 	if t.failed != nil {
-		f.Counters.Retried(reasonOf(t.result))
+		f.Counters.Retried(retryReason(t.result))
 	}
-	x.trial = nil
-	x.send(&p)
-	x.rhythm.restart(now)
+	x.isolation = nil
+	x.startAttempt(&p)
+	x.timing.restart(now)
 	return true
 }
 
-// endTrialWait ends a request that has waited for its trial in vain.
-func (x *exchange) endTrialWait() {
-	t := x.trial
-	x.trial = nil
+// expireIsolation ends a request that has waited for its trial in vain.
+func (x *exchange) expireIsolation() {
+	t := x.isolation
+	x.isolation = nil
 	again := clock.Now().Add(quarantine.IsolationRetryAfter)
 	if t.failed == nil {
-		x.finish(protocol.Refuse(protocol.QueueFull, "endpoints ended when they ran this request, and none is free to run it alone").Again(again))
+		x.fail(protocol.Refuse(protocol.QueueFull, "endpoints ended when they ran this request, and none is free to run it alone").Again(again))
 		return
 	}
-	x.end(retry.FinalAction(t.result, x.mayHave), t.whole, again)
+	x.endWith(retry.FinalAction(t.result, x.mayHaveRun), t.response, again)
 }
 
-// takenBy adds to the runners that a request avoids those at which work is on trial that must
+// avoidReserved adds to the runners that a request avoids those at which work is on trial that must
 // not meet it.
-func (x *exchange) takenBy(avoid []*fleet.Runner, now time.Time) []*fleet.Runner {
-	if _, free := x.standing(now).(quarantine.Unrestricted); free {
+func (x *exchange) avoidReserved(avoid []*fleet.Runner, now time.Time) []*fleet.Runner {
+	if _, free := x.quarantineStatus(now).(quarantine.Unrestricted); free {
 		return avoid
 	}
 	avoid = slices.Clip(avoid)
 	view := x.forwarder.Roster.View()
-	for _, id := range x.forwarder.Quarantine.ReservedEndpoints(x.work(), now) {
+	for _, id := range x.forwarder.Quarantine.ReservedEndpoints(x.workFingerprint(), now) {
 		if r := view.Runner(id); r != nil && !slices.Contains(avoid, r) {
 			avoid = append(avoid, r)
 		}
@@ -210,102 +210,102 @@
 	return avoid
 }
 
-// enrol notes the trial that an attempt is, if its work is not free: other such work keeps
+// markIsolated notes the trial that an attempt is, if its work is not free: other such work keeps
 // away from its endpoint.
-func (x *exchange) enrol(a *attempt, now time.Time) {
+func (x *exchange) markIsolated(a *attempt, now time.Time) {
 	q := x.forwarder.Quarantine
-	a.life = x.forwarder.Roster.Incarnation(a.endpoint.Name())
-	if _, free := x.standing(now).(quarantine.Unrestricted); !free {
-		a.trial = true
-		q.Report(x.news(a, protocol.WorkTried), now)
+	a.incarnation = x.forwarder.Roster.Incarnation(a.endpoint.Name())
+	if _, free := x.quarantineStatus(now).(quarantine.Unrestricted); !free {
+		a.isolated = true
+		q.Report(x.workReport(a, protocol.WorkTried), now)
 	}
 }
 
-// dismiss ends the trial that an attempt is.
-func (x *exchange) dismiss(a *attempt, now time.Time) {
-	if a.trial {
-		a.trial = false
-		x.forwarder.Quarantine.Report(x.news(a, protocol.WorkTrialOver), now)
+// clearIsolated ends the trial that an attempt is.
+func (x *exchange) clearIsolated(a *attempt, now time.Time) {
+	if a.isolated {
+		a.isolated = false
+		x.forwarder.Quarantine.Report(x.workReport(a, protocol.WorkTrialOver), now)
 	}
 }
 
-// broke tells that an attempt's answer broke off, or that its endpoint is lost, soon after the
+// reportBroken tells that an attempt's answer reportBroken off, or that its endpoint is lost, soon after the
 // work began there. It is told once for each attempt.
-func (x *exchange) broke(a *attempt, now time.Time) {
+func (x *exchange) reportBroken(a *attempt, now time.Time) {
 	f := x.forwarder
-	if f.Quarantine == nil || a.broken || !a.firstAt.IsZero() && now.Sub(a.firstAt) > quarantine.SafeAfter {
+	if f.Quarantine == nil || a.reportedBroken || !a.firstEventAt.IsZero() && now.Sub(a.firstEventAt) > quarantine.SafeAfter {
 		return
 	}
-	a.broken = true
-	f.Quarantine.Report(x.news(a, protocol.WorkBroke), now)
+	a.reportedBroken = true
+	f.Quarantine.Report(x.workReport(a, protocol.WorkBroke), now)
 	if !a.endpoint.Lost(now) {
-		f.checkEnd(a, x.service.Engine != nil, now)
+		f.startCrashProbe(a, x.service.Engine != nil, now)
 	}
 }
 
-// ran tells that the work ran well on an attempt, if anything is known against it.
-func (x *exchange) ran(a *attempt, now time.Time) {
+// reportRan tells that the work reportRan well on an attempt, if anything is known against it.
+func (x *exchange) reportRan(a *attempt, now time.Time) {
 	q := x.forwarder.Quarantine
-	if a.proven || q == nil || q.Empty() || !q.IsSuspected(x.work()) {
+	if a.reportedRan || q == nil || q.Empty() || !q.IsSuspected(x.workFingerprint()) {
 		return
 	}
-	a.proven = true
-	q.Report(x.news(a, protocol.WorkRan), now)
+	a.reportedRan = true
+	q.Report(x.workReport(a, protocol.WorkRan), now)
 }
 
-// runsOn notes an event of an attempt: work that runs on proves that it does not end its endpoint.
-func (x *exchange) runsOn(a *attempt, now time.Time) {
-	if a.firstAt.IsZero() {
-		a.firstAt = now
+// recordProgress notes an event of an attempt: work that runs on proves that it does not end its endpoint.
+func (x *exchange) recordProgress(a *attempt, now time.Time) {
+	if a.firstEventAt.IsZero() {
+		a.firstEventAt = now
 	}
-	if now.Sub(a.firstAt) >= quarantine.SafeAfter {
-		x.dismiss(a, now)
-		x.ran(a, now)
+	if now.Sub(a.firstEventAt) >= quarantine.SafeAfter {
+		x.clearIsolated(a, now)
+		x.reportRan(a, now)
 	}
 }
 
-// news returns what to tell of the request's work at an attempt's endpoint.
-func (x *exchange) news(a *attempt, sign protocol.WorkObservation) protocol.RelayWork {
-	return protocol.RelayWork{Work: x.work(), Endpoint: a.endpoint.Name(), Incarnation: a.life, Observation: sign}
+// workReport returns what to tell of the request's work at an attempt's endpoint.
+func (x *exchange) workReport(a *attempt, sign protocol.WorkObservation) protocol.RelayWork {
+	return protocol.RelayWork{Work: x.workFingerprint(), Endpoint: a.endpoint.Name(), Incarnation: a.incarnation, Observation: sign}
 }
 
-// lostUnder tells of open attempts whose endpoint is lost before their connection breaks, or
+// reportLostEndpoints tells of open attempts whose endpoint is lost before their connection breaks, or
 // that wait for a later stage of their path.
-func (x *exchange) lostUnder(now time.Time) {
-	for _, a := range x.live {
+func (x *exchange) reportLostEndpoints(now time.Time) {
+	for _, a := range x.open {
 		if a.endpoint.Lost(now) {
-			x.broke(a, now)
+			x.reportBroken(a, now)
 		}
-		x.brokeBehind(a, now)
+		x.reportLostStages(a, now)
 	}
 }
 
-// brokeBehind tells that later stages of an attempt's path are lost, if the work had not run for
+// reportLostStages tells that later stages of an attempt's path are lost, if the work had not run for
 // long by then. The answer does not break off then, and a change of path would have the next
 // engine run the work.
-func (x *exchange) brokeBehind(a *attempt, now time.Time) {
+func (x *exchange) reportLostStages(a *attempt, now time.Time) {
 	q := x.forwarder.Quarantine
-	if q == nil || !a.firstAt.IsZero() && x.rhythm.last.Sub(a.firstAt) >= quarantine.SafeAfter {
+	if q == nil || !a.firstEventAt.IsZero() && x.timing.lastEvent.Sub(a.firstEventAt) >= quarantine.SafeAfter {
 		return
 	}
 	for i := 1; i < a.path.Len(); i++ {
 		r := a.path.Runner(i)
-		if !r.Lost(now) || slices.Contains(a.lost, r) {
+		if !r.Lost(now) || slices.Contains(a.reportedLost, r) {
 			continue
 		}
-		a.lost = append(a.lost, r)
-		x.forwarder.log(event.StageLost, x.id(), slog.Int("attempt", a.number), slog.String("endpoint", r.Name()),
-			slog.String("fingerprint", x.work().String()))
+		a.reportedLost = append(a.reportedLost, r)
+		x.forwarder.log(event.StageLost, x.requestAttr(), slog.Int("attempt", a.number), slog.String("endpoint", r.Name()),
+			slog.String("fingerprint", x.workFingerprint().String()))
 		q.Report(protocol.RelayWork{
-			Work: x.work(), Endpoint: r.Name(), Incarnation: x.forwarder.Roster.Incarnation(r.Name()), Observation: protocol.WorkBrokeBehind,
+			Work: x.workFingerprint(), Endpoint: r.Name(), Incarnation: x.forwarder.Roster.Incarnation(r.Name()), Observation: protocol.WorkBrokeBehind,
 		}, now)
 	}
 }
 
-// mayMove reports whether the request may be put on other engines while it is open: not if
+// mayChangeEndpoints reports whether the request may be put on other engines while it is open: not if
 // those may end under it.
-func (x *exchange) mayMove(now time.Time) bool {
-	switch x.standing(now).(type) {
+func (x *exchange) mayChangeEndpoints(now time.Time) bool {
+	switch x.quarantineStatus(now).(type) {
 	case quarantine.Unrestricted, quarantine.PreferIsolation:
 		return true
 	default:
@@ -315,33 +315,33 @@
 
 // mayHedge reports whether a request may be open at two endpoints: not if it may end both.
 func (x *exchange) mayHedge(silent *attempt, now time.Time) bool {
-	switch x.standing(now).(type) {
+	switch x.quarantineStatus(now).(type) {
 	case quarantine.Unrestricted:
 		return true
 	case quarantine.PreferIsolation:
-		return !silent.firstAt.IsZero() || now.Sub(silent.sentAt) >= apartFor
+		return !silent.firstEventAt.IsZero() || now.Sub(silent.sentAt) >= singleEndpointTime
 	default:
 		return false
 	}
 }
 
-// leaveLost gives up an attempt that waits for a lost endpoint, for a request that may not be open
+// abandonLost gives up an attempt that waits for a lost endpoint, for a request that may not be open
 // at two. It reports whether it did.
-func (x *exchange) leaveLost(a *attempt, now time.Time) bool {
-	if len(lostOf(a, now)) == 0 || len(x.live) != 1 || x.live[0] != a {
+func (x *exchange) abandonLost(a *attempt, now time.Time) bool {
+	if len(lostRunners(a, now)) == 0 || len(x.open) != 1 || x.open[0] != a {
 		return false
 	}
 	if a.endpoint.Lost(now) {
-		x.broke(a, now)
+		x.reportBroken(a, now)
 	}
-	x.drop(a)
-	x.decide(a, retry.Broken, nil)
+	x.closeAttempt(a)
+	x.decideRetry(a, retry.Broken, nil)
 	return true
 }
 
-// brokeOff reports whether an attempt ended as it does when its endpoint ends, and not
+// isDisconnect reports whether an attempt ended as it does when its endpoint ends, and not
 // because the endpoint sent something wrong.
-func brokeOff(cause error) bool {
+func isDisconnect(cause error) bool {
 	return errors.Is(cause, io.EOF) || errors.Is(cause, io.ErrUnexpectedEOF) || errors.Is(cause, syscall.ECONNRESET) || errors.Is(cause, syscall.EPIPE)
 }
 
--- /dev/null
+++ b/transport/forward/queue.go
@@ -0,0 +1,327 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package forward
+
+import (
+	"log/slog"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"pinerun.example/pinerun/coordination/admit"
+	"pinerun.example/pinerun/coordination/path"
+	"pinerun.example/pinerun/coordination/retry"
+	"pinerun.example/pinerun/internal/event"
+	"pinerun.example/pinerun/internal/metric"
+	"pinerun.example/pinerun/protocol"
+)
+
+const (
+	// dispatchInterval is how often those that wait are given their turn: room also comes back
+	// without a sign, when other entries' requests end.
+	dispatchInterval = 10 * time.Millisecond
+	// maxDispatchScan is how many that wait are given their turn one after the other when the
+	// first finds no room: it may be larger than others.
+	maxDispatchScan = 4
+	// firstEventMargin is how long the first event usually takes once a request is sent: the
+	// median is 0.1 s, and 0.4 s covers reading behind other prompts.
+	firstEventMargin = 400 * time.Millisecond
+	// targetMargin is the same for a request that is just in time.
+	targetMargin = 150 * time.Millisecond
+	// resumePriority is the priority of streams that have begun and wait to go on: before all
+	// that have not.
+	resumePriority = -1
+)
+
+// waitQueue is the requests of one service that wait for room at its engines.
+type waitQueue struct {
+	mutex      sync.Mutex
+	queue      admit.WaitQueue
+	dispatches map[admit.Ticket]chan int
+	lastTicket admit.Ticket
+}
+
+// enqueue lets a request wait and returns its ticket and the channel of its turns.
+func (l *waitQueue) enqueue(w admit.Waiter, now time.Time) (t admit.Ticket, turns chan int, again time.Time, ok bool) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.lastTicket++
+	w.Ticket = l.lastTicket
+	if again, ok := l.queue.Enqueue(w, now); !ok {
+		return 0, nil, again, false
+	}
+	if l.dispatches == nil {
+		l.dispatches = make(map[admit.Ticket]chan int)
+	}
+	turns = make(chan int, 1)
+	l.dispatches[w.Ticket] = turns
+	return w.Ticket, turns, time.Time{}, true
+}
+
+// remove takes a request out.
+func (l *waitQueue) remove(t admit.Ticket) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.queue.Remove(t)
+	delete(l.dispatches, t)
+}
+
+// recordStart notes that a request of a team began.
+func (l *waitQueue) recordStart(team string, now time.Time) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	l.queue.RecordDispatch(team, now)
+}
+
+// anyAhead reports whether requests wait that go before a new one of that priority.
+func (l *waitQueue) anyAhead(priority int) bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.queue.HasPredecessors(priority)
+}
+
+// groups returns who waits.
+func (l *waitQueue) groups() []admit.Group {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.queue.Groups()
+}
+
+// retryAfter returns from when it is worth to come back.
+func (l *waitQueue) retryAfter(now time.Time) time.Time {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.queue.RetryAfter(now)
+}
+
+// dispatch gives the request that goes after so many others its dispatch.
+func (l *waitQueue) dispatch(after int, now time.Time) {
+	if after >= maxDispatchScan {
+		return
+	}
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	w, ok := l.queue.Peek(after, now)
+	if !ok {
+		return
+	}
+	select {
+	case l.dispatches[w.Ticket] <- after:
+	default: // it has not taken its last turn yet
+	}
+}
+
+// waitQueues holds the line of each service. The zero value has none.
+type waitQueues struct {
+	byService sync.Map // of *line by service name
+}
+
+func (l *waitQueues) forService(service string) *waitQueue {
+	if found, ok := l.byService.Load(service); ok {
+		return found.(*waitQueue)
+	}
+	made, _ := l.byService.LoadOrStore(service, &waitQueue{})
+	return made.(*waitQueue)
+}
+
+// dispatchFirst gives the first of each line its dispatchFirst.
+func (l *waitQueues) dispatchFirst(now time.Time) {
+	l.byService.Range(func(_, found any) bool {
+		found.(*waitQueue).dispatch(0, now)
+		return true
+	})
+}
+
+// QueueStatus returns who waits for room at engines, in order of service, priority and team.
+func (f *Forwarder) QueueStatus(now time.Time) []protocol.WaitingStatus {
+	var all []protocol.WaitingStatus
+	f.queues.byService.Range(func(service, found any) bool {
+		groups := found.(*waitQueue).groups()
+		for i := range groups {
+			g := &groups[i]
+			all = append(all, protocol.WaitingStatus{
+				Service: service.(string), Priority: g.Priority(), Team: g.Team(), Requests: g.Requests(),
+				OldestMS: now.Sub(g.Oldest()).Milliseconds(),
+			})
+		}
+		return true
+	})
+	slices.SortStableFunc(all, func(a, b protocol.WaitingStatus) int { return strings.Compare(a.Service, b.Service) })
+	return all
+}
+
+// queuedRequest is a request that waits for room: how its last send ended, and its place in the
+// line.
+type queuedRequest struct {
+	queue      *waitQueue
+	ticket     admit.Ticket
+	dispatches chan int
+	deadline   time.Time // until when waiting is of use
+	since      time.Time
+	failed     *attempt // the last send, nil if there was none
+	result     retry.Result
+	response   *responseReceived
+}
+
+// start sends the request for the first time, or lets it wait for room.
+func (x *exchange) start(now time.Time) {
+	if x.applyQuarantine(nil, retry.NeverSent, nil, now) {
+		return
+	}
+	if x.service.Engine == nil {
+		p, found := x.pickPath(now)
+		if found && !x.fits(&p) {
+			x.avoid = append(x.avoid, p.Runner(0))
+			p, found = x.pickPath(now)
+		}
+		switch {
+		case !found:
+			x.refuse(noPath())
+			x.finished = true
+			return
+		case !x.fits(&p):
+			x.refuse(noCapacity(now.Add(capacityRetryAfter)))
+			x.finished = true
+			return
+		}
+		x.startAttempt(&p)
+		return
+	}
+	l := x.forwarder.queues.forService(x.service.Name)
+	if !l.anyAhead(x.priority()) {
+		if p, ready := x.pickReady(now); ready {
+			l.recordStart(x.teamName(), now)
+			x.startAttempt(&p)
+			return
+		}
+	}
+	if again, ok := x.enqueue(nil, retry.NeverSent, nil, x.queueDeadline(), now); !ok {
+		x.fail(noCapacity(again))
+	}
+}
+
+// pickReady chooses a path and reports whether it can take the request now.
+func (x *exchange) pickReady(now time.Time) (path.Path, bool) {
+	var p path.Path
+	q := x.pathQuery(now)
+	found := x.forwarder.choosePath(x.service, &q, x.preferredDataCenter(), &p)
+	return p, found && pathReady(&p, &q) && x.fits(&p)
+}
+
+// queueDeadline returns until when it is of use to begin: after that the caller leaves before
+// the first event can come. Callers of answers that are no streams wait to their deadline;
+// requests of plain services don't wait here.
+func (x *exchange) queueDeadline() time.Time {
+	switch {
+	case x.service.Engine == nil:
+		return time.Time{}
+	case x.route.PatienceMS <= 0:
+		return x.deadline
+	}
+	from := x.begun
+	if x.headSent {
+		from = x.timing.lastEvent
+	}
+	till := x.route.Patience(from).Add(-firstEventMargin)
+	if till.After(x.deadline) {
+		return x.deadline
+	}
+	return till
+}
+
+// enqueue lets the request enqueue for room until it is of no use. It reports whether it does,
+// and if not, from when to come back.
+func (x *exchange) enqueue(a *attempt, r retry.Result, whole *responseReceived, till, now time.Time) (again time.Time, ok bool) {
+	l := x.forwarder.queues.forService(x.service.Name)
+	if !now.Before(till) {
+		return l.retryAfter(now), false
+	}
+	priority := x.priority()
+	if x.headSent {
+		priority = resumePriority
+	}
+	h := &queuedRequest{queue: l, deadline: till, since: now, failed: a, result: r, response: whole}
+	h.ticket, h.dispatches, again, ok = l.enqueue(admit.Waiter{
+		Team: x.teamName(), Priority: priority, Since: x.begun,
+		TargetStart: x.route.Aim(x.begun).Add(-targetMargin), LatestStart: till,
+	}, now)
+	if !ok {
+		return again, false
+	}
+	x.queued = h
+	x.forwarder.Counters.Add(metric.RequestsHeld, 1)
+	x.forwarder.log(event.HoldBegun, x.requestAttr(), slog.Int("sends", x.attempts), slog.Int("priority", priority),
+		slog.Int64("most_ms", till.Sub(now).Milliseconds()))
+	return time.Time{}, true
+}
+
+// handleDispatch tries to begin a request that waits.
+func (x *exchange) handleDispatch(after int, now time.Time) {
+	h := x.queued
+	if !x.tryDispatch(now) {
+		h.queue.dispatch(after+1, now)
+		return
+	}
+	x.forwarder.Counters.Took(metric.Held, now.Sub(h.since))
+	h.queue.dispatch(0, now)
+}
+
+// tryDispatch sends the request that waits, if there is room and the budget allows it.
+func (x *exchange) tryDispatch(now time.Time) bool {
+	h := x.queued
+	if x.applyQuarantine(h.failed, h.result, h.response, now) {
+		x.dequeue()
+		return true
+	}
+	p, ready := x.pickReady(now)
+	if !ready || !x.mayReach(&p) {
+		return false
+	}
+	if h.failed != nil && h.result != retry.NeverSent && !x.forwarder.retryBudgets.takeRetry(x.service.Name, now) {
+		return false
+	}
+	x.dequeue()
+	h.queue.recordStart(x.teamName(), now)
+	if h.failed != nil {
+		x.forwarder.Counters.Retried(retryReason(h.result))
+	}
+	x.startAttempt(&p)
+	x.timing.restart(now)
+	return true
+}
+
+// dequeue takes the request out of the line.
+func (x *exchange) dequeue() {
+	if x.queued != nil {
+		x.queued.queue.remove(x.queued.ticket)
+		x.queued = nil
+	}
+}
+
+// expireQueued ends a request that has waited for room in vain.
+func (x *exchange) expireQueued(now time.Time) {
+	h := x.queued
+	x.dequeue()
+	x.forwarder.log(event.HoldEnded, x.requestAttr(), slog.Int64("held_ms", now.Sub(h.since).Milliseconds()), slog.Int("sends", x.attempts))
+	if h.failed == nil {
+		x.fail(noCapacity(h.queue.retryAfter(now)))
+		return
+	}
+	x.endWith(retry.FinalAction(h.result, x.mayHaveRun), h.response, h.queue.retryAfter(now))
+}
+
+// priority ranks by team first, then by route, as engines do.
+func (x *exchange) priority() int { return x.urgency() }
+
+func (x *exchange) teamName() string {
+	if x.team == nil {
+		return ""
+	}
+	return x.team.Name
+}
+
+// noCapacity is the refusal of a request for which the engines have no room in time.
+func noCapacity(again time.Time) *protocol.Refusal {
+	return protocol.Refuse(protocol.QueueFull, "no engines have room for the request in time").Again(again)
+}
--- a/transport/forward/reply.go
+++ b/transport/forward/reply.go
@@ -15,9 +15,9 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// writeSlack is how much longer than its deadline a request's answer may take to
+// writeGrace is how much longer than its deadline a request's answer may take to
 // be written to a caller that reads slowly.
-const writeSlack = 400 * time.Millisecond
+const writeGrace = 400 * time.Millisecond
 
 // copyHead puts an endpoint's head into the caller's answer.
 func (x *exchange) copyHead(head *http.Response) {
@@ -25,26 +25,26 @@
 	for name, values := range head.Header {
 		h[name] = values
 	}
-	stripHops(h)
+	stripHopHeaders(h)
 	if h.Get("Content-Type") == "" {
 		h["Content-Type"] = nil // the library must not guess one
 	}
 }
 
 // deliver passes a whole answer on.
-func (x *exchange) deliver(m *wholeCame) {
+func (x *exchange) deliver(m *responseReceived) {
 	x.finished = true
 	x.copyHead(m.head)
 	if m.head.StatusCode != http.StatusNoContent && m.head.StatusCode != http.StatusNotModified && x.request.Method != http.MethodHead {
 		x.writer.Header().Set("Content-Length", strconv.Itoa(len(m.body)))
 	}
-	x.limitWrite()
+	x.setWriteDeadline()
 	x.writer.WriteHeader(m.head.StatusCode)
-	if !x.pour(m.body) {
-		x.callerLeft()
+	if !x.writeBody(m.body) {
+		x.recordCallerLeft()
 		return
 	}
-	x.answered(m.head.StatusCode)
+	x.recordAnswered(m.head.StatusCode)
 }
 
 // writeStreamHead passes the head of a stream on.
@@ -52,20 +52,20 @@
 	x.headSent = true
 	x.copyHead(head)
 	x.writer.Header().Del("Content-Length")
-	x.limitWrite()
+	x.setWriteDeadline()
 	x.writer.WriteHeader(head.StatusCode)
 }
 
-func (x *exchange) limitWrite() {
-	err := http.NewResponseController(x.writer).SetWriteDeadline(clock.Timer(x.deadline.Add(writeSlack)))
+func (x *exchange) setWriteDeadline() {
+	err := http.NewResponseController(x.writer).SetWriteDeadline(clock.Timer(x.deadline.Add(writeGrace)))
 	if err != nil {
-		x.forwarder.log(event.CallerUnbounded, x.id(), slog.String("cause", err.Error()))
+		x.forwarder.log(event.CallerUnbounded, x.requestAttr(), slog.String("cause", err.Error()))
 	}
 }
 
 func (x *exchange) flush() {
 	if err := http.NewResponseController(x.writer).Flush(); err != nil && !x.finished {
-		x.writeFailed()
+		x.handleWriteError()
 	}
 }
 
@@ -73,40 +73,40 @@
 func (x *exchange) endStream() {
 	x.finished = true
 	if !x.headSent {
-		x.finish(protocol.Uncertain(protocol.StageFailed, "the stream had no event"))
+		x.fail(protocol.Uncertain(protocol.StageFailed, "the stream had no event"))
 		return
 	}
-	if !x.drained() {
-		x.callerLeft()
+	if !x.drain() {
+		x.recordCallerLeft()
 		return
 	}
-	x.answered(http.StatusOK)
+	x.recordAnswered(http.StatusOK)
 }
 
-func (x *exchange) answered(status int) {
+func (x *exchange) recordAnswered(status int) {
 	f := x.forwarder
 	took := clock.Since(x.begun)
 	f.Counters.Took(metric.WholeAnswer, took)
 	if x.events > 1 {
-		f.Counters.Took(metric.Pause, x.rhythm.longest)
+		f.Counters.Took(metric.Pause, x.timing.longestPause)
 	}
 	f.Counters.Add(metric.AnsweredInTime, 1)
-	f.log(event.RequestAnswered, x.id(), slog.Int("status", status), slog.Int("events", x.events),
-		slog.Int64("took_ms", took.Milliseconds()), slog.Int("sends", x.tries),
-		slog.Int64("first_ms", x.rhythm.firstAfter(x.begun).Milliseconds()), slog.Int64("pause_ms", x.rhythm.longest.Milliseconds()))
+	f.log(event.RequestAnswered, x.requestAttr(), slog.Int("status", status), slog.Int("events", x.events),
+		slog.Int64("took_ms", took.Milliseconds()), slog.Int("sends", x.attempts),
+		slog.Int64("first_ms", x.timing.timeToFirstEvent(x.begun).Milliseconds()), slog.Int64("pause_ms", x.timing.longestPause.Milliseconds()))
 }
 
-// finish ends the request without a whole answer. A stream that has begun is
+// fail ends the request without a whole answer. A stream that has begun is
 // broken off, so that it can't look complete.
-func (x *exchange) finish(r *protocol.Refusal) {
+func (x *exchange) fail(r *protocol.Refusal) {
 	x.finished = true
 	if x.headSent {
-		x.stopAll()
+		x.closeAttempts()
 		x.flush() // the events that came are the caller's
-		x.drained()
+		x.drain()
 		x.forwarder.Counters.Refused(r.Kind())
-		x.forwarder.log(event.StreamCut, x.id(), slog.String("kind", string(r.Kind())), slog.Int("events", x.events),
-			slog.Int64("took_ms", clock.Since(x.begun).Milliseconds()), slog.Int("sends", x.tries))
+		x.forwarder.log(event.StreamCut, x.requestAttr(), slog.String("kind", string(r.Kind())), slog.Int("events", x.events),
+			slog.Int64("took_ms", clock.Since(x.begun).Milliseconds()), slog.Int("sends", x.attempts))
 		panic(http.ErrAbortHandler)
 	}
 	x.refuse(r)
@@ -143,17 +143,17 @@
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	x.writer.WriteHeader(r.Status())
 	if _, err := x.writer.Write(body); err != nil {
-		x.callerLeft()
+		x.recordCallerLeft()
 	}
 	x.logRefusal(r)
-	x.awaitTaken()
+	x.waitForRead()
 }
 
 func (x *exchange) logRefusal(r *protocol.Refusal) {
 	f := x.forwarder
 	details := []slog.Attr{
-		x.id(), slog.String("kind", string(r.Kind())), slog.Int("status", r.Status()), slog.String("outcome", r.Outcome().String()),
-		slog.String("message", r.Message()), slog.Int("sends", x.tries), slog.Int64("took_ms", clock.Since(x.begun).Milliseconds()),
+		x.requestAttr(), slog.String("kind", string(r.Kind())), slog.Int("status", r.Status()), slog.String("outcome", r.Outcome().String()),
+		slog.String("message", r.Message()), slog.Int("sends", x.attempts), slog.Int64("took_ms", clock.Since(x.begun).Milliseconds()),
 		slog.Int64("confirmed_ms", clock.Since(f.Routing.ConfirmedAt()).Milliseconds()),
 	}
 	if x.table != nil {
--- a/transport/forward/repath.go
+++ b/transport/forward/reroute.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	// changeSlack is how many times its expected length the pause after a change of path may
+	// changeTimeFactor is how many times its expected length the pause after a change of path may
 	// last: other requests that lost the same stage are read again at the same engines.
-	changeSlack = 3
-	// changeLeast is the least silence after a change of path that is suspicious. With 90 ms
+	changeTimeFactor = 3
+	// minChangeSilence is the least silence after a change of path that is suspicious. With 90 ms
 	// 45 in 100 streams that changed their path were sent elsewhere as well and read whole
 	// again; of the others nine in ten paused for less than 235 ms, the silence before the
 	// order included.
-	changeLeast = 200 * time.Millisecond
-	// quietMost is of how many stages of a path one may be replaced because it fell silent.
+	minChangeSilence = 200 * time.Millisecond
+	// stagesPerSilent is of how many stages of a path one may be replaced because it fell silent.
 	// Where more are silent the way to the first engine is likelier to be at fault.
-	quietMost = 3
+	stagesPerSilent = 3
 )
 
 // PathChanger orders engines to run a request over another path.
@@ -42,94 +42,94 @@
 	answer  protocol.PathAnswer
 }
 
-// waitReported is whether an attempt's first engine lists it among the requests that wait
+// stallReported is whether an attempt's first engine lists it among the requests that wait
 // for a runner, as it does when an order that was not answered had no effect. An engine that
 // does not report counts as one that lists it.
-type waitReported struct {
+type stallReported struct {
 	attempt *attempt
-	waits   bool
+	stalled bool
 }
 
-func (m pathAnswered) from() *attempt { return m.attempt }
-func (m waitReported) from() *attempt { return m.attempt }
+func (m pathAnswered) from() *attempt  { return m.attempt }
+func (m stallReported) from() *attempt { return m.attempt }
 
-// changing is one order to change a path.
-type changing struct {
+// pathOrder is one order to change a path.
+type pathOrder struct {
 	forwarder *Forwarder
 	attempt   *attempt
 	order     protocol.PathOrder
 }
 
-func (c *changing) run() {
+func (c *pathOrder) run() {
 	answer := c.forwarder.PathChanger.ChangePath(c.attempt.cancelled, c.order)
 	c.attempt.post(pathAnswered{attempt: c.attempt, answer: answer})
 }
 
-// asking is one question to an attempt's first engine whether the request still waits.
-type asking struct {
+// stallCheck is one question to an attempt's first engine whether the request still waits.
+type stallCheck struct {
 	forwarder *Forwarder
 	attempt   *attempt
 }
 
-func (q *asking) run() {
+func (q *stallCheck) run() {
 	a := q.attempt
-	report, err := q.forwarder.report(a.endpoint)
+	report, err := q.forwarder.queryReport(a.endpoint)
 	waits := err != nil || slices.ContainsFunc(report.Stalled, func(s protocol.StalledRequest) bool { return s.ID == a.id })
-	a.post(waitReported{attempt: a, waits: waits})
+	a.post(stallReported{attempt: a, stalled: waits})
 }
 
-// replace has the first engine of an attempt's path replace the stages that are lost, if
+// replaceLost has the first engine of an attempt's path replaceLost the stages that are lost, if
 // that is better than sending the request again. It returns "" when it did nothing: then a
 // further send may be thought of.
-func (x *exchange) replace(a *attempt, now time.Time) silenceAction {
-	if a.course.Pending() {
-		x.askInDoubt(a, now)
+func (x *exchange) replaceLost(a *attempt, now time.Time) silenceAction {
+	if a.pathChange.Pending() {
+		x.checkUnresolvedOrder(a, now)
 		return silenceChanging
 	}
-	lost := lostOf(a, now)
+	lost := lostRunners(a, now)
 	if !x.mayReplace(a, lost, now) {
 		return ""
 	}
 	q := x.changeQuery(a, lost, now)
 	var p path.Path
-	if x.route.MayRepeat() && x.forwarder.choose(x.service, &q.Search, x.firstCenter(), &p) && sound(&p, now, q.Search.Avoid) && x.mayReach(&p) {
+	if x.route.MayRepeat() && x.forwarder.choosePath(x.service, &q.Search, x.preferredDataCenter(), &p) && pathHealthy(&p, now, q.Search.Avoid) && x.mayReach(&p) {
 		q.Alternative = &p
 	}
-	return x.change(a, q, now)
+	return x.changePath(a, q, now)
 }
 
-// replaceQuiet is replace for a request that can't be sent elsewhere: nothing but waiting
+// replaceSilent is replace for a request that can't be sent elsewhere: nothing but waiting
 // would be left, so stages that have fallen silent are replaced too, as long as they are
 // few. Where sending elsewhere is possible it is better: of the streams whose silent stages
 // were replaced 20 in 100 paused for over 250 ms, of those whose stages were known to be
 // lost 5 in 100.
-func (x *exchange) replaceQuiet(a *attempt, quiet []*fleet.Runner, now time.Time) silenceAction {
-	if lost := lostOf(a, now); len(lost) > 0 {
+func (x *exchange) replaceSilent(a *attempt, quiet []*fleet.Runner, now time.Time) silenceAction {
+	if lost := lostRunners(a, now); len(lost) > 0 {
 		quiet = lost
-	} else if len(quiet)*quietMost > a.path.Len() {
+	} else if len(quiet)*stagesPerSilent > a.path.Len() {
 		return ""
 	}
 	if !x.mayReplace(a, quiet, now) {
 		return ""
 	}
-	return x.change(a, x.changeQuery(a, quiet, now), now)
+	return x.changePath(a, x.changeQuery(a, quiet, now), now)
 }
 
 // mayReplace reports whether stages of an attempt's path may be replaced: not the first
 // one, whose engine is to be ordered, nor while another attempt may speak first, nor where the
 // work may have ended them.
 func (x *exchange) mayReplace(a *attempt, stages []*fleet.Runner, now time.Time) bool {
-	return x.forwarder.PathChanger != nil && len(x.live) == 1 && a.course.CanStart() && len(stages) > 0 &&
-		!slices.Contains(stages, a.endpoint) && x.mayMove(now)
+	return x.forwarder.PathChanger != nil && len(x.open) == 1 && a.pathChange.CanStart() && len(stages) > 0 &&
+		!slices.Contains(stages, a.endpoint) && x.mayChangeEndpoints(now)
 }
 
-// change orders the change of path that the query allows, and returns "" if there is none.
-func (x *exchange) change(a *attempt, q *reroute.Query, now time.Time) silenceAction {
-	change, ok := reroute.Choose(x.models(a), q).(*reroute.Change)
+// changePath orders the changePath of path that the query allows, and returns "" if there is none.
+func (x *exchange) changePath(a *attempt, q *reroute.Query, now time.Time) silenceAction {
+	change, ok := reroute.Choose(x.candidateModels(a), q).(*reroute.Change)
 	if !ok {
 		return ""
 	}
-	x.order(a, change, now)
+	x.orderPath(a, change, now)
 	return silenceChanging
 }
 
@@ -138,15 +138,15 @@
 func (x *exchange) changeQuery(a *attempt, lost []*fleet.Runner, now time.Time) *reroute.Query {
 	written := x.events * max(1, x.service.Engine.EventTokens)
 	q := &reroute.Query{
-		Path: a.path, Lost: lost, Tokens: x.terms.PromptTokens + written, RemainingTokens: max(0, x.terms.AnswerTokens-written), Search: x.query(now),
+		Path: a.path, Lost: lost, Tokens: x.terms.PromptTokens + written, RemainingTokens: max(0, x.terms.AnswerTokens-written), Search: x.pathQuery(now),
 	}
 	q.Search.Avoid = append(slices.Clip(x.avoid), lost...)
 	return q
 }
 
-// models returns the engines among which replacements are looked for: those of the path's
+// candidateModels returns the engines among which replacements are looked for: those of the path's
 // data center first.
-func (x *exchange) models(a *attempt) []*fleet.Model {
+func (x *exchange) candidateModels(a *attempt) []*fleet.Model {
 	view := x.forwarder.Roster.View()
 	home := a.endpoint.Spec().Model
 	list := []*fleet.Model{view.Model(home)}
@@ -158,16 +158,16 @@
 	return list
 }
 
-// order sends the order. From now on the work counts at the stages of both paths.
-func (x *exchange) order(a *attempt, c *reroute.Change, now time.Time) {
+// orderPath sends the orderPath. From now on the work counts at the stages of both paths.
+func (x *exchange) orderPath(a *attempt, c *reroute.Change, now time.Time) {
 	f := x.forwarder
-	a.course.Start(c.Path())
-	a.quietTill = now.Add(max(changeLeast, time.Duration(changeSlack*c.Seconds()*float64(time.Second))))
-	a.loadNext(1)
+	a.pathChange.Start(c.Path())
+	a.changeGraceUntil = now.Add(max(minChangeSilence, time.Duration(changeTimeFactor*c.Seconds()*float64(time.Second))))
+	a.adjustPendingLoad(1)
 	f.Counters.Add(metric.PathOrders, 1)
-	f.log(event.PathOrdered, x.id(), slog.Int("attempt", a.number), slog.String("path", describe(c.Path())), slog.Int("events", x.events),
-		slog.Int64("silent_ms", now.Sub(x.rhythm.last).Milliseconds()), slog.Float64("expected_ms", c.Seconds()*1000))
-	go (&changing{forwarder: f, attempt: a, order: protocol.PathOrder{
+	f.log(event.PathOrdered, x.requestAttr(), slog.Int("attempt", a.number), slog.String("path", describePath(c.Path())), slog.Int("events", x.events),
+		slog.Int64("silent_ms", now.Sub(x.timing.lastEvent).Milliseconds()), slog.Float64("expected_ms", c.Seconds()*1000))
+	go (&pathOrder{forwarder: f, attempt: a, order: protocol.PathOrder{
 		EndpointID: a.endpoint.Name(), Address: a.endpoint.Spec().Address, RequestID: a.id, Path: stagesOf(c.Path()),
 	}}).run()
 }
--- a/transport/forward/repath_world_test.go
+++ b/transport/forward/reroute_harness_test.go
@@ -63,26 +63,26 @@
 	return list
 }
 
-// replacing is an exchange of a stream over engines that hold a third of the layers each.
-type replacing struct {
-	t         require.TestingT
-	forwarder *Forwarder
-	exchange  *exchange
-	engine    *firstEngine
-	ordered   bool // an order waits for its answer
-	inDoubt   bool // some order was not answered
-	changes   int
+// pathChangeHarness is an exchange of a stream over engines that hold a third of the layers each.
+type pathChangeHarness struct {
+	t          require.TestingT
+	forwarder  *Forwarder
+	exchange   *exchange
+	engine     *firstEngine
+	ordered    bool // an order waits for its answer
+	unresolved bool // some order was not answered
+	changes    int
 }
 
-func newStaged(t require.TestingT, addresses []string, mayRepeat bool) *replacing {
+func newPathChangeHarness(t require.TestingT, addresses []string, mayRepeat bool) *pathChangeHarness {
 	service := protocol.RoutedService{Name: "llm", Engine: &protocol.EngineFacts{
 		Layers: 9, LayerMB: 100, TokenLayerMB: 0.1, UsualPrompt: 10, UsualAnswer: 10, StepMS: 1, ReadPerSecond: 1e6,
 		Accelerators: []protocol.AcceleratorFacts{{Name: "t4", MemoryMB: 2000, StepFactor: 1, ReadFactor: 1}},
 	}}
 	home := fleet.Entry{Name: "one", DataCenter: "a"}
-	s := &replacing{t: t, engine: &firstEngine{orders: make(chan protocol.PathOrder, 10), answers: make(chan protocol.PathAnswer, 10)}}
+	s := &pathChangeHarness{t: t, engine: &firstEngine{orders: make(chan protocol.PathOrder, 10), answers: make(chan protocol.PathAnswer, 10)}}
 	f := &Forwarder{Home: home, Roster: &registry.Registry{Entry: home}, Headers: plainHeaders{}, Counters: &metric.Set{}, PathChanger: s.engine, Reporter: s.engine}
-	f.suspects.forwarder, f.poller.forwarder, f.paces.forwarder = f, f, f // as Start does
+	f.faultLocator.forwarder, f.poller.forwarder, f.slowdowns.forwarder = f, f, f // as Start does
 	f.InitRetryBudget(RetryBudget{Share: 0.2, Slack: 1000, WindowEnd: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
 	f.Roster.SetServices([]protocol.RoutedService{service})
 	var list []protocol.Endpoint
@@ -99,29 +99,29 @@
 	x := &exchange{
 		forwarder: f, table: table, writer: httptest.NewRecorder(), request: httptest.NewRequest(http.MethodPost, "/", nil), begun: time.Now(),
 		service: &service, route: &protocol.Route{Repeat: protocol.Stream, Resumable: mayRepeat, MaxTries: 9}, deadline: time.Now().Add(time.Minute),
-		terms: protocol.CallerTerms{RequestID: "r-1", PromptTokens: 100, AnswerTokens: 50}, messages: make(chan message, 100), draw: rand.New(rand.NewPCG(1, 2)),
+		terms: protocol.CallerTerms{RequestID: "r-1", PromptTokens: 100, AnswerTokens: 50}, messages: make(chan message, 100), rng: rand.New(rand.NewPCG(1, 2)),
 	}
-	x.rhythm.begin(x.route, x.service, x.begun)
-	p, found := x.pick(time.Now())
+	x.timing.start(x.route, x.service, x.begun)
+	p, found := x.pickPath(time.Now())
 	require.True(t, found)
-	x.send(&p)
+	x.startAttempt(&p)
 	s.forwarder, s.exchange = f, x
 	return s
 }
 
 // lose has everybody take a stage of the oldest open send as lost.
-func (s *replacing) lose(stage int) {
+func (s *pathChangeHarness) lose(stage int) {
 	x := s.exchange
-	if len(x.live) > 0 {
+	if len(x.open) > 0 {
 		now := time.Now()
-		x.live[0].path.Runner(stage).MarkLost(now, now.Add(time.Minute))
-		x.lossTold(now)
+		x.open[0].path.Runner(stage).MarkLost(now, now.Add(time.Minute))
+		x.handleLosses(now)
 	}
-	s.noteOrder()
+	s.recordOrder()
 }
 
-// noteOrder notes an order that an action brought about.
-func (s *replacing) noteOrder() {
+// recordOrder notes an order that an action brought about.
+func (s *pathChangeHarness) recordOrder() {
 	if n := int(s.forwarder.Counters.Value(string(metric.PathOrders))); n > s.changes {
 		require.Equal(s.t, s.changes+1, n, "two orders at once")
 		require.False(s.t, s.ordered)
@@ -138,50 +138,50 @@
 }
 
 // answer gives the answer to the order and takes what comes of it.
-func (s *replacing) answer(a protocol.PathAnswer) {
+func (s *pathChangeHarness) answer(a protocol.PathAnswer) {
 	if !s.ordered {
 		return
 	}
 	s.ordered = false
-	if len(s.exchange.live) == 0 {
+	if len(s.exchange.open) == 0 {
 		return // the order ended with its send
 	}
 	_, unanswered := a.(protocol.PathUnanswered)
-	s.inDoubt = s.inDoubt || unanswered
+	s.unresolved = s.unresolved || unanswered
 	s.engine.answers <- a
 	for {
 		m := <-s.exchange.messages
 		if _, ok := m.(pathAnswered); ok {
-			s.exchange.take(m)
-			s.noteOrder()
+			s.exchange.handleMessage(m)
+			s.recordOrder()
 			return
 		}
 	}
 }
 
 // event brings an event on the oldest open send.
-func (s *replacing) event() {
-	if x := s.exchange; len(x.live) > 0 {
-		a := x.live[0]
-		a.answer = &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}
-		x.take(eventCame{attempt: a, event: streamEvent{content: []byte("data\n\n")}})
+func (s *pathChangeHarness) event() {
+	if x := s.exchange; len(x.open) > 0 {
+		a := x.open[0]
+		a.head = &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}
+		x.handleMessage(eventReceived{attempt: a, event: streamEvent{content: []byte("data\n\n")}})
 	}
 }
 
 // look looks at the request as a second later, when an order in doubt is asked about.
-func (s *replacing) look(stalled bool) {
+func (s *pathChangeHarness) look(stalled bool) {
 	x := s.exchange
-	if len(x.live) == 0 || !x.live[0].course.Pending() || s.ordered {
+	if len(x.open) == 0 || !x.open[0].pathChange.Pending() || s.ordered {
 		return
 	}
 	s.engine.stalled = stalled
 	now := time.Now().Add(time.Second)
-	x.act(x.live[0], lostOf(x.live[0], now), now)
+	x.recoverAttempt(x.open[0], lostRunners(x.open[0], now), now)
 	for {
 		m := <-x.messages
-		if _, ok := m.(waitReported); ok {
-			x.take(m)
-			s.noteOrder()
+		if _, ok := m.(stallReported); ok {
+			x.handleMessage(m)
+			s.recordOrder()
 			return
 		}
 	}
@@ -189,22 +189,22 @@
 
 // check compares the work that counts at the runners with the open sends, and says that
 // no send is open beside one whose path may change.
-func (s *replacing) check() {
+func (s *pathChangeHarness) check() {
 	x := s.exchange
-	if len(x.live) > 1 {
-		for _, a := range x.live {
-			require.False(s.t, a.course.Pending() || a.course.MayApplyLate(), "the path of one may change while another is open")
+	if len(x.open) > 1 {
+		for _, a := range x.open {
+			require.False(s.t, a.pathChange.Pending() || a.pathChange.MayApplyLate(), "the path of one may change while another is open")
 		}
 	}
 	work := map[*fleet.Runner]int64{}
-	for _, a := range x.live {
+	for _, a := range x.open {
 		for i := range a.path.Len() {
-			work[a.path.Runner(i)] += a.work(a.path.Span(i))
+			work[a.path.Runner(i)] += a.layerPasses(a.path.Span(i))
 		}
-		if next, ok := a.course.OrderedPath(); ok {
+		if next, ok := a.pathChange.OrderedPath(); ok {
 			for i := range next.Len() {
 				if r, span := next.Runner(i), next.Span(i); !a.path.HasStage(r, span) {
-					work[r] += a.work(span)
+					work[r] += a.layerPasses(span)
 				}
 			}
 		}
@@ -214,8 +214,8 @@
 	}
 }
 
-func (s *replacing) end() {
-	s.exchange.stopAll()
+func (s *pathChangeHarness) end() {
+	s.exchange.closeAttempts()
 	for _, r := range s.forwarder.Roster.View().Runners() {
 		require.Zero(s.t, r.Outstanding(), r.Name())
 	}
--- a/transport/forward/repath_test.go
+++ b/transport/forward/reroute_test.go
@@ -18,7 +18,7 @@
 func TestWorkFollowsThePath(t *testing.T) {
 	addresses := silentEngines(t)
 	rapid.Check(t, func(t *rapid.T) {
-		s := newStaged(t, addresses, rapid.Bool().Draw(t, "may repeat"))
+		s := newPathChangeHarness(t, addresses, rapid.Bool().Draw(t, "may repeat"))
 		defer s.end()
 		t.Repeat(map[string]func(*rapid.T){
 			"lose": func(t *rapid.T) { s.lose(rapid.IntRange(0, 2).Draw(t, "stage")) },
@@ -36,7 +36,7 @@
 			"look":  func(t *rapid.T) { s.look(rapid.Bool().Draw(t, "stalled")) },
 			"leave": func(t *rapid.T) {
 				if rapid.IntRange(0, 9).Draw(t, "leaves") == 0 {
-					s.exchange.stopAll()
+					s.exchange.closeAttempts()
 				}
 			},
 			"": func(*rapid.T) { s.check() },
@@ -44,21 +44,21 @@
 	})
 }
 
-// TestALostStageIsReplacedBeforeAFurtherSendIsThoughtOf, and what has moved is heard on its
+// TestLostStageIsReplacedBeforeRetry, and what has moved is heard on its
 // new path.
-func TestALostStageIsReplacedBeforeAFurtherSendIsThoughtOf(t *testing.T) {
-	s := newStaged(t, silentEngines(t), true)
+func TestLostStageIsReplacedBeforeRetry(t *testing.T) {
+	s := newPathChangeHarness(t, silentEngines(t), true)
 	t.Cleanup(s.end)
-	a := s.exchange.live[0]
+	a := s.exchange.open[0]
 	before := a.path
 	s.lose(1)
 	require.True(t, s.ordered)
-	require.Equal(t, 1, s.exchange.tries)
+	require.Equal(t, 1, s.exchange.attempts)
 	s.event() // on its way since before the loss
 	require.False(t, before.Runner(1).HeardAt().After(s.exchange.begun), "what came says nothing of a stage that is being replaced")
 	require.True(t, before.Runner(2).HeardAt().After(s.exchange.begun))
 	s.answer(protocol.PathTaken{})
-	require.Equal(t, 1, s.exchange.tries)
+	require.Equal(t, 1, s.exchange.attempts)
 	require.Equal(t, before.Runner(0), a.path.Runner(0))
 	require.NotEqual(t, before.Runner(1), a.path.Runner(1))
 	require.Equal(t, before.Runner(2), a.path.Runner(2))
@@ -67,29 +67,29 @@
 	require.WithinDuration(t, time.Now(), a.path.Runner(1).HeardAt(), time.Minute)
 }
 
-// TestASecondLossDuringTheChange is answered by a second one.
-func TestASecondLossDuringTheChange(t *testing.T) {
-	s := newStaged(t, silentEngines(t), false)
+// TestSecondLossDuringPathChange is answered by a second one.
+func TestSecondLossDuringPathChange(t *testing.T) {
+	s := newPathChangeHarness(t, silentEngines(t), false)
 	t.Cleanup(s.end)
-	a := s.exchange.live[0]
+	a := s.exchange.open[0]
 	s.lose(1)
 	s.lose(2)
 	require.Equal(t, 1, s.changes, "one order at a time")
 	s.answer(protocol.PathTaken{})
 	require.Equal(t, 2, s.changes)
 	s.answer(protocol.PathTaken{})
-	require.Empty(t, lostOf(a, time.Now()))
-	require.Equal(t, 1, s.exchange.tries)
+	require.Empty(t, lostRunners(a, time.Now()))
+	require.Equal(t, 1, s.exchange.attempts)
 }
 
-// TestAnUnfitStageIsNotTriedTwice, whether it is named or not.
-func TestAnUnfitStageIsNotTriedTwice(t *testing.T) {
+// TestUnfitStageIsNotRetried, whether it is named or not.
+func TestUnfitStageIsNotRetried(t *testing.T) {
 	for _, named := range []bool{true, false} {
-		s := newStaged(t, silentEngines(t), true)
+		s := newPathChangeHarness(t, silentEngines(t), true)
 		t.Cleanup(s.end)
-		a := s.exchange.live[0]
+		a := s.exchange.open[0]
 		s.lose(1)
-		next, _ := a.course.OrderedPath()
+		next, _ := a.pathChange.OrderedPath()
 		unfit := next.Runner(1)
 		answer := protocol.PathUnfit{}
 		if named {
@@ -97,46 +97,46 @@
 		}
 		s.answer(answer)
 		require.Equal(t, 2, s.changes)
-		next, _ = a.course.OrderedPath()
+		next, _ = a.pathChange.OrderedPath()
 		require.NotEqual(t, unfit, next.Runner(1))
 		require.Zero(t, unfit.Outstanding())
 		require.Equal(t, named, !unfit.Usable(time.Now()))
 		s.answer(answer)
-		require.Equal(t, 2, s.exchange.tries, "then it is sent elsewhere")
+		require.Equal(t, 2, s.exchange.attempts, "then it is sent elsewhere")
 	}
 }
 
-// TestAChangeThatFailsIsFollowedByAFurtherSend, if the request may run twice.
-func TestAChangeThatFailsIsFollowedByAFurtherSend(t *testing.T) {
+// TestFailedPathChangeIsRetriedElsewhere, if the request may run twice.
+func TestFailedPathChangeIsRetriedElsewhere(t *testing.T) {
 	for _, mayRepeat := range []bool{true, false} {
-		s := newStaged(t, silentEngines(t), mayRepeat)
+		s := newPathChangeHarness(t, silentEngines(t), mayRepeat)
 		t.Cleanup(s.end)
 		s.lose(1)
 		s.answer(protocol.PathUnknown{})
-		require.Equal(t, mayRepeat, s.exchange.tries == 2)
+		require.Equal(t, mayRepeat, s.exchange.attempts == 2)
 	}
 }
 
-// TestASendInDoubtEndsBeforeTheNextOne: a late order then finds no request.
-func TestASendInDoubtEndsBeforeTheNextOne(t *testing.T) {
-	s := newStaged(t, silentEngines(t), true)
+// TestUnresolvedAttemptClosesBeforeRetry: a late order then finds no request.
+func TestUnresolvedAttemptClosesBeforeRetry(t *testing.T) {
+	s := newPathChangeHarness(t, silentEngines(t), true)
 	t.Cleanup(s.end)
-	first := s.exchange.live[0]
+	first := s.exchange.open[0]
 	s.lose(2)
 	s.answer(protocol.PathUnanswered{Cause: errNoAnswer})
-	require.Equal(t, 1, s.exchange.tries)
+	require.Equal(t, 1, s.exchange.attempts)
 	s.look(false)
-	require.Equal(t, 1, s.exchange.tries, "it does not wait: it may have been moved")
+	require.Equal(t, 1, s.exchange.attempts, "it does not wait: it may have been moved")
 	s.look(true)
-	require.Equal(t, 2, s.exchange.tries)
-	require.Len(t, s.exchange.live, 1)
-	require.NotEqual(t, first, s.exchange.live[0])
+	require.Equal(t, 2, s.exchange.attempts)
+	require.Len(t, s.exchange.open, 1)
+	require.NotEqual(t, first, s.exchange.open[0])
 	require.Error(t, first.cancelled.Err(), "the engine sees its connection close")
 }
 
-// TestASilentStageIsReplacedWhereNothingElseHelps: not if the request may be sent elsewhere,
+// TestSilentStageIsReplacedWithoutAlternative: not if the request may be sent elsewhere,
 // and not if most of the path is silent.
-func TestASilentStageIsReplacedWhereNothingElseHelps(t *testing.T) {
+func TestSilentStageIsReplacedWithoutAlternative(t *testing.T) {
 	for _, c := range []struct {
 		mayRepeat     bool
 		quiet         []int
@@ -147,30 +147,30 @@
 		{mayRepeat: false, quiet: []int{1, 2}, orders: 0, sends: 1},
 		{mayRepeat: true, quiet: []int{1}, orders: 0, sends: 2},
 	} {
-		s := newStaged(t, silentEngines(t), c.mayRepeat)
+		s := newPathChangeHarness(t, silentEngines(t), c.mayRepeat)
 		t.Cleanup(s.end)
-		a := s.exchange.live[0]
+		a := s.exchange.open[0]
 		var quiet []*fleet.Runner
 		for _, stage := range c.quiet {
 			quiet = append(quiet, a.path.Runner(stage))
 		}
-		s.exchange.act(a, quiet, time.Now())
-		s.noteOrder()
+		s.exchange.recoverAttempt(a, quiet, time.Now())
+		s.recordOrder()
 		require.Equal(t, c.orders, s.changes, c)
-		require.Equal(t, c.sends, s.exchange.tries, c)
+		require.Equal(t, c.sends, s.exchange.attempts, c)
 	}
 }
 
-// TestAWholeEngineHasNoStageToReplace, nor has one that is lost itself anybody to order it.
-func TestAWholeEngineHasNoStageToReplace(t *testing.T) {
-	s := newStaged(t, silentEngines(t), true)
+// TestFirstStageIsNotReplaced, nor has one that is lost itself anybody to order it.
+func TestFirstStageIsNotReplaced(t *testing.T) {
+	s := newPathChangeHarness(t, silentEngines(t), true)
 	t.Cleanup(s.end)
 	s.lose(0)
 	require.False(t, s.ordered)
-	require.Equal(t, 2, s.exchange.tries)
-	f, x := engines(t, 3, nil)
+	require.Equal(t, 2, s.exchange.attempts)
+	f, x := newForwarder(t, 3, nil)
 	f.PathChanger = s.engine
-	lose(f, x.live[0].endpoint)
-	x.lossTold(time.Now())
-	require.Equal(t, 2, x.tries)
+	markLost(f, x.open[0].endpoint)
+	x.handleLosses(time.Now())
+	require.Equal(t, 2, x.attempts)
 }
--- a/transport/forward/reservation.go
+++ b/transport/forward/reservation.go
@@ -14,9 +14,9 @@
 	// bytes: it is allowed for in the bound on connections. Most are smaller, and need no look
 	// at the budget.
 	smallBytes = 4 << 10
-	// reserveEvery is how often an answer that finds no room is tried again. Engines wait
+	// reserveRetryInterval is how often an answer that finds no room is tried again. Engines wait
 	// some seconds before they cut it off.
-	reserveEvery = 20 * time.Millisecond
+	reserveRetryInterval = 20 * time.Millisecond
 )
 
 // reservation is what one request takes of the entry's budget beside what waits for its caller:
@@ -30,8 +30,8 @@
 	closed bool
 }
 
-// take takes room for n bytes more, or gives back -n, and reports whether there is any.
-func (r *reservation) take(n int64) bool {
+// reserve takes room for n bytes more, or gives back -n, and reports whether there is any.
+func (r *reservation) reserve(n int64) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if r.budget == nil || r.closed {
@@ -44,17 +44,17 @@
 	return true
 }
 
-// await waits for room for n bytes more, and reports whether it came before the end.
-func (r *reservation) await(n int64, end <-chan struct{}) bool {
-	if r.take(n) {
+// reserveWait waits for room for n bytes more, and reports whether it came before the end.
+func (r *reservation) reserveWait(n int64, end <-chan struct{}) bool {
+	if r.reserve(n) {
 		return true
 	}
-	t := time.NewTicker(reserveEvery)
+	t := time.NewTicker(reserveRetryInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			if r.take(n) {
+			if r.reserve(n) {
 				return true
 			}
 		case <-end:
@@ -63,8 +63,8 @@
 	}
 }
 
-// close gives everything back. What is taken later counts no more.
-func (r *reservation) close() {
+// releaseAll gives everything back. What is taken later counts no more.
+func (r *reservation) releaseAll() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.closed = true
--- a/transport/forward/silence.go
+++ b/transport/forward/silence.go
@@ -13,99 +13,99 @@
 	"pinerun.example/pinerun/state/fleet"
 )
 
-// liveMost is how many attempts of one request are open at once.
-const liveMost = 2
+// maxOpenAttempts is how many attempts of one request are open at once.
+const maxOpenAttempts = 2
 
 // silenceAction is what is done about a silence.
 type silenceAction string
 
 // The actions on a silence.
 const (
-	silenceBusy      silenceAction = "other streams hear its runners: wait"
-	silenceOnce      silenceAction = "may not run twice: wait"
-	silenceAsked     silenceAction = "asked elsewhere already: wait"
-	silenceSends     silenceAction = "no further send is allowed: wait"
-	silenceNoPath    silenceAction = "no sound path elsewhere: wait"
-	silenceNoBudget  silenceAction = "retry budget spent: wait"
-	silenceElsewhere silenceAction = "ask elsewhere"
-	silenceNoGain    silenceAction = "slow, and no path is enough faster: wait"
-	silenceTooLate   silenceAction = "slow, and late already: wait"
-	silenceAlone     silenceAction = "may end its endpoint: not at two"
-	silenceChanging  silenceAction = "change its path"
+	silenceBusy          silenceAction = "other streams hear its runners: wait"
+	silenceNotRepeatable silenceAction = "may not run twice: wait"
+	silenceHedged        silenceAction = "asked elsewhere already: wait"
+	silenceMaxAttempts   silenceAction = "no further send is allowed: wait"
+	silenceNoPath        silenceAction = "no sound path elsewhere: wait"
+	silenceNoBudget      silenceAction = "retry budget spent: wait"
+	silenceElsewhere     silenceAction = "ask elsewhere"
+	silenceNoGain        silenceAction = "slow, and no path is enough faster: wait"
+	silenceTooLate       silenceAction = "slow, and late already: wait"
+	silenceQuarantined   silenceAction = "may end its endpoint: not at two"
+	silenceChanging      silenceAction = "change its path"
 )
 
-// inVain reports whether a silence ended in the finding that the request can't be sent
+// noRetryPossible reports whether a silence ended in the finding that the request can't be sent
 // elsewhere.
-func (s silenceAction) inVain() bool {
-	return s == silenceOnce || s == silenceSends || s == silenceNoPath || s == silenceNoBudget
+func (s silenceAction) noRetryPossible() bool {
+	return s == silenceNotRepeatable || s == silenceMaxAttempts || s == silenceNoPath || s == silenceNoBudget
 }
 
 // wake acts when the deadline has come or an event is overdue.
 func (x *exchange) wake(now time.Time) {
-	x.noteSleep(now)
-	if x.held != nil {
-		if !now.Before(x.held.till) {
-			x.endHold(now)
+	x.checkSuspension(now)
+	if x.queued != nil {
+		if !now.Before(x.queued.deadline) {
+			x.expireQueued(now)
 		}
 		return
 	}
-	if x.trial != nil {
-		x.wakeTrial(now)
+	if x.isolation != nil {
+		x.checkIsolation(now)
 		return
 	}
 	if !now.Before(x.deadline) {
-		x.finish(expired())
+		x.fail(deadlinePassed())
 		return
 	}
 	if x.paused {
-		x.heed(now)
+		x.checkCaller(now)
 		return
 	}
-	if now.Before(x.rhythm.overdueAt()) {
+	if now.Before(x.timing.overdueAt()) {
 		return
 	}
-	x.rhythm.askAgain(now)
-	if len(x.live) > 0 {
-		x.actOnSilence(x.live[0], now)
+	x.timing.recheckLater(now)
+	if len(x.open) > 0 {
+		x.handleSilence(x.open[0], now)
 	}
 }
 
-// actOnSilence finds out why an attempt is overdue, and acts on it: stages are lost, engines
+// handleSilence finds out why an attempt is overdue, and acts on it: stages are lost, engines
 // are slow, or nothing is known and those that are silent are suspected.
-func (x *exchange) actOnSilence(silent *attempt, now time.Time) {
-	x.noteWait(silent, now)
-	if silent.deaf() {
-		x.forwarder.pool.distrust(silent.endpoint.Name())
+func (x *exchange) handleSilence(silent *attempt, now time.Time) {
+	x.reportOpenCall(silent, now)
+	if silent.waitsOnReusedConn() {
+		x.forwarder.pool.closeIdle(silent.endpoint.Name())
 	}
-	quiet := lostOf(silent, now)
+	quiet := lostRunners(silent, now)
 	if len(quiet) > 0 {
-		x.act(silent, quiet, now)
+		x.recoverAttempt(silent, quiet, now)
 		return
 	}
 	if x.service.Engine != nil {
-		if slow := slowOf(&silent.path, now); slowness(&silent.path, now) >= enoughFaster && now.Before(x.deadBy()) {
-			x.actSlow(silent, slow, now)
+		if slow := slowRunners(&silent.path, now); slowness(&silent.path, now) >= minSpeedup && now.Before(x.deadAt()) {
+			x.handleSlow(silent, slow, now)
 			return
 		}
-		x.forwarder.paces.suspect(&silent.path, x.rhythm.last, now)
+		x.forwarder.slowdowns.queryStages(&silent.path, x.timing.lastEvent, now)
 	}
-	x.act(silent, x.forwarder.suspects.silent(silent, x.rhythm.last, now), now)
+	x.recoverAttempt(silent, x.forwarder.faultLocator.silentRunners(silent, x.timing.lastEvent, now), now)
 }
 
-// lossTold acts on the news that some runner is lost: what an open attempt waits for won't
+// handleLosses acts on the news that some runner is lost: what an open attempt waits for won't
 // come if its path leads there, so it need not fall silent first.
-func (x *exchange) lossTold(now time.Time) {
-	x.lostUnder(now)
-	for _, a := range x.live {
-		if lost := lostOf(a, now); len(lost) > 0 {
-			x.act(a, lost, now)
+func (x *exchange) handleLosses(now time.Time) {
+	x.reportLostEndpoints(now)
+	for _, a := range x.open {
+		if lost := lostRunners(a, now); len(lost) > 0 {
+			x.recoverAttempt(a, lost, now)
 			return
 		}
 	}
 }
 
-// lostOf returns the runners of an attempt's path that are lost.
-func lostOf(a *attempt, now time.Time) []*fleet.Runner {
+// lostRunners returns the runners of an attempt's path that are lost.
+func lostRunners(a *attempt, now time.Time) []*fleet.Runner {
 	var lost []*fleet.Runner
 	for i := range a.path.Len() {
 		if r := a.path.Runner(i); r.Lost(now) {
@@ -115,61 +115,61 @@
 	return lost
 }
 
-// act does what can be done about an attempt that waits for some runners.
-func (x *exchange) act(silent *attempt, quiet []*fleet.Runner, now time.Time) {
-	action := x.replace(silent, now)
+// recoverAttempt does what can be done about an attempt that waits for some runners.
+func (x *exchange) recoverAttempt(silent *attempt, quiet []*fleet.Runner, now time.Time) {
+	action := x.replaceLost(silent, now)
 	if action == "" {
 		action = x.hedge(silent, quiet, now)
 	}
-	if action.inVain() {
-		action = cmp.Or(x.replaceQuiet(silent, quiet, now), action)
+	if action.noRetryPossible() {
+		action = cmp.Or(x.replaceSilent(silent, quiet, now), action)
 	}
-	x.noteSilence(silent, quiet, action, now)
+	x.logSilence(silent, quiet, action, now)
 }
 
-// noteSilence logs what was done about a silence.
-func (x *exchange) noteSilence(silent *attempt, quiet []*fleet.Runner, action silenceAction, now time.Time) {
-	if action == x.silence {
+// logSilence logs what was done about a silence.
+func (x *exchange) logSilence(silent *attempt, quiet []*fleet.Runner, action silenceAction, now time.Time) {
+	if action == x.lastAction {
 		return // one line for each turn of a silence, not for each look at it
 	}
-	x.silence = action
-	x.forwarder.log(event.SilenceSuspected, x.id(), slog.Int("attempt", silent.number), slog.String("endpoint", silent.endpoint.Name()),
-		slog.Int64("silent_ms", now.Sub(x.rhythm.last).Milliseconds()), slog.Int("quiet", len(quiet)), slog.String("action", string(action)))
+	x.lastAction = action
+	x.forwarder.log(event.SilenceSuspected, x.requestAttr(), slog.Int("attempt", silent.number), slog.String("endpoint", silent.endpoint.Name()),
+		slog.Int64("silent_ms", now.Sub(x.timing.lastEvent).Milliseconds()), slog.Int("quiet", len(quiet)), slog.String("action", string(action)))
 }
 
-// replaces ends the open attempts but one that wait for a lost runner, and reports whether
+// closeLostAttempts ends the open attempts but one that wait for a lost runner, and reports whether
 // another is of use: not while one is open whose runners may all live.
-func (x *exchange) replaces(now time.Time) bool {
-	for _, a := range slices.Clone(x.live) {
-		if len(x.live) > 1 && len(lostOf(a, now)) > 0 {
-			x.drop(a)
+func (x *exchange) closeLostAttempts(now time.Time) bool {
+	for _, a := range slices.Clone(x.open) {
+		if len(x.open) > 1 && len(lostRunners(a, now)) > 0 {
+			x.closeAttempt(a)
 		}
 	}
-	return len(x.live) == 1 && len(lostOf(x.live[0], now)) > 0
+	return len(x.open) == 1 && len(lostRunners(x.open[0], now)) > 0
 }
 
-// doubtsConnection reports whether a silent attempt whose runners others hear is more likely to
+// suspectsConn reports whether a silent attempt whose runners others hear is more likely to
 // wait on a connection that is dead than on busy runners: nothing has come for a second on one that
 // had rested. What is on the way may forget open connections for good, without a reset, while new
 // ones work. A stream that has begun is not doubted so: where 2,000 callers read nothing, the
 // copies of their streams would take the room of others.
-func (x *exchange) doubtsConnection(silent *attempt, now time.Time) bool {
-	return silent.deaf() && !now.Before(x.deadBy())
+func (x *exchange) suspectsConn(silent *attempt, now time.Time) bool {
+	return silent.waitsOnReusedConn() && !now.Before(x.deadAt())
 }
 
-// doubtsResting reports whether a further send goes on a new connection: those that rest may all be
+// needsNewConn reports whether a further send goes on a new connection: those that rest may all be
 // as dead as that of the attempt that is silent.
-func (x *exchange) doubtsResting(now time.Time) bool {
-	return len(x.live) > 0 && (x.live[0].deaf() || !now.Before(x.deadBy()))
+func (x *exchange) needsNewConn(now time.Time) bool {
+	return len(x.open) > 0 && (x.open[0].waitsOnReusedConn() || !now.Before(x.deadAt()))
 }
 
-// deafBeside returns the attempt beside a silent one if it may wait on a dead connection as well, nil
+// secondOnReusedConn returns the attempt beside a silent one if it may wait on a dead connection as well, nil
 // if it does not.
-func (x *exchange) deafBeside(now time.Time) *attempt {
-	if len(x.live) < liveMost || now.Before(x.deadBy()) {
+func (x *exchange) secondOnReusedConn(now time.Time) *attempt {
+	if len(x.open) < maxOpenAttempts || now.Before(x.deadAt()) {
 		return nil
 	}
-	if last := x.live[len(x.live)-1]; last.deaf() {
+	if last := x.open[len(x.open)-1]; last.waitsOnReusedConn() {
 		return last
 	}
 	return nil
@@ -179,29 +179,29 @@
 // silent, while the silent attempt stays open. It returns what was done.
 func (x *exchange) hedge(silent *attempt, quiet []*fleet.Runner, now time.Time) silenceAction {
 	switch {
-	case len(x.live) >= liveMost && !x.replaces(now) && x.deafBeside(now) == nil:
-		return silenceAsked
-	case len(quiet) == 0 && !x.doubtsConnection(silent, now):
+	case len(x.open) >= maxOpenAttempts && !x.closeLostAttempts(now) && x.secondOnReusedConn(now) == nil:
+		return silenceHedged
+	case len(quiet) == 0 && !x.suspectsConn(silent, now):
 		return silenceBusy
 	case !x.route.MayRepeat():
-		return silenceOnce
-	case !x.mayHedge(x.live[0], now):
-		x.leaveLost(x.live[0], now)
-		return silenceAlone
+		return silenceNotRepeatable
+	case !x.mayHedge(x.open[0], now):
+		x.abandonLost(x.open[0], now)
+		return silenceQuarantined
 	}
 	before := x.avoid
 	x.avoid = append(x.avoid, quiet...)
 	if len(quiet) == 0 {
 		x.avoid = append(x.avoid, silent.endpoint)
 	}
-	p, found := x.pick(now)
+	p, found := x.pickPath(now)
 	action := silenceElsewhere
 	switch {
-	case !found || !sound(&p, now, x.avoid):
+	case !found || !pathHealthy(&p, now, x.avoid):
 		action = silenceNoPath
 	case !x.mayReach(&p):
-		action = silenceSends
-	case !x.forwarder.budgets.take(x.service.Name, now):
+		action = silenceMaxAttempts
+	case !x.forwarder.retryBudgets.takeRetry(x.service.Name, now):
 		action = silenceNoBudget
 	}
 	if action != silenceElsewhere {
@@ -209,12 +209,12 @@
 		return action
 	}
 	x.forwarder.Counters.Retried(metric.Silence)
-	x.forwarder.Counters.Took(metric.Detection, now.Sub(x.rhythm.last))
-	x.endDoubted()
-	if deaf := x.deafBeside(now); deaf != nil {
-		x.forwarder.pool.distrust(deaf.endpoint.Name())
-		x.drop(deaf) // only now that another takes its place
+	x.forwarder.Counters.Took(metric.Detection, now.Sub(x.timing.lastEvent))
+	x.closeUnresolved()
+	if deaf := x.secondOnReusedConn(now); deaf != nil {
+		x.forwarder.pool.closeIdle(deaf.endpoint.Name())
+		x.closeAttempt(deaf) // only now that another takes its place
 	}
-	x.send(&p)
+	x.startAttempt(&p)
 	return action
 }
--- a/transport/forward/slow_caller.go
+++ b/transport/forward/slow_caller.go
@@ -16,13 +16,13 @@
 	"pinerun.example/pinerun/transport/backlog"
 )
 
-// pourBytes is how much of a whole answer is written before its caller must have taken all
+// writeChunkBytes is how much of a whole answer is written before its caller must have taken all
 // of it, in bytes, so that no more than twice as much waits for one caller.
-const pourBytes = 32 << 10
+const writeChunkBytes = 32 << 10
 
-// refusalMost is how long a refusal waits for a caller that does not read. It is short, so
+// refusalReadTimeout is how long a refusal waits for a caller that does not read. It is short, so
 // only those wait whose callers have left answers before it unread.
-const refusalMost = 10 * time.Second
+const refusalReadTimeout = 10 * time.Second
 
 // incoming returns the channel of what attempts tell, nil while the exchange is paused.
 func (x *exchange) incoming() <-chan message {
@@ -32,86 +32,86 @@
 	return x.messages
 }
 
-// callerNews returns the channel that signals that the caller read or that its connection
+// callerUpdates returns the channel that signals that the caller read or that its connection
 // failed.
-func (x *exchange) callerNews() <-chan struct{} {
+func (x *exchange) callerUpdates() <-chan struct{} {
 	if x.caller == nil {
 		return nil
 	}
 	return x.caller.Told()
 }
 
-// heed acts on whether the caller keeps up with its stream. Bytes that wait before the
+// checkCaller acts on whether the caller keeps up with its stream. Bytes that wait before the
 // stream has begun belong to the connection's answer before.
-func (x *exchange) heed(now time.Time) {
+func (x *exchange) checkCaller(now time.Time) {
 	if x.finished || !x.headSent {
 		return
 	}
 	if x.caller.Err() != nil {
-		x.writeFailed()
+		x.handleWriteError()
 		return
 	}
 	d := x.caller.Look(now)
 	if x.parked != nil {
-		x.heedParked(d, now)
+		x.checkParked(d, now)
 		return
 	}
 	switch d := d.(type) {
 	case pressure.Continue:
-		x.readOn(now)
+		x.resumeReading(now)
 	case pressure.Pause:
-		x.stopReading(d, now)
+		x.pauseReading(d, now)
 	case pressure.DropAttempt:
 		x.park(now)
 	case pressure.Abort:
-		x.endForRoom()
+		x.failForMemory()
 	}
 }
 
-// readOn ends the pause: what attempts tell is taken again.
-func (x *exchange) readOn(now time.Time) {
+// resumeReading ends the pause: what attempts tell is taken again.
+func (x *exchange) resumeReading(now time.Time) {
 	if !x.paused {
 		return
 	}
 	x.paused = false
-	x.rhythm.last = now // the silence was this entry's, not the engine's
-	x.rhythm.restart(now)
+	x.timing.lastEvent = now // the silence was this entry's, not the engine's
+	x.timing.restart(now)
 }
 
-// stopReading pauses the exchange. Attempts that can't tell it anything stop reading their
+// pauseReading pauses the exchange. Attempts that can't tell it anything stop reading their
 // engines.
-func (x *exchange) stopReading(d pressure.Pause, now time.Time) {
+func (x *exchange) pauseReading(d pressure.Pause, now time.Time) {
 	if !x.paused {
 		x.paused = true
 		x.flush()
 		x.forwarder.Counters.Add(metric.PressureStopped, 1)
-		x.forwarder.log(event.AnswerStopped, x.id(), slog.Int64("waiting_bytes", x.caller.Held()), slog.Int("events", x.events))
+		x.forwarder.log(event.AnswerStopped, x.requestAttr(), slog.Int64("waiting_bytes", x.caller.Held()), slog.Int("events", x.events))
 	}
-	x.lookAt = x.deadline
+	x.recheckAt = x.deadline
 	if d.Until().After(now) && d.Until().Before(x.deadline) {
-		x.lookAt = d.Until()
+		x.recheckAt = d.Until()
 	}
 }
 
 // park ends the open attempt before its engine, which is left unread, cuts it off. The
 // stream goes on elsewhere after the last event written, once the caller has read that.
 func (x *exchange) park(now time.Time) {
-	if len(x.live) == 0 {
-		x.lookAt = x.deadline
+	if len(x.open) == 0 {
+		x.recheckAt = x.deadline
 		return
 	}
-	x.parked = x.live[0]
-	x.stopAll()
-	x.lookAt = x.deadline
+	x.parked = x.open[0]
+	x.closeAttempts()
+	x.recheckAt = x.deadline
 	x.forwarder.Counters.Add(metric.PressureDropped, 1)
-	x.heed(now)
+	x.checkCaller(now)
 }
 
-// heedParked sends the request elsewhere once the caller has read everything. Sooner would
+// checkParked sends the request elsewhere once the caller has read everything. Sooner would
 // waste the reading of the prompt on a caller that takes an event now and then.
-func (x *exchange) heedParked(d pressure.Decision, now time.Time) {
+func (x *exchange) checkParked(d pressure.Decision, now time.Time) {
 	if _, ended := d.(pressure.Abort); ended {
-		x.endForRoom()
+		x.failForMemory()
 		return
 	}
 	if _, free := d.(pressure.Continue); !free || x.caller.Held() > 0 {
@@ -119,47 +119,47 @@
 	}
 	a := x.parked
 	x.parked = nil
-	x.readOn(now)
-	x.mayHave = true
-	x.goOn(a, retry.Broken, nil, now)
+	x.resumeReading(now)
+	x.mayHaveRun = true
+	x.retryOrFinish(a, retry.Broken, nil, now)
 }
 
-// writeFailed ends a stream whose caller's connection can't be written to any more.
-func (x *exchange) writeFailed() {
+// handleWriteError ends a stream whose caller's connection can't be written to any more.
+func (x *exchange) handleWriteError() {
 	if x.caller != nil && errors.Is(x.caller.Err(), backlog.ErrEnded) {
-		x.endForRoom()
+		x.failForMemory()
 		return
 	}
-	x.callerLeft()
+	x.recordCallerLeft()
 	x.finished = true
 }
 
-// endForRoom breaks the answer off, because the budget gave its room to others.
-func (x *exchange) endForRoom() {
-	x.finish(protocol.Uncertain(protocol.CallerGone, "the caller did not read its answer, and its room was needed"))
+// failForMemory breaks the answer off, because the budget gave its room to others.
+func (x *exchange) failForMemory() {
+	x.fail(protocol.Uncertain(protocol.CallerGone, "the caller did not read its answer, and its room was needed"))
 }
 
-// pour writes a whole answer as fast as its caller reads, and reports whether the caller
+// writeBody writes a whole answer as fast as its caller reads, and reports whether the caller
 // took all of it.
-func (x *exchange) pour(body []byte) bool {
-	for len(body) > pourBytes {
-		if _, err := x.writer.Write(body[:pourBytes]); err != nil {
+func (x *exchange) writeBody(body []byte) bool {
+	for len(body) > writeChunkBytes {
+		if _, err := x.writer.Write(body[:writeChunkBytes]); err != nil {
 			return false
 		}
-		body = body[pourBytes:]
-		if !x.drained() {
+		body = body[writeChunkBytes:]
+		if !x.drain() {
 			return false
 		}
 	}
 	if _, err := x.writer.Write(body); err != nil {
 		return false
 	}
-	return x.drained()
+	return x.drain()
 }
 
-// drained waits until the caller has taken what waits for it, and reports whether it did.
+// drain waits until the caller has taken what waits for it, and reports whether it did.
 // The write deadline bounds the wait.
-func (x *exchange) drained() bool {
+func (x *exchange) drain() bool {
 	if x.caller == nil || x.caller.Held() == 0 {
 		return true
 	}
@@ -174,27 +174,27 @@
 	return x.caller.Err() == nil
 }
 
-// serve tells the caller's connection whose answer it carries. One that is not admitted is
+// tagCallerConn tells the caller's connection whose answer it carries. One that is not admitted is
 // nobody's, and gives way first: else callers without a key would displace those with one.
-func (x *exchange) serve(admitted bool) {
+func (x *exchange) tagCallerConn(admitted bool) {
 	switch {
 	case x.caller == nil:
 	case admitted:
 		x.caller.Serve(x.teamName(), x.urgency(), x.route.Resumable && x.route.MayRepeat())
 	default:
-		x.caller.Serve("", mostUrgency, true)
+		x.caller.Serve("", leastUrgent, true)
 	}
 }
 
-// awaitTaken waits until the caller has taken a refusal. Otherwise who sends requests one
+// waitForRead waits until the caller has taken a refusal. Otherwise who sends requests one
 // behind the other and reads nothing has a refusal of each held, as much as the budget is.
-func (x *exchange) awaitTaken() {
+func (x *exchange) waitForRead() {
 	if x.caller == nil {
 		return
 	}
 	rc := http.NewResponseController(x.writer)
-	_ = rc.SetWriteDeadline(time.Now().Add(refusalMost)) // fails only once the connection has
+	_ = rc.SetWriteDeadline(time.Now().Add(refusalReadTimeout)) // fails only once the connection has
 	if rc.Flush() == nil {
-		x.drained()
+		x.drain()
 	}
 }
--- a/transport/forward/pace.go
+++ b/transport/forward/slowdown.go
@@ -24,71 +24,71 @@
 	// lateFactor is the multiple of the expected time from which one of them may be slow. One of ten engines that is
 	// slow by a factor of twelve doubles the time of an event.
 	lateFactor = 1.8
-	// lateRun is how many events in a row must be late: reading the prompts of others holds
+	// minLateEvents is how many events in a row must be late: reading the prompts of others holds
 	// single ones up.
-	lateRun = 2
-	// stagesAtOnce is how many engines of one path are asked at once which of them is slow.
-	stagesAtOnce = 4
-	// questionsPerSecond bounds how many engines an entry asks because they may be slow: in a
+	minLateEvents = 2
+	// maxStageQueries is how many engines of one path are asked at once which of them is slow.
+	maxStageQueries = 4
+	// queriesPerSecond bounds how many engines an entry asks because they may be slow: in a
 	// crowded fleet everything is late, and each question takes an engine's time.
-	questionsPerSecond = 10.0
-	// paceEvery is the least time between two questions to one engine for its pace. An
+	queriesPerSecond = 10.0
+	// slowdownQueryInterval is the least time between two questions to one engine for its pace. An
 	// answer is some tenths of a second old, so the first one may describe the time before
 	// the engine became slow.
-	paceEvery = 120 * time.Millisecond
-	// keepEvery is how often an engine that is slow is asked whether it still is: several
+	slowdownQueryInterval = 120 * time.Millisecond
+	// slowRecheckInterval is how often an engine that is slow is asked whether it still is: several
 	// times before the report that it is slow lapses.
-	keepEvery = 500 * time.Millisecond
+	slowRecheckInterval = 500 * time.Millisecond
 )
 
-// paces finds out which endpoints are slow. It asks the engines of paths whose events come
+// slowdownMonitor finds out which endpoints are slow. It asks the engines of paths whose events come
 // late, compares the time of plain services' answers with the usual one, and asks slow
 // engines again until they are as fast as before.
-type paces struct {
+type slowdownMonitor struct {
 	forwarder *Forwarder
-	asked     asked
-
-	mutex    sync.Mutex
-	left     float64                  // questions that may be asked now, refilled by questionsPerSecond
-	filledAt time.Time                // when left was refilled
-	slowTill map[string]time.Time     // slow endpoints, and when that lapses
-	askAt    map[string]time.Time     // the slow endpoints that this entry asks, and when next
-	usual    map[string]time.Duration // time of an answer of a plain service, by route
+	throttle  queryThrottle
+
+	mutex      sync.Mutex
+	tokens     float64                  // questions that may be asked now, refilled by questionsPerSecond
+	refilledAt time.Time                // when left was refilled
+	slowUntil  map[string]time.Time     // slow endpoints, and when that lapses
+	nextQuery  map[string]time.Time     // the slow endpoints that this entry asks, and when next
+	baselines  map[string]time.Duration // time of an answer of a plain service, by route
 }
 
-// checkPace compares the time that an event took with what its engines should take.
-func (x *exchange) checkPace(a *attempt, pause time.Duration, now time.Time) {
-	usual := float64(eventTime(&a.path, x.service))
+// checkSlowdown compares the time that an event took with what its engines should take.
+func (x *exchange) checkSlowdown(a *attempt, pause time.Duration, now time.Time) {
+	usual := float64(expectedEventTime(&a.path, x.service))
 	switch {
 	case usual <= 0:
 	case float64(pause) <= onTimeFactor*usual:
-		x.late = 0
+		x.lateEvents = 0
 		for i := range a.path.Len() {
 			a.path.Runner(i).OnTime(now)
 		}
 	case float64(pause) >= lateFactor*usual:
-		if x.late == 0 {
+		if x.lateEvents == 0 {
 			x.lateSince = now.Add(-pause)
 		}
-		x.late++
-		if x.late >= lateRun {
-			x.forwarder.paces.suspect(&a.path, x.lateSince, now)
+		x.lateEvents++
+		if x.lateEvents >= minLateEvents {
+			x.forwarder.slowdowns.queryStages(&a.path, x.lateSince, now)
 		}
 	}
 }
 
-// suspect asks some engines of a path that has been late since a time for their pace. It
+// queryStages asks some engines of a path that has been late since a time for their pace. It
 // leaves out those that have passed an event on time since then, on any path, and those
 // known to be slow.
-func (p *paces) suspect(late *path.Path, since, now time.Time) {
+func (p *slowdownMonitor) queryStages(late *path.Path, since, now time.Time) {
 	first := rand.IntN(max(1, late.Len()))
 	asks := 0
 	for i := range late.Len() {
 		r := late.Runner((first + i) % late.Len())
-		if r.OnTimeAt().After(since) || r.IsSlow(now) || !p.asked.may(r.Name(), paceEvery, now) {
+		if r.OnTimeAt().After(since) || r.IsSlow(now) || !p.throttle.allow(r.Name(), slowdownQueryInterval, now) {
 			continue
 		}
-		if asks >= stagesAtOnce || !p.mayAsk(now) {
+		if asks >= maxStageQueries || !p.takeToken(now) {
 			return
 		}
 		asks++
@@ -96,32 +96,32 @@
 	}
 }
 
-// mayAsk takes one question from the bound on them, and reports whether one was left.
-func (p *paces) mayAsk(now time.Time) bool {
+// takeToken takes one question from the bound on them, and reports whether one was left.
+func (p *slowdownMonitor) takeToken(now time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.left = min(questionsPerSecond, p.left+questionsPerSecond*now.Sub(p.filledAt).Seconds())
-	p.filledAt = now
-	if p.left < 1 {
+	p.tokens = min(queriesPerSecond, p.tokens+queriesPerSecond*now.Sub(p.refilledAt).Seconds())
+	p.refilledAt = now
+	if p.tokens < 1 {
 		return false
 	}
-	p.left--
+	p.tokens--
 	return true
 }
 
 // told tells the other entries the pace that an engine reported when it was asked.
-func (p *paces) takeReport(r *fleet.Runner, report *protocol.EngineReport, asked time.Time) {
+func (p *slowdownMonitor) reportSlowdown(r *fleet.Runner, report *protocol.EngineReport, asked time.Time) {
 	f := p.forwarder
 	if report.Pace <= 0 || f.ReportPace == nil {
 		return
 	}
 	f.ReportPace(protocol.RelaySlow{
 		Endpoint: r.Name(), Incarnation: report.Incarnation, Observation: protocol.SlowTold, Pace: report.Pace,
-	}, asked.Add(-f.reportDelay()))
+	}, asked.Add(-f.maxReportDelay()))
 }
 
-// reportDelay returns how old what an engine reports may be.
-func (f *Forwarder) reportDelay() time.Duration {
+// maxReportDelay returns how old what an engine reports may be.
+func (f *Forwarder) maxReportDelay() time.Duration {
 	table := f.Routing.Current()
 	if table == nil {
 		return 0
@@ -149,7 +149,7 @@
 	case slow.Slow:
 		before := r.IsSlow(now)
 		r.MarkSlow(v.Slowdown(), v.Since(), v.Until())
-		f.paces.keep(r.Name(), report, v.Until(), now)
+		f.slowdowns.track(r.Name(), report, v.Until(), now)
 		if !before {
 			f.log(event.EndpointSlow, slog.String("runner", r.Name()), slog.String("witness", report.Observer()),
 				slog.String("sign", report.Observation().String()), slog.Float64("pace", v.Slowdown()),
@@ -162,7 +162,7 @@
 			return false // it was only doubted
 		}
 		r.ClearSlow()
-		f.paces.drop(r.Name())
+		f.slowdowns.untrack(r.Name())
 		f.log(event.EndpointFast, slog.String("runner", r.Name()), slog.String("witness", report.Observer()),
 			slog.Int64("slow_ms", now.Sub(since).Milliseconds()))
 		return true
@@ -171,46 +171,46 @@
 	}
 }
 
-// keep notes that an endpoint is slow. Only the entry whose report was the last asks it
+// track notes that an endpoint is slow. Only the entry whose report was the last asks it
 // again, so that all entries together ask an engine once.
-func (p *paces) keep(endpoint string, report slow.Report, till, now time.Time) {
+func (p *slowdownMonitor) track(endpoint string, report slow.Report, till, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.slowTill == nil {
-		p.slowTill = make(map[string]time.Time)
-		p.askAt = make(map[string]time.Time)
+	if p.slowUntil == nil {
+		p.slowUntil = make(map[string]time.Time)
+		p.nextQuery = make(map[string]time.Time)
 	}
-	if _, known := p.slowTill[endpoint]; !known {
+	if _, known := p.slowUntil[endpoint]; !known {
 		p.forwarder.Counters.Add(metric.EndpointsSlow, 1)
 	}
-	p.slowTill[endpoint] = till
+	p.slowUntil[endpoint] = till
 	if report.Observer() != p.forwarder.Home.Name || report.Observation() != protocol.SlowTold {
-		delete(p.askAt, endpoint)
+		delete(p.nextQuery, endpoint)
 		return
 	}
-	if _, asks := p.askAt[endpoint]; !asks {
-		p.askAt[endpoint] = now.Add(keepEvery)
+	if _, asks := p.nextQuery[endpoint]; !asks {
+		p.nextQuery[endpoint] = now.Add(slowRecheckInterval)
 	}
 }
 
-// drop notes that an endpoint is slow no longer.
-func (p *paces) drop(endpoint string) {
+// untrack notes that an endpoint is slow no longer.
+func (p *slowdownMonitor) untrack(endpoint string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.forget(endpoint)
+	p.untrackLocked(endpoint)
 }
 
-// forget drops an endpoint. The mutex is held.
-func (p *paces) forget(endpoint string) {
-	if _, known := p.slowTill[endpoint]; known {
+// untrackLocked drops an endpoint. The mutex is held.
+func (p *slowdownMonitor) untrackLocked(endpoint string) {
+	if _, known := p.slowUntil[endpoint]; known {
 		p.forwarder.Counters.Add(metric.EndpointsSlow, -1)
 	}
-	delete(p.slowTill, endpoint)
-	delete(p.askAt, endpoint)
+	delete(p.slowUntil, endpoint)
+	delete(p.nextQuery, endpoint)
 }
 
-// look asks the slow engines that are due.
-func (p *paces) look(now time.Time) {
+// queryDue asks the slow engines that are due.
+func (p *slowdownMonitor) queryDue(now time.Time) {
 	for _, endpoint := range p.due(now) {
 		if r := p.forwarder.Roster.View().Runner(endpoint); r != nil {
 			go (&poll{forwarder: p.forwarder, runner: r}).run()
@@ -220,17 +220,17 @@
 
 // due returns which slow engines are to be asked again, and drops those of which the news
 // count no longer.
-func (p *paces) due(now time.Time) []string {
+func (p *slowdownMonitor) due(now time.Time) []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var due []string
-	for endpoint, till := range p.slowTill {
+	for endpoint, till := range p.slowUntil {
 		if !now.Before(till) {
-			p.forget(endpoint)
+			p.untrackLocked(endpoint)
 			continue
 		}
-		if at, asks := p.askAt[endpoint]; asks && !now.Before(at) {
-			p.askAt[endpoint] = now.Add(keepEvery)
+		if at, asks := p.nextQuery[endpoint]; asks && !now.Before(at) {
+			p.nextQuery[endpoint] = now.Add(slowRecheckInterval)
 			due = append(due, endpoint)
 		}
 	}
--- a/transport/forward/pace_world_test.go
+++ b/transport/forward/slowdown_harness_test.go
@@ -52,47 +52,47 @@
 	return n
 }
 
-// judge passes what a forwarder tells to a book of its own and back, as the relay does
+// localRelay passes what a forwarder tells to a book of its own and back, as the relay does
 // among entries.
-type judge struct {
-	mutex  sync.Mutex
-	book   slow.Tracker
-	number uint64
+type localRelay struct {
+	mutex      sync.Mutex
+	classifier slow.Tracker
+	number     uint64
 }
 
-func (j *judge) hear(f *Forwarder, news protocol.RelaySlow, at time.Time) {
+func (j *localRelay) deliver(f *Forwarder, news protocol.RelaySlow, at time.Time) {
 	j.mutex.Lock()
 	j.number++
 	if news.Observer == "" {
 		news.Observer, news.Number = f.Home.Name, j.number
 	}
 	r := slow.NewReport(news, at)
-	v := j.book.Apply(r, time.Now())
+	v := j.classifier.Apply(r, time.Now())
 	j.mutex.Unlock()
 	if _, nothing := v.(slow.NoChange); !nothing {
 		f.ApplySlownessReport(r, v)
 	}
 }
 
-// judged has a forwarder's own news judged.
-func judged(f *Forwarder) {
-	j := &judge{}
-	f.paces.forwarder = f
-	f.ReportPace = func(news protocol.RelaySlow, at time.Time) { j.hear(f, news, at) }
+// applyOwnReports has a forwarder's own news applyOwnReports.
+func applyOwnReports(f *Forwarder) {
+	j := &localRelay{}
+	f.slowdowns.forwarder = f
+	f.ReportPace = func(news protocol.RelaySlow, at time.Time) { j.deliver(f, news, at) }
 }
 
-// slowed has everybody take a runner as slow by a factor of twelve.
-func slowed(f *Forwarder, r *fleet.Runner) {
+// markSlow has everybody take a runner as slow by a factor of twelve.
+func markSlow(f *Forwarder, r *fleet.Runner) {
 	now := time.Now()
-	f.paces.forwarder = f
+	f.slowdowns.forwarder = f
 	var b slow.Tracker
 	report := slow.NewReport(protocol.RelaySlow{Endpoint: r.Name(), Observer: "another", Number: 1, Observation: protocol.SlowTold, Pace: 12}, now)
 	f.ApplySlownessReport(report, b.Apply(report, now))
 }
 
-// staged returns a forwarder before three stages of an engine service, each held by that
+// newStagedForwarder returns a forwarder before three stages of an engine service, each held by that
 // many engines, and an exchange of a stream sent over one of the paths.
-func staged(t *testing.T, each int) (*Forwarder, *exchange, *reporter) {
+func newStagedForwarder(t *testing.T, each int) (*Forwarder, *exchange, *reporter) {
 	s := protocol.RoutedService{Name: "llm", Engine: &protocol.EngineFacts{
 		Layers: 9, LayerMB: 100, TokenLayerMB: 0.1, UsualPrompt: 10, UsualAnswer: 10, StepMS: 9, ReadPerSecond: 1e6, EventTokens: 3,
 		Accelerators: []protocol.AcceleratorFacts{{Name: "t4", MemoryMB: 2000, StepFactor: 1, ReadFactor: 1}},
@@ -102,7 +102,7 @@
 		Home: fleet.Entry{Name: "one", DataCenter: "a"}, Roster: &registry.Registry{Entry: fleet.Entry{Name: "one", DataCenter: "a"}},
 		Routing: &routing.Store{}, Headers: plainHeaders{}, Counters: &metric.Set{}, Reporter: asks,
 	}
-	f.suspects.forwarder, f.poller.forwarder, f.paces.forwarder = f, f, f
+	f.faultLocator.forwarder, f.poller.forwarder, f.slowdowns.forwarder = f, f, f
 	f.InitRetryBudget(RetryBudget{Share: 0.2, Slack: 1000, WindowEnd: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
 	f.Roster.SetServices([]protocol.RoutedService{s})
 	var list []protocol.Endpoint
@@ -115,35 +115,35 @@
 		}
 	}
 	f.Roster.Replace(list, time.Now())
-	x := stream(t, f, &s)
-	p, found := x.pick(time.Now())
+	x := newStreamExchange(t, f, &s)
+	p, found := x.pickPath(time.Now())
 	require.True(t, found)
-	x.send(&p)
+	x.startAttempt(&p)
 	return f, x, asks
 }
 
-// stream returns an exchange of a stream before a service that aims at 500 ms to the first
+// newStreamExchange returns an exchange of a newStreamExchange before a service that aims at 500 ms to the first
 // event and pauses of 250 ms.
-func stream(t *testing.T, f *Forwarder, s *protocol.RoutedService) *exchange {
+func newStreamExchange(t *testing.T, f *Forwarder, s *protocol.RoutedService) *exchange {
 	table, err := routing.Build(protocol.Routing{Version: 1, Services: []protocol.RoutedService{*s}})
 	require.NoError(t, err)
 	now := time.Now()
 	x := &exchange{
 		forwarder: f, table: table, writer: httptest.NewRecorder(), request: httptest.NewRequest(http.MethodPost, "/", nil), begun: now,
 		service: s, route: &protocol.Route{Repeat: protocol.Stream, Resumable: true, MaxTries: 3, AimMS: 500, PauseAimMS: 250},
-		deadline: now.Add(20 * time.Second), messages: make(chan message, 100), draw: rand.New(rand.NewPCG(1, 2)),
+		deadline: now.Add(20 * time.Second), messages: make(chan message, 100), rng: rand.New(rand.NewPCG(1, 2)),
 	}
-	x.rhythm.begin(x.route, s, now)
-	t.Cleanup(x.stopAll)
+	x.timing.start(x.route, s, now)
+	t.Cleanup(x.closeAttempts)
 	return x
 }
 
-// speaks has the open attempt send an event after a pause.
-func speaks(x *exchange, pause time.Duration) {
+// sendEvent has the open attempt send an event after a pause.
+func sendEvent(x *exchange, pause time.Duration) {
 	time.Sleep(pause)
-	x.live[0].answer = &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}
-	x.take(eventCame{attempt: x.live[0], event: streamEvent{content: []byte("data: x\n\n")}})
+	x.open[0].head = &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}
+	x.handleMessage(eventReceived{attempt: x.open[0], event: streamEvent{content: []byte("data: x\n\n")}})
 }
 
-// usual is how long an event takes: 27 ms of work and the wait at three stages.
-const usual = 33 * time.Millisecond
+// typicalPause is how long an event takes: 27 ms of work and the wait at three stages.
+const typicalPause = 33 * time.Millisecond
--- a/transport/forward/rhythm_test.go
+++ b/transport/forward/timing_test.go
@@ -17,42 +17,42 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-func TestSilenceIsMeasuredAgainstTheStreamsOwnPauses(t *testing.T) {
+func TestSilenceLimitFollowsMeanPause(t *testing.T) {
 	route := &protocol.Route{AimMS: 500, PauseAimMS: 200}
 	service := &protocol.RoutedService{Engine: &protocol.EngineFacts{}}
 	now := time.Unix(100, 0)
-	var r rhythm
-	r.begin(route, service, now)
+	var r eventTiming
+	r.start(route, service, now)
 	require.Equal(t, now.Add(250*time.Millisecond), r.overdueAt(), "half the aim for the first event")
 	now = now.Add(60 * time.Millisecond)
-	r.event(now)
-	require.Equal(t, 60*time.Millisecond, r.firstAfter(time.Unix(100, 0)))
-	require.Equal(t, now.Add(pauseLeast), r.overdueAt())
+	r.recordEvent(now)
+	require.Equal(t, 60*time.Millisecond, r.timeToFirstEvent(time.Unix(100, 0)))
+	require.Equal(t, now.Add(minSilence), r.overdueAt())
 	for range 40 {
 		now = now.Add(45 * time.Millisecond)
-		r.event(now)
+		r.recordEvent(now)
 	}
 	require.Equal(t, now.Add(100*time.Millisecond), r.overdueAt(), "no more than half the pause aimed at, if that is twice the usual")
 	for range 40 {
 		now = now.Add(80 * time.Millisecond)
-		r.event(now)
+		r.recordEvent(now)
 	}
 	require.InDelta(t, 160, r.overdueAt().Sub(now).Milliseconds(), 1, "a stream that is usually that slow is not suspected sooner than after twice its pause")
-	require.Equal(t, 80*time.Millisecond, r.longest)
+	require.Equal(t, 80*time.Millisecond, r.longestPause)
 }
 
-func TestAPlainAnswerIsOverdueAtHalfItsAim(t *testing.T) {
-	var r rhythm
+func TestNonStreamResponseIsOverdueAtHalfTarget(t *testing.T) {
+	var r eventTiming
 	now := time.Unix(100, 0)
-	r.begin(&protocol.Route{AimMS: 300}, &protocol.RoutedService{}, now)
+	r.start(&protocol.Route{AimMS: 300}, &protocol.RoutedService{}, now)
 	require.Equal(t, now.Add(150*time.Millisecond), r.overdueAt())
-	r.askAgain(now)
-	require.Equal(t, now.Add(lookEvery), r.overdueAt())
+	r.recheckLater(now)
+	require.Equal(t, now.Add(silenceRecheckInterval), r.overdueAt())
 }
 
-// TestEventsComeWholeHoweverTheyAreCut reads streams in pieces of any size and
+// TestReadEventReturnsWholeEvents reads streams in pieces of any size and
 // checks that the events are the stream, and that a part of one is never passed.
-func TestEventsComeWholeHoweverTheyAreCut(t *testing.T) {
+func TestReadEventReturnsWholeEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		events := rapid.SliceOf(rapid.StringMatching(`(id: [0-9]{1,3}\r?\n)?data: [a-z ]{0,40}\r?\n\r?\n`)).Draw(t, "events")
 		whole := strings.Join(events, "")
@@ -62,8 +62,8 @@
 		for {
 			e, err := readEvent(r)
 			if err != nil {
-				require.True(t, errors.Is(err, io.EOF) || errors.Is(err, errCutEvent))
-				require.Equal(t, errors.Is(err, errCutEvent), len(got) < cut, "an end inside an event is told apart")
+				require.True(t, errors.Is(err, io.EOF) || errors.Is(err, errTruncatedEvent))
+				require.Equal(t, errors.Is(err, errTruncatedEvent), len(got) < cut, "an end inside an event is told apart")
 				break
 			}
 			got += string(e.content)
@@ -77,7 +77,7 @@
 	})
 }
 
-func TestTheLastIDOfAnEventCounts(t *testing.T) {
+func TestReadEventUsesLastID(t *testing.T) {
 	e, err := readEvent(bufio.NewReader(strings.NewReader("versions:3\nid:  41 \ndata: x\n\n")))
 	require.NoError(t, err)
 	require.Equal(t, "41", e.id)
