--- a/transport/forward/admit.go
+++ b/transport/forward/admit.go
@@ -30,7 +30,7 @@
 		return protocol.Refuse(protocol.Stopping, "this entry is stopping").Again(x.begun)
 	}
 	table := f.Routing.Current()
-	if table == nil || !f.Roster.HasList() {
+	if table == nil || !f.Registry.HasList() {
 		return protocol.Refuse(protocol.NoConfiguration, "no routing table was read yet").Again(x.begun.Add(unconfirmedRetryAfter))
 	}
 	x.table = table
--- a/transport/forward/baseline.go
+++ b/transport/forward/baseline.go
@@ -55,10 +55,10 @@
 
 // reportObservedSlowdown tells the pace that an answer, or the wait for one, showed.
 func (f *Forwarder) reportObservedSlowdown(a *attempt, pace float64, now time.Time) {
-	if f.ReportPace == nil || pace <= 0 {
+	if f.ReportSlowdown == nil || pace <= 0 {
 		return
 	}
-	f.ReportPace(protocol.RelaySlow{Endpoint: a.endpoint.Name(), Observation: protocol.SlowSeen, Pace: min(pace, protocol.MaxPace)}, now)
+	f.ReportSlowdown(protocol.RelaySlow{Endpoint: a.endpoint.Name(), Observation: protocol.SlowSeen, Pace: min(pace, protocol.MaxPace)}, now)
 }
 
 // baseline returns how long an answer on a route to a plain service usually takes. Routes to one service
--- a/transport/forward/baseline_test.go
+++ b/transport/forward/baseline_test.go
@@ -19,12 +19,12 @@
 func newPlainForwarder(t *testing.T) (*Forwarder, func() *exchange) {
 	f, _, _ := newStagedForwarder(t, 1)
 	s := protocol.RoutedService{Name: "ledger"}
-	f.Roster.SetServices([]protocol.RoutedService{s})
+	f.Registry.SetServices([]protocol.RoutedService{s})
 	var list []protocol.Endpoint
 	for _, id := range []string{"p1", "p2", "p3"} {
 		list = append(list, protocol.Endpoint{ID: id, Service: "ledger", Address: id, DataCenter: "a"})
 	}
-	f.Roster.Replace(list, time.Now())
+	f.Registry.Replace(list, time.Now())
 	calls := uint64(0)
 	return f, func() *exchange {
 		x := newStreamExchange(t, f, &s)
@@ -115,7 +115,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, call := newPlainForwarder(t)
 		var paces []float64
-		f.ReportPace = func(news protocol.RelaySlow, _ time.Time) { paces = append(paces, news.Pace) }
+		f.ReportSlowdown = func(news protocol.RelaySlow, _ time.Time) { paces = append(paces, news.Pace) }
 		for i := range 12 {
 			x := call()
 			x.route.Name = "quick"
--- a/transport/forward/body_test.go
+++ b/transport/forward/body_test.go
@@ -44,10 +44,10 @@
 	counters := &metric.Set{}
 	held := &backlog.Budget{Counters: counters}
 	held.Limit(512 << 10)
-	f := &Forwarder{Routing: &routing.Store{}, Roster: &registry.Registry{}, Headers: plainHeaders{}, Counters: counters, MemoryBudget: held}
+	f := &Forwarder{Routing: &routing.Store{}, Registry: &registry.Registry{}, Headers: plainHeaders{}, Counters: counters, MemoryBudget: held}
 	f.Routing.Offer(table)
 	f.Routing.Confirm(time.Now())
-	f.Roster.Replace(nil, time.Now())
+	f.Registry.Replace(nil, time.Now())
 	w := &recordingWriter{ResponseRecorder: httptest.NewRecorder(), counters: counters, held: -1}
 	r := httptest.NewRequest(http.MethodPost, "/x", strings.NewReader(strings.Repeat("x", 400<<10)))
 	r.Host = "h.example"
--- a/transport/forward/budget.go
+++ b/transport/forward/budget.go
@@ -109,5 +109,5 @@
 // entriesPerDataCenter returns how many entries send to the engines of one data center: about
 // as many in each.
 func (f *Forwarder) entriesPerDataCenter(service string) float64 {
-	return max(1, float64(f.entryCount.Load())/float64(max(1, len(f.Roster.EngineDataCenters(service)))))
+	return max(1, float64(f.entryCount.Load())/float64(max(1, len(f.Registry.EngineDataCenters(service)))))
 }
--- a/transport/forward/candidate.go
+++ b/transport/forward/candidate.go
@@ -36,7 +36,7 @@
 // it has room and no other has much more; then the emptiest other one with room; then
 // whatever there is.
 func (f *Forwarder) choosePath(s *protocol.RoutedService, q *path.Query, first string, into *path.Path) bool {
-	view := f.Roster.View()
+	view := f.Registry.View()
 	if s.Engine == nil {
 		return path.ChooseInto(view.Model(registry.ModelName(s.Name, "")), q, into) < 0
 	}
@@ -45,7 +45,7 @@
 		*into = best.path
 		return true
 	}
-	for _, center := range f.Roster.EngineDataCenters(s.Name) {
+	for _, center := range f.Registry.EngineDataCenters(s.Name) {
 		if center == first {
 			continue
 		}
--- a/transport/forward/dispatch.go
+++ b/transport/forward/dispatch.go
@@ -66,7 +66,7 @@
 // preferredDataCenter returns the data center whose engines come first.
 func (x *exchange) preferredDataCenter() string {
 	f := x.forwarder
-	return path.FirstDataCenter(f.Home.DataCenter, f.Roster.EngineDataCenters(x.service.Name), x.headSent, x.rng)
+	return path.FirstDataCenter(f.Home.DataCenter, f.Registry.EngineDataCenters(x.service.Name), x.headSent, x.rng)
 }
 
 // pathQuery is what the choice of a path depends on.
--- a/transport/forward/failure.go
+++ b/transport/forward/failure.go
@@ -74,7 +74,7 @@
 	if _, ok := v.(loss.OccupantObserved); ok {
 		return f.applyOwner(&report)
 	}
-	r := f.Roster.View().Runner(report.Endpoint())
+	r := f.Registry.View().Runner(report.Endpoint())
 	if r == nil {
 		return false
 	}
--- a/transport/forward/failure_test.go
+++ b/transport/forward/failure_test.go
@@ -47,7 +47,7 @@
 		Accelerators: []protocol.AcceleratorFacts{{Name: "t4", MemoryMB: 2000, StepFactor: 1, ReadFactor: 1}},
 	}}
 	f := &Forwarder{
-		Home: fleet.Entry{Name: "one", DataCenter: "a"}, Roster: &registry.Registry{Entry: fleet.Entry{Name: "one", DataCenter: "a"}},
+		Home: fleet.Entry{Name: "one", DataCenter: "a"}, Registry: &registry.Registry{Entry: fleet.Entry{Name: "one", DataCenter: "a"}},
 		Headers: plainHeaders{}, Counters: &metric.Set{},
 	}
 	f.faultLocator.forwarder = f
@@ -57,7 +57,7 @@
 		}
 	}
 	f.InitRetryBudget(RetryBudget{Share: 0.2, Slack: 1000, WindowEnd: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
-	f.Roster.SetServices([]protocol.RoutedService{s})
+	f.Registry.SetServices([]protocol.RoutedService{s})
 	var list []protocol.Endpoint
 	for i := range n {
 		list = append(list, protocol.Endpoint{
@@ -65,7 +65,7 @@
 			Layers: protocol.Span{From: 0, To: 10},
 		})
 	}
-	f.Roster.Replace(list, time.Now())
+	f.Registry.Replace(list, time.Now())
 	table, err := routing.Build(protocol.Routing{Version: 1, Services: []protocol.RoutedService{s}})
 	require.NoError(t, err)
 	x := &exchange{
@@ -113,7 +113,7 @@
 // TestLossOffThePathIsIgnored for streams that do not pass the lost engine.
 func TestLossOffThePathIsIgnored(t *testing.T) {
 	f, x := newForwarder(t, 3, nil)
-	for _, r := range f.Roster.View().Runners() {
+	for _, r := range f.Registry.View().Runners() {
 		if r != x.open[0].endpoint {
 			markLost(f, r)
 		}
@@ -145,7 +145,7 @@
 	f.reportError(r, context.DeadlineExceeded, begun, begun.Add(time.Second))
 	require.Empty(t, tells, "this entry hears nobody")
 	var other *fleet.Runner
-	for _, o := range f.Roster.View().Runners() {
+	for _, o := range f.Registry.View().Runners() {
 		if o != r {
 			other = o
 		}
--- a/transport/forward/forwarder.go
+++ b/transport/forward/forwarder.go
@@ -45,7 +45,7 @@
 type Forwarder struct {
 	Home     fleet.Entry
 	Routing  *routing.Store
-	Roster   *registry.Registry
+	Registry *registry.Registry
 	Headers  HeaderCodec
 	Reporter Reporter
 	// PathChanger changes the paths of running requests, nil to leave them as they are.
@@ -58,15 +58,15 @@
 	MemoryBudget *backlog.Budget
 	// ReportFailure tells the other entries that this one met a sign of an endpoint, nil for nobody.
 	ReportFailure func(endpoint string, sign protocol.LossObservation, at time.Time)
-	// ReportOccupant tells them which process answers at an endpoint's address, nil for nobody: "" is
+	// ReportAddressOwner tells them which process answers at an endpoint's address, nil for nobody: "" is
 	// one that does not hold the layers of the endpoint's record.
-	ReportOccupant func(endpoint, occupant string, at time.Time)
+	ReportAddressOwner func(endpoint, occupant string, at time.Time)
 	// Quarantine knows which work may end what runs it, nil for nothing ever.
 	Quarantine Quarantine
 	// OnResume is told that the VM was suspended, nil for nobody.
 	OnResume func(now time.Time)
-	// ReportPace tells them that this one met a sign of an endpoint's pace, nil for nobody.
-	ReportPace func(news protocol.RelaySlow, at time.Time)
+	// ReportSlowdown tells them that this one met a sign of an endpoint's pace, nil for nobody.
+	ReportSlowdown func(news protocol.RelaySlow, at time.Time)
 
 	done         part.Done
 	retryBudgets serviceBudgets
@@ -136,7 +136,7 @@
 		case <-t.C:
 			clock.Look()
 			f.pool.sweep(clock.Now())
-			f.inflight.sweep(f.Roster)
+			f.inflight.sweep(f.Registry)
 		case <-turning:
 			now := clock.Now()
 			f.checkSuspension(now)
--- a/transport/forward/misplaced.go
+++ b/transport/forward/misplaced.go
@@ -39,8 +39,8 @@
 // question, so that a record written later stands.
 func (f *Forwarder) reportOwner(r *fleet.Runner, occupant string, at time.Time) {
 	f.Counters.Add(metric.RecordsDisproved, 1)
-	if f.ReportOccupant != nil {
-		f.ReportOccupant(r.Name(), occupant, at)
+	if f.ReportAddressOwner != nil {
+		f.ReportAddressOwner(r.Name(), occupant, at)
 	}
 }
 
@@ -51,12 +51,12 @@
 	var news bool
 	switch occupant {
 	case "":
-		news = f.Roster.LayersDenied(id, report.Incarnation(), report.At())
+		news = f.Registry.LayersDenied(id, report.Incarnation(), report.At())
 	case id:
-		moved := f.Roster.OwnerAnswered(id, occupant, report.Incarnation(), report.At())
-		news = f.Roster.LayersConfirmed(id, report.At()) || moved
+		moved := f.Registry.OwnerAnswered(id, occupant, report.Incarnation(), report.At())
+		news = f.Registry.LayersConfirmed(id, report.At()) || moved
 	default:
-		news = f.Roster.OwnerAnswered(id, occupant, report.Incarnation(), report.At())
+		news = f.Registry.OwnerAnswered(id, occupant, report.Incarnation(), report.At())
 	}
 	if news {
 		f.log(event.RecordDisproved, slog.String("endpoint", id), slog.String("occupant", occupant),
--- a/transport/forward/poll.go
+++ b/transport/forward/poll.go
@@ -42,13 +42,13 @@
 	if table == nil {
 		return
 	}
-	view := f.Roster.View()
+	view := f.Registry.View()
 	services := table.Services()
 	for i := range services {
 		if services[i].Engine == nil {
 			continue
 		}
-		for _, center := range f.Roster.EngineDataCenters(services[i].Name) {
+		for _, center := range f.Registry.EngineDataCenters(services[i].Name) {
 			p.pollModel(view.Model(registry.ModelName(services[i].Name, center)), services[i].Name, now)
 		}
 	}
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -201,7 +201,7 @@
 		return avoid
 	}
 	avoid = slices.Clip(avoid)
-	view := x.forwarder.Roster.View()
+	view := x.forwarder.Registry.View()
 	for _, id := range x.forwarder.Quarantine.ReservedEndpoints(x.workFingerprint(), now) {
 		if r := view.Runner(id); r != nil && !slices.Contains(avoid, r) {
 			avoid = append(avoid, r)
@@ -214,7 +214,7 @@
 // away from its endpoint.
 func (x *exchange) markIsolated(a *attempt, now time.Time) {
 	q := x.forwarder.Quarantine
-	a.incarnation = x.forwarder.Roster.Incarnation(a.endpoint.Name())
+	a.incarnation = x.forwarder.Registry.Incarnation(a.endpoint.Name())
 	if _, free := x.quarantineStatus(now).(quarantine.Unrestricted); !free {
 		a.isolated = true
 		q.Report(x.workReport(a, protocol.WorkTried), now)
@@ -297,7 +297,7 @@
 		x.forwarder.log(event.StageLost, x.requestAttr(), slog.Int("attempt", a.number), slog.String("endpoint", r.Name()),
 			slog.String("fingerprint", x.workFingerprint().String()))
 		q.Report(protocol.RelayWork{
-			Work: x.workFingerprint(), Endpoint: r.Name(), Incarnation: x.forwarder.Roster.Incarnation(r.Name()), Observation: protocol.WorkBrokeBehind,
+			Work: x.workFingerprint(), Endpoint: r.Name(), Incarnation: x.forwarder.Registry.Incarnation(r.Name()), Observation: protocol.WorkBrokeBehind,
 		}, now)
 	}
 }
--- a/transport/forward/reroute.go
+++ b/transport/forward/reroute.go
@@ -147,10 +147,10 @@
 // candidateModels returns the engines among which replacements are looked for: those of the path's
 // data center first.
 func (x *exchange) candidateModels(a *attempt) []*fleet.Model {
-	view := x.forwarder.Roster.View()
+	view := x.forwarder.Registry.View()
 	home := a.endpoint.Spec().Model
 	list := []*fleet.Model{view.Model(home)}
-	for _, center := range x.forwarder.Roster.EngineDataCenters(x.service.Name) {
+	for _, center := range x.forwarder.Registry.EngineDataCenters(x.service.Name) {
 		if name := registry.ModelName(x.service.Name, center); name != home {
 			list = append(list, view.Model(name))
 		}
--- a/transport/forward/reroute_harness_test.go
+++ b/transport/forward/reroute_harness_test.go
@@ -81,10 +81,10 @@
 	}}
 	home := fleet.Entry{Name: "one", DataCenter: "a"}
 	s := &pathChangeHarness{t: t, engine: &firstEngine{orders: make(chan protocol.PathOrder, 10), answers: make(chan protocol.PathAnswer, 10)}}
-	f := &Forwarder{Home: home, Roster: &registry.Registry{Entry: home}, Headers: plainHeaders{}, Counters: &metric.Set{}, PathChanger: s.engine, Reporter: s.engine}
+	f := &Forwarder{Home: home, Registry: &registry.Registry{Entry: home}, Headers: plainHeaders{}, Counters: &metric.Set{}, PathChanger: s.engine, Reporter: s.engine}
 	f.faultLocator.forwarder, f.poller.forwarder, f.slowdowns.forwarder = f, f, f // as Start does
 	f.InitRetryBudget(RetryBudget{Share: 0.2, Slack: 1000, WindowEnd: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
-	f.Roster.SetServices([]protocol.RoutedService{service})
+	f.Registry.SetServices([]protocol.RoutedService{service})
 	var list []protocol.Endpoint
 	for i, address := range addresses {
 		from := i % 3 * 3
@@ -93,7 +93,7 @@
 			Layers: protocol.Span{From: from, To: from + 3},
 		})
 	}
-	f.Roster.Replace(list, time.Now())
+	f.Registry.Replace(list, time.Now())
 	table, err := routing.Build(protocol.Routing{Version: 1, Services: []protocol.RoutedService{service}})
 	require.NoError(t, err)
 	x := &exchange{
@@ -209,14 +209,14 @@
 			}
 		}
 	}
-	for _, r := range s.forwarder.Roster.View().Runners() {
+	for _, r := range s.forwarder.Registry.View().Runners() {
 		require.Equal(s.t, work[r], r.Outstanding(), r.Name())
 	}
 }
 
 func (s *pathChangeHarness) end() {
 	s.exchange.closeAttempts()
-	for _, r := range s.forwarder.Roster.View().Runners() {
+	for _, r := range s.forwarder.Registry.View().Runners() {
 		require.Zero(s.t, r.Outstanding(), r.Name())
 	}
 }
--- a/transport/forward/slowdown.go
+++ b/transport/forward/slowdown.go
@@ -112,10 +112,10 @@
 // told tells the other entries the pace that an engine reported when it was asked.
 func (p *slowdownMonitor) reportSlowdown(r *fleet.Runner, report *protocol.EngineReport, asked time.Time) {
 	f := p.forwarder
-	if report.Pace <= 0 || f.ReportPace == nil {
+	if report.Pace <= 0 || f.ReportSlowdown == nil {
 		return
 	}
-	f.ReportPace(protocol.RelaySlow{
+	f.ReportSlowdown(protocol.RelaySlow{
 		Endpoint: r.Name(), Incarnation: report.Incarnation, Observation: protocol.SlowTold, Pace: report.Pace,
 	}, asked.Add(-f.maxReportDelay()))
 }
@@ -139,7 +139,7 @@
 // ApplySlownessReport takes what a report of an endpoint's pace changes, and reports whether it may
 // matter to who gives orders.
 func (f *Forwarder) ApplySlownessReport(report slow.Report, v slow.Change) bool {
-	r := f.Roster.View().Runner(report.Endpoint())
+	r := f.Registry.View().Runner(report.Endpoint())
 	if r == nil {
 		return false
 	}
@@ -212,7 +212,7 @@
 // queryDue asks the slow engines that are due.
 func (p *slowdownMonitor) queryDue(now time.Time) {
 	for _, endpoint := range p.due(now) {
-		if r := p.forwarder.Roster.View().Runner(endpoint); r != nil {
+		if r := p.forwarder.Registry.View().Runner(endpoint); r != nil {
 			go (&poll{forwarder: p.forwarder, runner: r}).run()
 		}
 	}
--- a/transport/forward/slowdown_harness_test.go
+++ b/transport/forward/slowdown_harness_test.go
@@ -78,7 +78,7 @@
 func applyOwnReports(f *Forwarder) {
 	j := &localRelay{}
 	f.slowdowns.forwarder = f
-	f.ReportPace = func(news protocol.RelaySlow, at time.Time) { j.deliver(f, news, at) }
+	f.ReportSlowdown = func(news protocol.RelaySlow, at time.Time) { j.deliver(f, news, at) }
 }
 
 // markSlow has everybody take a runner as slow by a factor of twelve.
@@ -99,12 +99,12 @@
 	}}
 	asks := &reporter{paces: map[string]float64{}}
 	f := &Forwarder{
-		Home: fleet.Entry{Name: "one", DataCenter: "a"}, Roster: &registry.Registry{Entry: fleet.Entry{Name: "one", DataCenter: "a"}},
+		Home: fleet.Entry{Name: "one", DataCenter: "a"}, Registry: &registry.Registry{Entry: fleet.Entry{Name: "one", DataCenter: "a"}},
 		Routing: &routing.Store{}, Headers: plainHeaders{}, Counters: &metric.Set{}, Reporter: asks,
 	}
 	f.faultLocator.forwarder, f.poller.forwarder, f.slowdowns.forwarder = f, f, f
 	f.InitRetryBudget(RetryBudget{Share: 0.2, Slack: 1000, WindowEnd: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
-	f.Roster.SetServices([]protocol.RoutedService{s})
+	f.Registry.SetServices([]protocol.RoutedService{s})
 	var list []protocol.Endpoint
 	for stage := range 3 {
 		for i := range each {
@@ -114,7 +114,7 @@
 			})
 		}
 	}
-	f.Roster.Replace(list, time.Now())
+	f.Registry.Replace(list, time.Now())
 	x := newStreamExchange(t, f, &s)
 	p, found := x.pickPath(time.Now())
 	require.True(t, found)
--- a/transport/forward/slowdown_test.go
+++ b/transport/forward/slowdown_test.go
@@ -128,7 +128,7 @@
 		x.wake(time.Now())
 		require.Len(t, x.open, 2)
 		require.NotEqual(t, r, x.open[1].path.Runner(1))
-		for _, other := range f.Roster.View().Runners() {
+		for _, other := range f.Registry.View().Runners() {
 			require.True(t, other.Usable(time.Now()), other.Name())
 		}
 
@@ -161,7 +161,7 @@
 func TestNoHedgeWithoutFasterPath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, x, _ := newStagedForwarder(t, 2)
-		for _, r := range f.Roster.View().Runners() {
+		for _, r := range f.Registry.View().Runners() {
 			markSlow(f, r)
 		}
 		time.Sleep(x.timing.firstEventLimit)
--- a/transport/front/occupants_test.go
+++ b/transport/front/occupants_test.go
@@ -48,7 +48,7 @@
 		{"no name", asked{}, true, protocol.Span{}},
 	} {
 		f := &Front{Counters: &metric.Set{}, Dependencies: Dependencies{Engines: &c.says}}
-		f.forwarder = forward.Forwarder{Roster: &f.roster, Counters: f.Counters}
+		f.forwarder = forward.Forwarder{Registry: &f.roster, Counters: f.Counters}
 		f.source.OnLossChange = f.judged
 		services := []protocol.RoutedService{{Name: "llm", HealthPath: "/health", Engine: &protocol.EngineFacts{Layers: 5}}}
 		table, err := routing.Build(protocol.Routing{Version: 1, Services: services})
--- a/transport/front/opening_test.go
+++ b/transport/front/opening_test.go
@@ -47,7 +47,7 @@
 				table.Teams = []protocol.RoutedTeam{{Name: "team", Keys: []string{"key"}}}
 			}
 			f := &Front{Counters: &metric.Set{}, Dependencies: Dependencies{RoutingName: "main", Decoder: fixed{table: table}}}
-			f.forwarder = forward.Forwarder{Routing: &f.routing, Roster: &f.roster, Headers: silentHeaders{}, Counters: f.Counters}
+			f.forwarder = forward.Forwarder{Routing: &f.routing, Registry: &f.roster, Headers: silentHeaders{}, Counters: f.Counters}
 			f.forwarder.Start()
 			defer f.forwarder.Close()
 			c := &caller{front: f, answer: httptest.NewRecorder()}
@@ -78,7 +78,7 @@
 func TestCallersWaitUntilRefusalsAreRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &Front{Counters: &metric.Set{}, Dependencies: Dependencies{RoutingName: "main", Decoder: fixed{table: protocol.Routing{Version: 1}}}}
-		f.forwarder = forward.Forwarder{Routing: &f.routing, Roster: &f.roster, Headers: silentHeaders{}, Counters: f.Counters}
+		f.forwarder = forward.Forwarder{Routing: &f.routing, Registry: &f.roster, Headers: silentHeaders{}, Counters: f.Counters}
 		f.refusals.front = f
 		f.forwarder.Start()
 		defer f.forwarder.Close()
