--- a/transport/forward/admit.go
+++ b/transport/forward/admit.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	// unconfirmedRetryAfter is when to come back to an entry that can't reach the platform.
+	// unconfirmedRetryAfter is the Retry-After of an entry that can't reach the platform.
 	unconfirmedRetryAfter = 300 * time.Millisecond
-	// unconfirmedAfter is the age of the routing table's confirmation from which an
-	// unknown route or key is answered "come back" instead of "unknown": the
-	// table may have changed. It is a little more than a watch takes.
+	// unconfirmedAfter is the age of the routing table's confirmation from which an unknown route
+	// or key is answered with a Retry-After instead of as unknown: the table may have changed. It
+	// is slightly longer than a watch takes.
 	unconfirmedAfter = 4 * time.Second
 )
 
@@ -31,7 +31,7 @@
 	}
 	table := f.Routing.Current()
 	if table == nil || !f.Registry.HasList() {
-		return protocol.Refuse(protocol.NoConfiguration, "no routing table was read yet").Again(x.begun.Add(unconfirmedRetryAfter))
+		return protocol.Refuse(protocol.NoConfiguration, "no routing table has been read yet").Again(x.begun.Add(unconfirmedRetryAfter))
 	}
 	x.table = table
 	if most := table.CallerLimits().HeaderBytes; most > 0 && headBytes(x.request) > most {
@@ -42,7 +42,7 @@
 	x.route = table.Match(x.request.Host, target)
 	if x.route == nil {
 		if unsure {
-			return protocol.Refuse(protocol.PlatformDown, "the route is unknown, but the table may be old").Again(x.begun.Add(unconfirmedRetryAfter))
+			return protocol.Refuse(protocol.PlatformDown, "the route is unknown, but the routing table may be outdated").Again(x.begun.Add(unconfirmedRetryAfter))
 		}
 		return protocol.Refuse(protocol.UnknownService, "no route matches the host and path")
 	}
@@ -57,8 +57,8 @@
 	return x.readBody(table.CallerLimits().BodyBytes)
 }
 
-// headBytes returns how long a request's head was, as far as the library still tells:
-// the request line and a line for each header.
+// headBytes returns the length of a request's head as far as net/http exposes it: the request line
+// and a line for each header.
 func headBytes(r *http.Request) int {
 	const lineEnd, separators = 2, 2
 	n := len(r.Method) + len(r.RequestURI) + len(r.Proto) + separators + lineEnd
@@ -71,8 +71,8 @@
 	return n + lineEnd
 }
 
-// admitTeam finds the team of the caller's key. A key is taken only while the
-// platform has lately confirmed that it was not withdrawn.
+// admitTeam finds the team of the caller's key. It accepts a key only if the platform has confirmed
+// recently enough that the key is not withdrawn.
 func (x *exchange) admitTeam(unsure bool) *protocol.Refusal {
 	if !x.table.RequiresKey() || x.route.Public {
 		return nil
@@ -84,7 +84,7 @@
 	team := x.table.Team(x.terms.Key)
 	if team == nil {
 		if unsure {
-			return protocol.Refuse(protocol.PlatformDown, "the key is unknown, but the table may be old").Again(x.begun.Add(unconfirmedRetryAfter))
+			return protocol.Refuse(protocol.PlatformDown, "the key is unknown, but the routing table may be outdated").Again(x.begun.Add(unconfirmedRetryAfter))
 		}
 		return protocol.Refuse(protocol.WrongKey, "the key is not known")
 	}
--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -19,49 +19,50 @@
 	"pinerun.example/pinerun/state/fleet"
 )
 
-// maxBodyBytes bounds an answer that is not a stream, and a request where the
-// routing table sets no limit.
+// maxBodyBytes bounds a response that is not a stream, and a request if the routing table sets no
+// limit.
 const maxBodyBytes = 16 << 20
 
-// errWrongResponse says that bytes on a connection are not the answer to the
-// request sent there.
-var errWrongResponse = errors.New("the endpoint sent something that is not the answer to this request")
+// errWrongResponse reports that the bytes on a connection are not the response to the request sent
+// there.
+var errWrongResponse = errors.New("the endpoint sent bytes that are not the response to this request")
 
-// errResponseTooLong says that an answer is longer than any endpoint sends.
-var errResponseTooLong = errors.New("the endpoint's answer is too long")
+// errResponseTooLong reports that a response is longer than any endpoint sends.
+var errResponseTooLong = errors.New("the endpoint's response is too long")
 
-// attempt is one send of a request to an endpoint. Its goroutine reads and
-// writes; the exchange decides.
+// attempt is one attempt to run a request at an endpoint. Its goroutine reads and writes the
+// connection; the exchange makes the decisions. Only the exchange uses the fields marked "exchange
+// only".
 type attempt struct {
 	number           int
 	path             path.Path
-	passesPerLayer   int64 // work pledged at each layer of the path
+	passesPerLayer   int64 // work counted at each layer of the path
 	endpoint         *fleet.Runner
 	request          []byte
 	method           string
-	id               string // of the request, to recognise its answer
-	newConn          bool   // whether it needs a connection of its own
+	id               string // request ID, which the response must repeat
+	newConn          bool   // requires a new connection
 	headers          HeaderCodec
 	pool             *connPool
 	messages         chan<- message
-	reservation      *reservation // the room of the request
+	reservation      *reservation // memory reserved for the request
 	sentAt           time.Time
-	newEndpoint      bool                 // the request had not been sent there before; the exchange's
-	hasEvent         bool                 // an event came; the exchange's
-	disconnected     bool                 // the endpoint broke the connection off; the exchange's
-	reportedSlow     bool                 // it was told that its endpoint is slow; the exchange's
-	pathChange       reroute.Tracker      // orders to change its path; the exchange's
-	changeGraceUntil time.Time            // until when a change of path may hold it up; the exchange's
-	pathChangedAt    time.Time            // when its path changed, until an event comes; the exchange's
-	incarnation      protocol.Incarnation // of the endpoint when it was sent; the exchange's
-	firstEventAt     time.Time            // when the first event came; the exchange's
-	isolated         bool                 // other work that may end endpoints keeps away; the exchange's
-	reportedBroken   bool                 // it was told that the work broke there; the exchange's
-	reportedRan      bool                 // it was told that the work ran well there; the exchange's
-	reportedLost     []*fleet.Runner      // later stages of which it was told that they are lost; the exchange's
-	head             *http.Response       // head of the stream, once it came; the exchange's
+	newEndpoint      bool                 // the request had not been sent there before; exchange only
+	hasEvent         bool                 // an event was received; exchange only
+	disconnected     bool                 // the endpoint closed the connection; exchange only
+	reportedSlow     bool                 // the endpoint was reported slow for this attempt; exchange only
+	pathChange       reroute.Tracker      // orders to change the path; exchange only
+	changeGraceUntil time.Time            // until when silence is expected from a path change; exchange only
+	pathChangedAt    time.Time            // when the path changed, zero after the next event; exchange only
+	incarnation      protocol.Incarnation // incarnation of the endpoint at the start; exchange only
+	firstEventAt     time.Time            // when the first event was received; exchange only
+	isolated         bool                 // other quarantined work avoids the endpoint; exchange only
+	reportedBroken   bool                 // the work was reported as aborted there; exchange only
+	reportedRan      bool                 // the work was reported to run well there; exchange only
+	reportedLost     []*fleet.Runner      // later stages that were reported lost; exchange only
+	head             *http.Response       // head of the stream, nil until received; exchange only
 
-	connReturned bool // the connection rests, or was closed at rest; of run
+	connReturned bool // the connection went back to the pool, which owns its buffer; run only
 	cancelled    context.Context
 	cancel       context.CancelFunc
 	mutex        sync.Mutex
@@ -80,7 +81,7 @@
 		return
 	}
 	n, err := c.Write(a.request)
-	a.request = nil // the answer may take long
+	a.request = nil // frees the memory while the response is awaited
 	if err != nil {
 		a.closeConn()
 		a.post(attemptEnded{attempt: a, cause: err, unsent: n == 0, stale: c.reused})
@@ -89,21 +90,22 @@
 	a.readResponse(c)
 }
 
-// markEvent reports whether this is the markEvent event of the attempt.
+// markEvent records an event and reports whether it is the first of the attempt.
 func (a *attempt) markEvent() bool {
 	before := a.hasEvent
 	a.hasEvent = true
 	return !before
 }
 
-// stop ends the attempt: a connection that is still held is closed, so that the
-// endpoint drops the request.
+// stop ends the attempt. It closes a connection that the attempt still holds, so that the endpoint
+// drops the request.
 func (a *attempt) stop() {
 	a.cancel()
 	a.closeConn()
 }
 
-// attachConn keeps the connection where stop finds it, unless the attempt was stopped.
+// attachConn stores the connection for stop to close. It reports false and closes the connection if
+// the attempt is already stopped.
 func (a *attempt) attachConn(c *conn) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -115,7 +117,7 @@
 	return true
 }
 
-// closeConn closes the connection that the attempt holds, if any.
+// closeConn closes the attempt's connection, if any.
 func (a *attempt) closeConn() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -125,18 +127,20 @@
 	}
 }
 
-// recycleBuffer takes the connection's buffer for others to use, unless the connection rests.
+// recycleBuffer returns the connection's buffer to the pool, unless the connection itself went back
+// to the pool.
 func (a *attempt) recycleBuffer(c *conn) {
 	if !a.connReturned {
 		a.pool.buffers.put(c.reader)
 	}
 }
 
-// responseStarted reports whether the head of an answer or an event came. Only the exchange asks.
+// responseStarted reports whether the head of a response or an event was received. Only the
+// exchange calls it.
 func (a *attempt) responseStarted() bool { return a.hasEvent || a.head != nil }
 
-// waitsOnReusedConn reports whether nothing came on a connection that had rested before: it may be dead. Only
-// the exchange asks.
+// waitsOnReusedConn reports whether nothing was received on a reused connection, which may be dead.
+// Only the exchange calls it.
 func (a *attempt) waitsOnReusedConn() bool {
 	if a.responseStarted() {
 		return false
@@ -146,7 +150,7 @@
 	return a.conn != nil && a.conn.reused
 }
 
-// returnConn lets the connection rest after a whole answer.
+// returnConn returns the connection to the pool after a whole response.
 func (a *attempt) returnConn(head *http.Response) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -162,7 +166,7 @@
 	a.conn = nil
 }
 
-// post tells the exchange, unless the attempt was stopped.
+// post sends a message to the exchange, unless the attempt is stopped.
 func (a *attempt) post(m message) {
 	select {
 	case a.messages <- m:
@@ -170,7 +174,7 @@
 	}
 }
 
-// readResponse reads the answer and tells the exchange.
+// readResponse reads the response and passes it to the exchange.
 func (a *attempt) readResponse(c *conn) {
 	head, begun, err := a.readHead(c)
 	if err != nil {
@@ -192,7 +196,8 @@
 	a.readNonStream(head, terms)
 }
 
-// readHead returns the head of the final answer, and whether any byte of it came.
+// readHead returns the head of the final response. begun reports whether any byte of it was
+// received.
 func (a *attempt) readHead(c *conn) (head *http.Response, begun bool, err error) {
 	req := &http.Request{Method: a.method}
 	for {
@@ -255,7 +260,7 @@
 	a.post(responseReceived{attempt: a, head: head, body: body, terms: terms})
 }
 
-// readBody reads the body of a whole answer, as the entry has room for it.
+// readBody reads the body of a response that is not a stream, as the entry's memory budget allows.
 func (a *attempt) readBody(head *http.Response) ([]byte, error) {
 	if head.Body == http.NoBody {
 		return nil, nil
@@ -284,9 +289,10 @@
 	}
 }
 
-// newBody returns what an answer of a length is read into, once there is room. One whose
-// length is known takes all of it at once: answers that grow piece by piece while the budget
-// is short hold what the others wait for. Of six of 100 kB within 0.5 MB none was delivered.
+// newBody allocates the buffer for a response body of the announced length, once the budget allows
+// it. A known length is reserved at once: responses that grow piece by piece while the budget is
+// short hold the memory that the others wait for. Of six responses of 100 kB within a budget of
+// 0.5 MB, none was delivered.
 func (a *attempt) newBody(length int64) ([]byte, bool) {
 	if length < smallBytes || length > maxBodyBytes {
 		return newBodyBuffer(length), true
@@ -294,24 +300,24 @@
 	if !a.reservation.reserveWait(length, a.cancelled.Done()) {
 		return nil, false
 	}
-	return make([]byte, 0, length+1), true // one more, to see the end
+	return make([]byte, 0, length+1), true // one more byte to read the end
 }
 
-// validateResponse returns why a success is not the endpoint's own answer, or nil.
+// validateResponse returns why a success is not the endpoint's own response, or nil.
 func validateResponse(head *http.Response, terms protocol.AnswerTerms) error {
 	if head.StatusCode >= http.StatusMultipleChoices {
 		return nil
 	}
 	if !terms.Signed || terms.RequestID == "" {
-		return fmt.Errorf("%w: a success without signature or request ID", errWrongResponse)
+		return fmt.Errorf("%w: success without signature or request ID", errWrongResponse)
 	}
 	if head.Header.Get("Content-Encoding") != "" {
-		return fmt.Errorf("%w: a body that was encoded on the way", errWrongResponse)
+		return fmt.Errorf("%w: body was encoded in transit", errWrongResponse)
 	}
 	return nil
 }
 
-// recordHeard notes that every runner of the attempt's path works, as far as it is surely in use.
+// recordHeard records that every runner of the attempt's path that is certainly in use works.
 func (x *exchange) recordHeard(a *attempt, now time.Time) {
 	for i := range a.path.Len() {
 		if a.provesStage(i) {
@@ -320,7 +326,7 @@
 	}
 }
 
-// markAccepted notes that every runner of the path runs the request.
+// markAccepted records that every runner of the path runs the request.
 func (a *attempt) markAccepted() {
 	for i := range a.path.Len() {
 		a.path.Runner(i).Accepted()
--- a/transport/forward/baseline.go
+++ b/transport/forward/baseline.go
@@ -9,30 +9,31 @@
 )
 
 const (
-	// baselineSmoothing is the weight of a new answer in the mean of a plain service's times.
+	// baselineSmoothing is the weight of a new response in the mean response time of a plain
+	// service.
 	baselineSmoothing = 0.1
-	// maxBaselineRatio is how many times the usual time an answer counts at most: one that hangs says
-	// nothing of what is usual.
+	// maxBaselineRatio bounds how many times the baseline one response counts: a response that
+	// hangs says nothing about what is typical.
 	maxBaselineRatio = 2
-	// slowCallRatio is how many times the usual time a call must be open for its endpoint to be
-	// told as slow.
+	// slowCallRatio is how many times the baseline a call must be open for its endpoint to be
+	// reported as slow.
 	slowCallRatio = 3
 )
 
-// reportOpenCall tells, once a call and before it ends, that a plain service takes too long to
-// answer. Waiting for the answer would be too late: at 20 calls a second that usually take
-// 30 ms, a slow endpoint gets its next call long before it has answered the last.
+// reportOpenCall reports, once for each call and before it ends, that a plain service takes too
+// long to respond. Waiting for the response would be too late: at 20 calls a second that usually
+// take 30 ms, a slow endpoint gets its next call long before it has answered the last.
 func (x *exchange) reportOpenCall(a *attempt, now time.Time) {
 	if x.service.Engine != nil || a.reportedSlow || a.sentAt.Before(x.resumedAt) {
 		return
 	}
 	if x.slowdownOf(a, now) >= slowCallRatio {
 		a.reportedSlow = true
-		x.forwarder.reportObservedSlowdown(a, slowCallRatio, now) // a lower bound, told now since the answer may never come
+		x.forwarder.reportObservedSlowdown(a, slowCallRatio, now) // a lower bound, reported now because the response may never arrive
 	}
 }
 
-// recordResponseTime learns from the time that a plain service took for an answer.
+// recordResponseTime records how long a plain service took to respond.
 func (x *exchange) recordResponseTime(a *attempt, now time.Time) {
 	if x.service.Engine != nil || a.sentAt.Before(x.resumedAt) {
 		return
@@ -41,19 +42,19 @@
 	x.forwarder.slowdowns.recordDuration(x.route.Name, now.Sub(a.sentAt), x.initialBaseline())
 }
 
-// slowdownOf returns how many times as long as usual a call to a plain service has taken.
+// slowdownOf returns how many times its baseline a call to a plain service has taken.
 func (x *exchange) slowdownOf(a *attempt, now time.Time) float64 {
 	usual := x.forwarder.slowdowns.baseline(x.route.Name, x.initialBaseline())
 	return float64(now.Sub(a.sentAt)) / float64(usual)
 }
 
-// initialBaseline returns what is taken as usual before any answer came: a third of the time from
-// which an answer is overdue.
+// initialBaseline returns the baseline before any response: a third of the time from which a
+// response is overdue.
 func (x *exchange) initialBaseline() time.Duration {
 	return max(time.Millisecond, x.timing.firstEventLimit/slowCallRatio)
 }
 
-// reportObservedSlowdown tells the pace that an answer, or the wait for one, showed.
+// reportObservedSlowdown reports the slowdown that a response, or the wait for one, showed.
 func (f *Forwarder) reportObservedSlowdown(a *attempt, pace float64, now time.Time) {
 	if f.ReportSlowdown == nil || pace <= 0 {
 		return
@@ -61,9 +62,9 @@
 	f.ReportSlowdown(protocol.RelaySlow{Endpoint: a.endpoint.Name(), Observation: protocol.SlowSeen, Pace: min(pace, protocol.MaxPace)}, now)
 }
 
-// baseline returns how long an answer on a route to a plain service usually takes. Routes to one service
-// ask for different work: an entry that has had a few quick answers on one would take those of another
-// for slow.
+// baseline returns how long a response on a route to a plain service usually takes. Baselines are
+// kept by route because routes to one service ask for different work: an entry that has had a few
+// quick responses on one route would take those of another as slow.
 func (p *slowdownMonitor) baseline(route string, guess time.Duration) time.Duration {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -73,8 +74,8 @@
 	return guess
 }
 
-// recordDuration takes the time of an answer into the usual time of its route. The first may
-// be that of a slow endpoint, so it counts as what was guessed at most.
+// recordDuration adds a response time to the baseline of its route. The first one may be that of a
+// slow endpoint, so it counts as the initial baseline at most.
 func (p *slowdownMonitor) recordDuration(route string, took, guess time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/transport/forward/baseline_test.go
+++ b/transport/forward/baseline_test.go
@@ -15,7 +15,8 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// newPlainForwarder returns a forwarder before three endpoints of a newPlainForwarder service, and a way to call it.
+// newPlainForwarder returns a forwarder with three endpoints of a plain service, and a function
+// that returns an exchange for a call to it.
 func newPlainForwarder(t *testing.T) (*Forwarder, func() *exchange) {
 	f, _, _ := newStagedForwarder(t, 1)
 	s := protocol.RoutedService{Name: "ledger"}
@@ -37,16 +38,17 @@
 	}
 }
 
-// respond has the open attempt of a call answered.
+// respond makes the open attempt of a call receive a response.
 func respond(x *exchange) {
 	a := x.open[0]
 	head := &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}
 	x.handleMessage(responseReceived{attempt: a, head: head, terms: protocol.AnswerTerms{Signed: true, RequestID: "r"}})
 }
 
-// TestSlowPlainEndpointIsAvoidedInTime plays 20 calls a second that take 30 ms,
-// at one endpoint 360 ms from some time on. Half a second after its first slow call began,
-// before it gets a further one, no call goes there; each call was sent once.
+// TestSlowPlainEndpointIsAvoidedInTime guards against calls that still go to an endpoint that
+// became slow. It makes 20 calls a second that take 30 ms; from some time on one endpoint takes
+// 360 ms. That endpoint must get no call later than half a second after its first slow call began,
+// and each call must be sent once.
 func TestSlowPlainEndpointIsAvoidedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, call := newPlainForwarder(t)
@@ -72,7 +74,7 @@
 					if firstSlow.IsZero() {
 						firstSlow = now
 					}
-					require.Less(t, now.Sub(firstSlow), 500*time.Millisecond, "it gets no more calls")
+					require.Less(t, now.Sub(firstSlow), 500*time.Millisecond, "the slow endpoint gets no more calls")
 				} else {
 					sent[name]++
 				}
@@ -92,12 +94,12 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		require.False(t, firstSlow.IsZero())
-		require.Greater(t, min(sent["p1"], sent["p3"]), 10, "the others serve")
+		require.Greater(t, min(sent["p1"], sent["p3"]), 10, "the other endpoints serve the calls")
 	})
 }
 
-// TestBaselineFollowsDurations: a service that always takes long is not slow, and one hanging
-// call hardly changes what is usual.
+// TestBaselineFollowsDurations checks that a service that always takes long is not slow, and that
+// one hanging call hardly changes the baseline.
 func TestBaselineFollowsDurations(t *testing.T) {
 	var p slowdownMonitor
 	require.Equal(t, 30*time.Millisecond, p.baseline("s", 30*time.Millisecond))
@@ -109,8 +111,8 @@
 	require.InDelta(t, 0.22, p.baseline("s", 30*time.Millisecond).Seconds(), 0.01)
 }
 
-// TestBaselinesAreSeparatePerRoute has an entry get a few quick answers on one route, and then
-// answers that take longer on another route to the same service: none of its endpoints is told as slow.
+// TestBaselinesAreSeparatePerRoute guards against a baseline shared by routes: quick responses on
+// one route would make endpoints look slow on another route to the same service.
 func TestBaselinesAreSeparatePerRoute(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, call := newPlainForwarder(t)
@@ -136,7 +138,8 @@
 	})
 }
 
-// TestLostResponseOfNonRepeatableCallIsUncertain, whatever is known of its endpoint.
+// TestLostResponseOfNonRepeatableCallIsUncertain checks that the outcome of such a call is unknown,
+// even if its endpoint is known to be slow.
 func TestLostResponseOfNonRepeatableCallIsUncertain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, call := newPlainForwarder(t)
--- a/transport/forward/body.go
+++ b/transport/forward/body.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// bodyReadTimeout is how long a request's body may take to come. A body of some MB over a slow
-	// link takes a second; one that trickles in holds a connection and its room.
+	// bodyReadTimeout bounds how long a request's body may take to arrive. A body of some MB over a
+	// slow link takes a second; a body that trickles in occupies a connection and its memory.
 	bodyReadTimeout = 10 * time.Second
-	// bodyCopies is how many copies of a body are held: as it came, and as it is sent.
+	// bodyCopies is how many copies of a body are held: as received and as sent.
 	bodyCopies = 2
-	// memoryRetryAfter is after what time to come back to an entry that holds too many bytes: bodies
-	// are sent on within some tens of ms.
+	// memoryRetryAfter is the Retry-After of an entry whose memory budget is used up: bodies are
+	// sent on within some tens of milliseconds.
 	memoryRetryAfter = 200 * time.Millisecond
 )
 
-// readBody reads the request's body, as far as the limit and the entry's budget allow.
+// readBody reads the request's body within the limit and the entry's memory budget.
 func (x *exchange) readBody(most int64) *protocol.Refusal {
 	if x.request.ContentLength == 0 {
 		return nil
@@ -36,7 +36,7 @@
 		return bodyTooLarge()
 	}
 	rc := http.NewResponseController(x.writer)
-	_ = rc.SetReadDeadline(clock.Timer(x.bodyDeadline())) // a connection that can't be bounded is one of a test
+	_ = rc.SetReadDeadline(clock.Timer(x.bodyDeadline())) // fails only for the writers of tests, which have no connection
 	body := newBodyBuffer(x.request.ContentLength)
 	for {
 		n, err := x.request.Body.Read(body[len(body):cap(body)])
@@ -46,30 +46,30 @@
 			return bodyTooLarge()
 		case errors.Is(err, io.EOF):
 			x.body = body
-			_ = rc.SetReadDeadline(time.Time{}) // the server goes on reading to notice that the caller leaves
+			_ = rc.SetReadDeadline(time.Time{}) // the server keeps reading to notice that the caller disconnects
 			return nil
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return protocol.Refuse(protocol.RequestLate, "the body did not come in time")
+			return protocol.Refuse(protocol.RequestLate, "the body was not received in time")
 		case err != nil:
-			return protocol.Refuse(protocol.MalformedRequest, "the body did not come whole").Because(err)
+			return protocol.Refuse(protocol.MalformedRequest, "the body was not received completely").Because(err)
 		}
 		if len(body) == cap(body) {
 			if body = x.growBody(body, most); body == nil {
-				return protocol.Refuse(protocol.TooManyOpen, "the entry holds too many bytes of requests").Again(clock.Now().Add(memoryRetryAfter))
+				return protocol.Refuse(protocol.TooManyOpen, "the entry holds too many bytes of request bodies").Again(clock.Now().Add(memoryRetryAfter))
 			}
 		}
 	}
 }
 
-// newBodyBuffer returns memory for a body of an announced length, negative if it is unknown.
+// newBodyBuffer allocates a buffer for a body of the announced length, negative if unknown.
 func newBodyBuffer(length int64) []byte {
 	if length >= 0 && length < smallBytes {
-		return make([]byte, 0, length+1) // one more, to see the end
+		return make([]byte, 0, length+1) // one more byte to read the end
 	}
 	return make([]byte, 0, smallBytes)
 }
 
-// bodyDeadline returns until when the body must have come.
+// bodyDeadline returns until when the body must have arrived.
 func (x *exchange) bodyDeadline() time.Time {
 	by := x.begun.Add(bodyReadTimeout)
 	if x.deadline.Before(by) {
@@ -78,7 +78,7 @@
 	return by
 }
 
-// growBody returns the body with room for more, or nil if the entry has none.
+// growBody returns the body in a larger buffer, or nil if the entry has no memory for it.
 func (x *exchange) growBody(body []byte, most int64) []byte {
 	size := min(2*int64(cap(body)), most+1)
 	if !x.reservation.reserve(bodyCopies * (size - int64(cap(body)))) {
@@ -87,7 +87,7 @@
 	return append(make([]byte, 0, size), body...)
 }
 
-// bodyTooLarge refuses a body beyond the limit.
+// bodyTooLarge is the refusal of a body beyond the limit.
 func bodyTooLarge() *protocol.Refusal {
 	return protocol.Refuse(protocol.BodyTooLarge, "the body is longer than the limit")
 }
--- a/transport/forward/body_test.go
+++ b/transport/forward/body_test.go
@@ -18,7 +18,7 @@
 	"pinerun.example/pinerun/transport/backlog"
 )
 
-// recordingWriter notes how many bytes of bodies are held when an answer begins.
+// recordingWriter records how many bytes of bodies are held when a response begins.
 type recordingWriter struct {
 	*httptest.ResponseRecorder
 	counters *metric.Set
@@ -30,8 +30,8 @@
 	w.ResponseRecorder.WriteHeader(status)
 }
 
-// TestRefusedBodyIsReleasedBeforeRefusalIsWritten: a refusal may wait for its caller, and
-// must not keep the room that other bodies need meanwhile.
+// TestRefusedBodyIsReleasedBeforeRefusalIsWritten guards against a body that stays reserved while
+// its refusal waits for a slow caller. Other bodies need that memory in the meantime.
 func TestRefusedBodyIsReleasedBeforeRefusalIsWritten(t *testing.T) {
 	table, err := routing.Build(protocol.Routing{
 		Version: 1, Services: []protocol.RoutedService{{Name: "plain"}},
@@ -54,5 +54,5 @@
 	f.ServeHTTP(w, r)
 	require.Equal(t, http.StatusServiceUnavailable, w.Code)
 	require.Zero(t, w.held)
-	require.Zero(t, counters.Value(string(metric.HeldBodyBytes)), "nothing is given back twice")
+	require.Zero(t, counters.Value(string(metric.HeldBodyBytes)), "released exactly once")
 }
--- a/transport/forward/buffers.go
+++ b/transport/forward/buffers.go
@@ -8,11 +8,11 @@
 	"sync"
 )
 
-// readBufferBytes holds one head, or a few events of a stream, in bytes.
+// readBufferBytes is enough for one head or a few events of a stream.
 const readBufferBytes = 2 << 10
 
-// bufferPool keeps the buffers that endpoints' answers are read through and uses them again:
-// each stream takes one, and each connection. The zero value has none.
+// bufferPool reuses the buffers through which responses are read. Each stream takes one, and so
+// does each connection. The zero value is empty.
 type bufferPool struct{ free sync.Pool }
 
 // get returns a buffer that reads from r.
@@ -24,7 +24,7 @@
 	return bufio.NewReaderSize(r, readBufferBytes)
 }
 
-// put takes back a buffer that nobody reads through any more.
+// put returns a buffer that is no longer in use.
 func (p *bufferPool) put(b *bufio.Reader) {
 	b.Reset(nil)
 	p.free.Put(b)
--- a/transport/forward/candidate.go
+++ b/transport/forward/candidate.go
@@ -13,28 +13,29 @@
 )
 
 const (
-	// localUtilizationLimit is the part of the room for requests up to which an entry's own data
-	// center is used whatever stands free elsewhere: bytes between data centers
-	// have a price, and below it the engines' steps are hardly longer.
+	// localUtilizationLimit is the utilization up to which an entry uses engines in its own data
+	// center, whatever capacity is free elsewhere: traffic between data centers costs money, and up
+	// to this utilization the engines' steps are hardly longer.
 	localUtilizationLimit = 0.6
-	// minRemoteGain is how much emptier another data center has to be.
+	// minRemoteGain is how much lower the utilization of another data center must be.
 	minRemoteGain = 0.2
-	// maxUtilization is the part of a runner's room up to which requests are sent there. Lengths of
-	// answers are guesses, and what does not fit is put back and read anew.
+	// maxUtilization is the utilization of a runner up to which it receives requests. The lengths
+	// of responses are estimates, and a request that does not fit is evicted and prefilled again.
 	maxUtilization = 0.9
 )
 
-// candidate is a path in one data center.
+// candidate is a path within one data center.
 type candidate struct {
 	path        path.Path
-	healthy     bool    // every runner may take work and has not failed the request
-	ready       bool    // every runner may take work and has room
-	utilization float64 // the part of the room that is taken at the fullest runner
+	healthy     bool    // every runner accepts work and has not failed the request
+	ready       bool    // every runner accepts work and has capacity
+	utilization float64 // the highest utilization among the runners
 }
 
-// choosePath finds a path for a service. The first data center comes first, as long as
-// it has room and no other has much more; then the emptiest other one with room; then
-// whatever there is.
+// choosePath chooses a path for a service. It uses the preferred data center if that has healthy
+// runners whose utilization is below localUtilizationLimit. Otherwise another data center replaces
+// it if it is better: ready or healthy where the best one so far is not, or with a much lower
+// utilization.
 func (f *Forwarder) choosePath(s *protocol.RoutedService, q *path.Query, first string, into *path.Path) bool {
 	view := f.Registry.View()
 	if s.Engine == nil {
@@ -80,15 +81,15 @@
 	return c.utilization+minRemoteGain < than.utilization
 }
 
-// pathReady reports whether every runner of a path may take work now and has room for the
-// request. One that has failed it before may, where no other holds its layers: waiting for
-// another would be in vain.
+// pathReady reports whether every runner of a path accepts work now and has capacity for the
+// request. A runner that has already failed the request counts as ready if no other holds its
+// layers: waiting for another would not help.
 func pathReady(p *path.Path, q *path.Query) bool {
 	return pathHealthy(p, q.Now, nil) && pathUtilization(p, q) <= maxUtilization
 }
 
-// pathUtilization returns which part of the room is taken at the fullest runner of a path, the
-// request included.
+// pathUtilization returns the highest utilization among the runners of a path, the request
+// included.
 func pathUtilization(p *path.Path, q *path.Query) float64 {
 	most := 0.0
 	for i := range p.Len() {
@@ -98,8 +99,7 @@
 	return most
 }
 
-// pathHealthy reports whether every runner of a path may take work now and need not be
-// avoided.
+// pathHealthy reports whether every runner of a path accepts work now and need not be avoided.
 func pathHealthy(p *path.Path, now time.Time, avoid []*fleet.Runner) bool {
 	for i := range p.Len() {
 		if r := p.Runner(i); !r.Usable(now) || slices.Contains(avoid, r) {
--- a/transport/forward/conn.go
+++ b/transport/forward/conn.go
@@ -18,19 +18,18 @@
 )
 
 const (
-	// dialTimeout is how long an endpoint may take to accept a connection. It is
-	// within a millisecond away; a lost packet would be sent again after a second.
+	// dialTimeout bounds how long an endpoint may take to accept a connection. Endpoints are within
+	// a millisecond, and a lost packet would be sent again only after a second.
 	dialTimeout = 300 * time.Millisecond
-	// maxIdleTime is how long a connection rests at most when the endpoint names no
-	// time of its own.
+	// maxIdleTime is the longest idle time of a connection if the endpoint announces none.
 	maxIdleTime = 5 * time.Second
-	// idleTimeMargin is how much sooner than the endpoint a connection is given up.
+	// idleTimeMargin is how much earlier than the endpoint the pool closes an idle connection.
 	idleTimeMargin = 1500 * time.Millisecond
-	// maxIdlePerEndpoint bounds the connections to one endpoint that rest.
+	// maxIdlePerEndpoint bounds the idle connections to one endpoint.
 	maxIdlePerEndpoint = 16
 )
 
-// conn is a connection to an endpoint.
+// conn is a connection to an endpoint with its read buffer.
 type conn struct {
 	net.Conn
 	reader    *bufio.Reader
@@ -39,8 +38,8 @@
 	idleUntil time.Time
 }
 
-// connPool keeps connections that rest, by endpoint ID: an address may be handed to
-// another endpoint. The zero value is empty.
+// connPool keeps idle connections by endpoint ID, since an address may be reassigned to another
+// endpoint. The zero value is empty.
 type connPool struct {
 	mutex   sync.Mutex
 	idle    map[string][]*conn
@@ -48,7 +47,7 @@
 	buffers bufferPool
 }
 
-// get returns a resting connection, or opens one. Fresh asks for a new one.
+// get returns an idle connection or opens one. If fresh is true, it always opens one.
 func (p *connPool) get(ctx context.Context, endpoint, address string, fresh bool) (*conn, error) {
 	if !fresh {
 		if c := p.takeIdle(endpoint, clock.Now()); c != nil {
@@ -84,7 +83,7 @@
 	}
 }
 
-// put lets a connection rest after a whole answer with that head.
+// put returns a connection to the pool after a whole response with that head.
 func (p *connPool) put(c *conn, h http.Header, now time.Time) {
 	c.idleUntil = now.Add(maxIdleTime)
 	if seconds, ok := keepAliveSeconds(h); ok {
@@ -102,8 +101,9 @@
 	p.idle[c.endpoint] = append(p.idle[c.endpoint], c)
 }
 
-// closeIdle gives up the connections to an endpoint that rest: one that had rested beside them
-// brought no answer, and what is on the way may have forgotten all that were open.
+// closeIdle closes the idle connections to an endpoint. It is called when another reused connection
+// to it delivered no response: a device on the network path may have dropped the state of all of
+// them.
 func (p *connPool) closeIdle(endpoint string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -114,7 +114,7 @@
 	delete(p.idle, endpoint)
 }
 
-// sweep closes connections that have rested long enough.
+// sweep closes connections that have been idle too long.
 func (p *connPool) sweep(now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -136,8 +136,7 @@
 	}
 }
 
-// usable reports whether nothing has come on a resting connection, neither bytes
-// nor its end.
+// usable reports whether an idle connection has received neither bytes nor its end.
 func (c *conn) usable() bool {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -157,7 +156,7 @@
 	return err == nil && quiet
 }
 
-// keepAliveSeconds returns the seconds that an endpoint says it keeps a connection.
+// keepAliveSeconds returns how many seconds the endpoint says it keeps an idle connection open.
 func keepAliveSeconds(h http.Header) (int, bool) {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		if value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout="); ok {
--- a/transport/forward/crash_probe.go
+++ b/transport/forward/crash_probe.go
@@ -16,11 +16,11 @@
 	"pinerun.example/pinerun/transport/crashcheck"
 )
 
-// portProbeTime is how long a connection to a plain service must stay open to show that a process has
-// it: a port that is only held for one is reset at once.
+// portProbeTime is how long a connection to a plain service must stay open to prove that a process
+// accepted it: a port that is only reserved for a process resets connections at once.
 const portProbeTime = 20 * time.Millisecond
 
-// startCrashProbe sees to it that an attempt's endpoint is asked after what broke there.
+// startCrashProbe starts querying an attempt's endpoint after its work was aborted there.
 func (f *Forwarder) startCrashProbe(a *attempt, engine bool, now time.Time) {
 	f.Quarantine.RecordUnresolved(a.endpoint.Name(), a.incarnation, now)
 	f.crashProbes.Begin(&crashcheck.Suspect{
@@ -29,16 +29,16 @@
 	}, now)
 }
 
-// crashProbe asks an endpoint whether a life of it has ended.
+// crashProbe queries an endpoint to find out whether one of its incarnations has crashed.
 type crashProbe struct {
 	forwarder   *Forwarder
 	runner      *fleet.Runner
 	incarnation protocol.Incarnation
 	engine      bool
-	sentAt      time.Time // when what broke was sent there, by the time of day
+	sentAt      time.Time // when the aborted work was sent, in wall-clock time
 }
 
-// Probe asks the endpoint once.
+// Probe queries the endpoint once.
 func (k *crashProbe) Probe() quarantine.ProbeResult {
 	if !k.engine {
 		return k.probePort()
@@ -62,9 +62,9 @@
 	if err != nil {
 		return k.classifyError(err, asked)
 	}
-	defer func() { _ = c.Close() }() // nothing was asked on it
+	defer func() { _ = c.Close() }() // nothing was sent on it
 	if err := c.SetReadDeadline(time.Now().Add(portProbeTime)); err != nil {
-		return quarantine.ProbeInconclusive // it is closed already
+		return quarantine.ProbeInconclusive // the connection is already closed
 	}
 	if _, err := c.Read(make([]byte, 1)); errors.Is(err, os.ErrDeadlineExceeded) {
 		return quarantine.ProbeAnswered
@@ -72,7 +72,8 @@
 	return quarantine.ProbeInconclusive
 }
 
-// classifyError takes a question without an answer: its port refuses connections, or it is not clear.
+// classifyError classifies a failed query: a refused connection means that the incarnation is over,
+// any other error leaves it unclear.
 func (k *crashProbe) classifyError(cause error, asked time.Time) quarantine.ProbeResult {
 	k.forwarder.reportError(k.runner, cause, asked, clock.Now())
 	if sign, _ := observationOf(cause); sign == protocol.LossRefused {
--- a/transport/forward/decide.go
+++ b/transport/forward/decide.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	// capacityRetryAfter is when to come back after an endpoint refused for want of room.
+	// capacityRetryAfter is the Retry-After after an endpoint refused for lack of capacity.
 	capacityRetryAfter = 200 * time.Millisecond
-	// noPathRetryAfter is when to come back when layers have no holder: loading them
-	// takes one to two seconds.
+	// noPathRetryAfter is the Retry-After while no runner holds some layers: loading them takes one
+	// to two seconds.
 	noPathRetryAfter = time.Second
 )
 
-// decideRetry does what the retry policy says after a send without a good answer.
+// decideRetry applies the retry policy after an attempt without a good response, unless another
+// attempt is still open.
 func (x *exchange) decideRetry(a *attempt, r retry.Result, whole *responseReceived) {
 	now := clock.Now()
 	if r == retry.Failed || r == retry.Broken {
@@ -37,7 +38,7 @@
 	x.retryOrFinish(a, r, whole, now)
 }
 
-// retryOrFinish decides what follows the last of all sends.
+// retryOrFinish applies the retry policy once no attempt is open.
 func (x *exchange) retryOrFinish(a *attempt, r retry.Result, whole *responseReceived, now time.Time) {
 	if r != retry.Failed && (x.route.MayRepeat() || !x.mayHaveRun) && x.applyQuarantine(a, r, whole, now) {
 		return
@@ -62,8 +63,8 @@
 	}
 }
 
-// pickNext chooses a path for a further send and reports whether it can take it now. A
-// plain service's endpoints take it whenever there are any.
+// pickNext chooses a path for a further attempt and reports whether the path can take it now.
+// Endpoints of a plain service can whenever there are any with capacity for the body.
 func (x *exchange) pickNext(now time.Time) (path.Path, bool) {
 	if x.service.Engine == nil {
 		p, found := x.pickPath(now)
@@ -82,12 +83,11 @@
 	case retry.Expire:
 		x.fail(deadlinePassed())
 	default:
-		x.fail(protocol.Uncertain(protocol.StageFailed, "the endpoint broke the answer off"))
+		x.fail(protocol.Uncertain(protocol.StageFailed, "the endpoint aborted the response"))
 	}
 }
 
-// attemptFailed logs the end of an attempt and decides what comes next, unless another
-// attempt is still open.
+// attemptFailed logs the failure of an attempt and applies the retry policy.
 func (x *exchange) attemptFailed(a *attempt, r retry.Result, cause error) {
 	x.forwarder.log(event.AttemptBroken, x.requestAttr(), slog.Int("attempt", a.number), slog.String("endpoint", a.endpoint.Name()),
 		slog.Int("events", x.events), slog.String("fingerprint", x.workFingerprint().String()), slog.String("cause", cause.Error()))
@@ -105,12 +105,12 @@
 	}
 }
 
-// deadlinePassed is the refusal of a request whose time is over: it may have run.
+// deadlinePassed is the refusal of a request whose deadline has passed. The request may have run.
 func deadlinePassed() *protocol.Refusal {
-	return protocol.Uncertain(protocol.DeadlinePassed, "the time of the request is over")
+	return protocol.Uncertain(protocol.DeadlinePassed, "the deadline of the request has passed")
 }
 
-// noPath is the refusal of a request that no path leads to.
+// noPath is the refusal of a request that no path can serve.
 func noPath() *protocol.Refusal {
 	return protocol.Refuse(protocol.NoPath, "no path holds every layer").Again(clock.Now().Add(noPathRetryAfter))
 }
--- a/transport/forward/dispatch.go
+++ b/transport/forward/dispatch.go
@@ -14,8 +14,8 @@
 	"pinerun.example/pinerun/internal/event"
 )
 
-// maxAttempts is how often one request is sent, whatever its route allows: each
-// further send reads the prompt anew.
+// maxAttempts bounds the attempts of one request, whatever its route allows: each further attempt
+// repeats the prefill.
 const maxAttempts = 4
 
 // startAttempt starts an attempt over a path.
@@ -63,13 +63,13 @@
 	return p, x.forwarder.choosePath(x.service, &q, x.preferredDataCenter(), &p)
 }
 
-// preferredDataCenter returns the data center whose engines come first.
+// preferredDataCenter returns the data center whose engines are preferred.
 func (x *exchange) preferredDataCenter() string {
 	f := x.forwarder
 	return path.FirstDataCenter(f.Home.DataCenter, f.Registry.EngineDataCenters(x.service.Name), x.headSent, x.rng)
 }
 
-// pathQuery is what the choice of a path depends on.
+// pathQuery returns the input for the choice of a path.
 func (x *exchange) pathQuery(now time.Time) path.Query {
 	return path.Query{
 		Now: now, Positions: max(1, x.terms.PromptTokens), OutputTokens: x.terms.AnswerTokens, Entries: x.forwarder.entriesPerDataCenter(x.service.Name),
@@ -77,9 +77,8 @@
 	}
 }
 
-// mayReach reports whether the route allows a send over a path: to no more
-// endpoints than it names, where one that the request was sent to before counts
-// once.
+// mayReach reports whether the route allows an attempt over a path. The route bounds the number of
+// distinct endpoints; an endpoint that already received the request counts once.
 func (x *exchange) mayReach(p *path.Path) bool {
 	if x.attempts-x.unsent >= maxAttempts {
 		return false
@@ -87,10 +86,10 @@
 	return len(x.reached) < x.route.MaxTries || slices.Contains(x.reached, p.Runner(0))
 }
 
-// mayRetry reports whether the route allows any further send.
+// mayRetry reports whether the route allows any further attempt.
 func (x *exchange) mayRetry() bool { return x.attempts-x.unsent < maxAttempts }
 
-// undoReached takes back that an attempt reached its endpoint.
+// undoReached records that an attempt did not reach its endpoint.
 func (x *exchange) undoReached(a *attempt) {
 	x.unsent++
 	if i := slices.Index(x.reached, a.endpoint); i >= 0 && a.newEndpoint {
@@ -98,7 +97,7 @@
 	}
 }
 
-// release ends an attempt and takes its work off its path.
+// release stops an attempt and removes its load from the runners of its path.
 func (x *exchange) release(a *attempt) {
 	a.stop()
 	x.clearIsolated(a, clock.Now())
@@ -109,7 +108,7 @@
 	a.adjustPendingLoad(-1)
 }
 
-// describePath returns a path as endpoint IDs with their layers.
+// describePath formats a path as endpoint IDs with their layers.
 func describePath(p *path.Path) string {
 	b := make([]byte, 0, 32*p.Len())
 	for i := range p.Len() {
--- a/transport/forward/eject.go
+++ b/transport/forward/eject.go
@@ -10,8 +10,8 @@
 	"pinerun.example/pinerun/internal/metric"
 )
 
-// ejectFaulty leaves out the runner at an address, or looks for the one at fault when
-// it is "" and the answer came over several.
+// ejectFaulty ejects the runner at an address. If the address is empty and the path has several
+// runners, it looks for the faulty one instead.
 func (x *exchange) ejectFaulty(a *attempt, address string, why metric.Ejection, now time.Time) {
 	if address == "" {
 		if a.path.Len() > 1 {
@@ -33,8 +33,8 @@
 	}
 }
 
-// avoidRefusing leaves out for a moment the runner that did not run a request, which is
-// the first of the path when it names no other.
+// avoidRefusing ejects for a moment the runner that did not run a request: the one that the
+// response names, or else the first of the path.
 func (x *exchange) avoidRefusing(m *responseReceived, now time.Time) {
 	a, address := m.attempt, m.terms.AtFault
 	x.forwarder.log(event.AttemptNotRun, x.requestAttr(), slog.Int("attempt", a.number), slog.String("endpoint", a.endpoint.Name()),
@@ -48,8 +48,8 @@
 	}
 }
 
-// isAtFault reports whether an answer blames a stage of the attempt's path for not running
-// the request: the one at the address that it names, or the first if it names none.
+// isAtFault reports whether a response says that a stage of the attempt's path did not run the
+// request: the stage at the address that it names, or the first stage if it names none.
 func (a *attempt) isAtFault(stage int, address string) bool {
 	return a.path.Runner(stage).Spec().Address == address || address == "" && stage == 0
 }
--- a/transport/forward/encode.go
+++ b/transport/forward/encode.go
@@ -12,20 +12,20 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// hopHeaders concern one connection only and are not passed on.
+// hopHeaders are the hop-by-hop headers, which are not forwarded.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect",
 }
 
-// leastUrgent is the least urgent rank an engine knows.
+// leastUrgent is the least urgent rank that engines know.
 const leastUrgent = 9
 
-// ranksPerTeam is how many ranks of routes lie between two ranks of teams.
+// ranksPerTeam is how many route ranks lie between two team ranks.
 const ranksPerTeam = 3
 
-// encode returns the request as an attempt sends it: method, path and body as
-// the caller sent them, and the headers less those of the caller's connection.
+// encode returns the request as an attempt sends it: method, path and body as received, and the
+// headers without those of the caller's connection.
 func (x *exchange) encode(a *attempt) []byte {
 	h := x.request.Header.Clone()
 	stripHopHeaders(h)
@@ -39,7 +39,7 @@
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(x.request.Host)
 	b.WriteString("\r\n")
-	_ = h.Write(&b) // a buffer takes every write
+	_ = h.Write(&b) // writing to a bytes.Buffer never fails
 	if len(x.body) > 0 || x.request.ContentLength != 0 || x.request.Method == http.MethodPost {
 		b.WriteString("Content-Length: ")
 		b.WriteString(strconv.Itoa(len(x.body)))
@@ -64,7 +64,7 @@
 	return s
 }
 
-// stagesOf returns a path as engines are told it.
+// stagesOf converts a path to the form that engines receive.
 func stagesOf(p *path.Path) []protocol.PathStage {
 	stages := make([]protocol.PathStage, p.Len())
 	for i := range stages {
@@ -73,7 +73,7 @@
 	return stages
 }
 
-// urgency ranks by team first, then by route.
+// urgency ranks the request by team first, then by route.
 func (x *exchange) urgency() int {
 	rank := min(x.route.Priority, ranksPerTeam-1)
 	if x.team != nil {
@@ -82,7 +82,7 @@
 	return max(0, min(leastUrgent, rank))
 }
 
-// stripHopHeaders takes out the headers that concern one connection only.
+// stripHopHeaders removes the hop-by-hop headers.
 func stripHopHeaders(h http.Header) {
 	for _, list := range h["Connection"] {
 		for _, name := range strings.Split(list, ",") {
--- a/transport/forward/event.go
+++ b/transport/forward/event.go
@@ -12,23 +12,23 @@
 // maxEventBytes bounds one event of a stream.
 const maxEventBytes = 1 << 20
 
-// typicalEventBytes is the size in bytes for which an event's memory is taken at once: growing line
-// by line takes it three times.
+// typicalEventBytes is the initial capacity of an event's buffer: growing it line by line takes
+// three allocations.
 const typicalEventBytes = 128
 
-// errTruncatedEvent says that a stream ended inside an event.
+// errTruncatedEvent reports that a stream ended inside an event.
 var errTruncatedEvent = errors.New("the stream ended inside an event")
 
-// errEventTooLong says that an event is longer than any endpoint sends.
+// errEventTooLong reports that an event is longer than any endpoint sends.
 var errEventTooLong = errors.New("an event of the stream is too long")
 
-// streamEvent is one whole event of a stream as it came, with its blank line.
+// streamEvent is one whole event of a stream as received, with its blank line.
 type streamEvent struct {
 	id      string
 	content []byte
 }
 
-// readEvent returns the next whole event. The error is io.EOF only between two
+// readEvent returns the next whole event. The error is io.EOF only if the stream ended between two
 // events.
 func readEvent(r *bufio.Reader) (streamEvent, error) {
 	e := streamEvent{content: make([]byte, 0, typicalEventBytes)}
--- a/transport/forward/exchange.go
+++ b/transport/forward/exchange.go
@@ -17,12 +17,12 @@
 	"pinerun.example/pinerun/transport/backlog"
 )
 
-// messageBuffer is how many messages wait for the exchange before an attempt
-// stops reading: enough that neither waits for the other's turn on the processor, and no
-// more, since each may be an event that is held.
+// messageBuffer is how many messages are buffered for the exchange before an attempt stops reading.
+// It is large enough that neither side waits for the other to be scheduled, and no larger, because
+// each message may hold an event in memory.
 const messageBuffer = 4
 
-// exchange is one request of a caller from its coming in to its end.
+// exchange serves one request of a caller from its arrival to its end.
 type exchange struct {
 	forwarder *Forwarder
 	writer    http.ResponseWriter
@@ -35,42 +35,42 @@
 	service     *protocol.RoutedService
 	team        *protocol.RoutedTeam
 	body        []byte
-	fingerprint protocol.Fingerprint // zero until work is asked for
+	fingerprint protocol.Fingerprint // zero until workFingerprint computes it
 	deadline    time.Time
 
 	messages   chan message
-	losses     <-chan struct{} // closes when a runner is found lost
-	refusals   <-chan struct{} // closes when work is found to end endpoints
-	resumed    <-chan struct{} // closes when the VM was suspended
-	suspended  time.Duration   // how long it had been, as far as is taken into account
-	resumedAt  time.Time       // when that changed last
-	open       []*attempt      // open, the oldest first
-	avoid      []*fleet.Runner // that failed, refused or fell silent under it
+	losses     <-chan struct{} // closed when a runner is found lost
+	refusals   <-chan struct{} // closed when work is found to crash endpoints
+	resumed    <-chan struct{} // closed after the VM was suspended
+	suspended  time.Duration   // total suspension already handled
+	resumedAt  time.Time       // when the last suspension was noticed
+	open       []*attempt      // open attempts, oldest first
+	avoid      []*fleet.Runner // runners that failed, refused or fell silent under this request
 	rng        *rand.Rand
-	reached    []*fleet.Runner // endpoints that it was sent to
-	attempts   int             // attempts so far
-	unsent     int             // attempts of which no byte left
-	mayHaveRun bool            // an earlier send may have run
+	reached    []*fleet.Runner // endpoints that received the request
+	attempts   int             // attempts started
+	unsent     int             // attempts that sent no byte
+	mayHaveRun bool            // an earlier attempt may have run
 	finished   bool
 
 	headSent   bool   // the caller has the head of a stream
 	lastEvent  string // ID of the last event that the caller has
-	events     int    // that the caller has
+	events     int    // events that the caller has
 	timing     eventTiming
-	lateEvents int            // events in a row that took longer than their path should
-	lateSince  time.Time      // when the first of them was begun
-	lastAction silenceAction  // the last that was done
-	queued     *queuedRequest // while it waits for room
-	isolation  *isolationWait // while it waits until its work may run
-
-	caller      *backlog.Conn // holds what the caller does not read, nil if writes wait for it
-	paused      bool          // nothing is taken from attempts, because the caller does not read
-	recheckAt   time.Time     // when to look again at a caller that does not read
-	parked      *attempt      // the attempt that was ended while the caller did not read
-	reservation reservation   // of the entry's budget
+	lateEvents int            // consecutive events that took longer than expected of the path
+	lateSince  time.Time      // when the wait for the first late event began
+	lastAction silenceAction  // last action logged for a silence
+	queued     *queuedRequest // set while the request waits for capacity
+	isolation  *isolationWait // set while quarantined work waits to run
+
+	caller      *backlog.Conn // buffers what the caller has not read, nil if writes block
+	paused      bool          // messages are not received, because the caller does not read
+	recheckAt   time.Time     // when to check again a caller that does not read
+	parked      *attempt      // the attempt closed while the caller did not read
+	reservation reservation   // share of the entry's memory budget
 }
 
-// run sends the request and serves its answer to the end.
+// run sends the request and serves its response to the end.
 func (x *exchange) run() {
 	f := x.forwarder
 	f.retryBudgets.recordFirst(x.service.Name, x.begun)
@@ -87,7 +87,7 @@
 	x.loop()
 }
 
-// loop acts on what happens to the request until it is finished.
+// loop handles everything that happens to the request until it is finished.
 func (x *exchange) loop() {
 	f := x.forwarder
 	timer := time.NewTimer(clock.Until(x.nextWake()))
@@ -96,7 +96,7 @@
 		select {
 		case <-x.losses:
 			x.losses = f.losses.Awaited()
-			if !x.paused { // a paused exchange looks at its attempts once it goes on
+			if !x.paused { // a paused exchange checks its attempts when it resumes
 				x.handleLosses(clock.Now())
 			}
 		case <-x.refusals:
@@ -123,7 +123,7 @@
 	}
 }
 
-// nextWake returns when to look at the request although no attempt tells anything.
+// nextWake returns when to check the request if no attempt sends a message.
 func (x *exchange) nextWake() time.Time {
 	switch {
 	case x.queued != nil:
@@ -139,7 +139,7 @@
 	return x.deadline
 }
 
-// dispatches returns the channel of the request's dispatches while it waits for room.
+// dispatches returns the channel of dispatch offers while the request is queued, nil otherwise.
 func (x *exchange) dispatches() <-chan int {
 	if x.queued == nil {
 		return nil
@@ -147,7 +147,7 @@
 	return x.queued.dispatches
 }
 
-// closeAttempts ends every open attempt.
+// closeAttempts closes every open attempt.
 func (x *exchange) closeAttempts() {
 	for _, a := range x.open {
 		x.release(a)
@@ -155,7 +155,7 @@
 	x.open = nil
 }
 
-// closeAttempt ends an open attempt.
+// closeAttempt closes an open attempt.
 func (x *exchange) closeAttempt(a *attempt) {
 	if i := slices.Index(x.open, a); i >= 0 {
 		x.open = slices.Delete(x.open, i, i+1)
--- a/transport/forward/failure.go
+++ b/transport/forward/failure.go
@@ -18,21 +18,21 @@
 	"pinerun.example/pinerun/state/fleet"
 )
 
-// reportError tells the other entries what a failed connection or question to a runner, begun at
-// a time, says about it. Otherwise each entry finds out for itself: one engine of 85 that was
-// lost reportError 120 connections of 47 entries in 3.7 s (logs of 73 entries over 48 s).
+// reportError reports to the other entries what a failed connection or query to a runner, begun at
+// the time since, says about it. Without such reports each entry finds out for itself: one lost
+// engine of 85 caused 120 failed connections at 47 entries in 3.7 s (logs of 73 entries over 48 s).
 func (f *Forwarder) reportError(r *fleet.Runner, cause error, since, now time.Time) {
 	sign, certain := observationOf(cause)
 	if !certain && !f.reachesOthers(r, since) {
-		return // this entry, or its way to the runner, may be at fault
+		return // this entry, or its network path to the runner, may be at fault
 	}
 	if sign != 0 {
 		f.reportObservation(r, sign, now)
 	}
 }
 
-// observationOf returns what an error says of the endpoint, 0 for nothing, and whether that is
-// certain whatever else this entry hears.
+// observationOf returns what an error says about the endpoint, 0 for nothing, and whether that is
+// certain regardless of what else this entry has heard.
 func observationOf(cause error) (sign protocol.LossObservation, certain bool) {
 	var n net.Error
 	switch {
@@ -45,14 +45,14 @@
 	}
 }
 
-// reachesOthers reports whether this entry has heard other endpoints since a time, and not this
-// one.
+// reachesOthers reports whether this entry has heard from other endpoints since a time, but not
+// from this one.
 func (f *Forwarder) reachesOthers(r *fleet.Runner, since time.Time) bool {
 	return f.lastHeard.Load() > since.UnixNano() && !r.HeardAt().After(since)
 }
 
-// recordWorking notes that something came from a runner, and tells the others if it was taken as
-// lost.
+// recordWorking records that something was received from a runner, and reports that to the other
+// entries if the runner was taken as lost.
 func (f *Forwarder) recordWorking(r *fleet.Runner, now time.Time) {
 	f.lastHeard.Store(now.UnixNano())
 	r.Heard(now)
@@ -68,8 +68,8 @@
 	}
 }
 
-// ApplyFailureReport takes what a report of an endpoint changes, and reports whether it may matter to
-// who gives orders.
+// ApplyFailureReport applies what a failure or address owner report changes, and reports whether
+// that may matter to the director.
 func (f *Forwarder) ApplyFailureReport(report loss.Report, v loss.Change) bool {
 	if _, ok := v.(loss.OccupantObserved); ok {
 		return f.applyOwner(&report)
--- a/transport/forward/failure_test.go
+++ b/transport/forward/failure_test.go
@@ -24,7 +24,7 @@
 	"pinerun.example/pinerun/state/routing"
 )
 
-// plainHeaders says nothing on the wire.
+// plainHeaders reads and writes no headers.
 type plainHeaders struct{}
 
 func (plainHeaders) ParseRequest(http.Header, time.Time) protocol.CallerTerms {
@@ -33,14 +33,14 @@
 func (plainHeaders) SetAttemptHeaders(http.Header, *protocol.AttemptTerms, time.Time) {}
 func (plainHeaders) ParseResponse(int, http.Header) (terms protocol.AnswerTerms)      { return terms }
 
-// reportedFailure is a report as the forwarder tells it.
+// reportedFailure is an observation as the forwarder reports it.
 type reportedFailure struct {
 	endpoint string
 	sign     protocol.LossObservation
 }
 
-// newForwarder returns a forwarder before newForwarder that hold the whole model each, and an
-// exchange of a stream that was sent to the first it chose.
+// newForwarder returns a forwarder with n engines that hold the whole model each, and an exchange
+// of a stream with an attempt at the first engine chosen.
 func newForwarder(t *testing.T, n int, tells *[]reportedFailure) (*Forwarder, *exchange) {
 	s := protocol.RoutedService{Name: "llm", Engine: &protocol.EngineFacts{
 		Layers: 10, LayerMB: 100, TokenLayerMB: 0.1, UsualPrompt: 10, UsualAnswer: 10, StepMS: 1, ReadPerSecond: 1e6,
@@ -80,7 +80,7 @@
 	return f, x
 }
 
-// markLost has everybody take a runner as lost.
+// markLost applies a report by which a runner is lost.
 func markLost(f *Forwarder, r *fleet.Runner) {
 	var b loss.Tracker
 	now := time.Now()
@@ -88,7 +88,8 @@
 	f.ApplyFailureReport(report, b.Apply(report, 10, now))
 }
 
-// TestStreamRetriesWhenEngineIsReportedLost: it need not fall silent first.
+// TestStreamRetriesWhenEngineIsReportedLost checks that a stream is retried as soon as its engine
+// is reported lost, without falling silent first.
 func TestStreamRetriesWhenEngineIsReportedLost(t *testing.T) {
 	f, x := newForwarder(t, 4, nil)
 	first := x.open[0].endpoint
@@ -101,8 +102,8 @@
 	require.NotEqual(t, first, second)
 
 	x.handleLosses(time.Now())
-	require.Equal(t, 2, x.attempts, "one that may live is open")
-	require.Len(t, x.open, 1, "what waits for the lost one is ended")
+	require.Equal(t, 2, x.attempts, "an attempt without a lost runner is open")
+	require.Len(t, x.open, 1, "the attempt at the lost engine is closed")
 
 	markLost(f, second)
 	x.handleLosses(time.Now())
@@ -110,7 +111,8 @@
 	require.NotContains(t, []*fleet.Runner{first, second}, x.open[len(x.open)-1].endpoint)
 }
 
-// TestLossOffThePathIsIgnored for streams that do not pass the lost engine.
+// TestLossOffThePathIsIgnored checks that a loss does not affect streams that do not use the lost
+// engine.
 func TestLossOffThePathIsIgnored(t *testing.T) {
 	f, x := newForwarder(t, 3, nil)
 	for _, r := range f.Registry.View().Runners() {
@@ -122,7 +124,8 @@
 	require.Equal(t, 1, x.attempts)
 }
 
-// TestNonRepeatableRequestIsNotRetriedOnLoss for the engine itself, whatever is told.
+// TestNonRepeatableRequestIsNotRetriedOnLoss checks that a request that may not run twice keeps
+// waiting for its engine.
 func TestNonRepeatableRequestIsNotRetriedOnLoss(t *testing.T) {
 	f, x := newForwarder(t, 3, nil)
 	x.route = &protocol.Route{Repeat: protocol.Stream, MaxTries: 3}
@@ -131,8 +134,8 @@
 	require.Equal(t, 1, x.attempts)
 }
 
-// TestReportErrorObservations: a refused connection is certain; silence says something only
-// while this entry hears others, and not that one.
+// TestReportErrorObservations checks which errors are reported: a refused connection is certain, a
+// timeout counts only while this entry hears other endpoints and not that one.
 func TestReportErrorObservations(t *testing.T) {
 	var tells []reportedFailure
 	f, x := newForwarder(t, 2, &tells)
@@ -143,7 +146,7 @@
 
 	tells = nil
 	f.reportError(r, context.DeadlineExceeded, begun, begun.Add(time.Second))
-	require.Empty(t, tells, "this entry hears nobody")
+	require.Empty(t, tells, "this entry hears no endpoint")
 	var other *fleet.Runner
 	for _, o := range f.Registry.View().Runners() {
 		if o != r {
@@ -152,7 +155,7 @@
 	}
 	f.recordWorking(other, begun.Add(time.Millisecond))
 	f.reportError(r, errors.New("spoilt"), begun, begun.Add(time.Second))
-	require.Empty(t, tells, "that may be anything")
+	require.Empty(t, tells, "the error says nothing about the endpoint")
 	f.reportError(r, context.DeadlineExceeded, begun, begun.Add(time.Second))
 	require.Equal(t, []reportedFailure{{r.Name(), protocol.LossSilent}}, tells)
 
--- a/transport/forward/fault_locator.go
+++ b/transport/forward/fault_locator.go
@@ -16,31 +16,30 @@
 )
 
 const (
-	// suspectDuration is how long runners of a silent path get no new work while it is
-	// not clear which of them is at fault.
+	// suspectDuration is how long the runners of a silent path get no new work while it is not
+	// clear which of them is at fault.
 	suspectDuration = 400 * time.Millisecond
-	// silenceThreshold is how long a runner must not have been heard on any stream to be
-	// suspected. A runner with a few streams is heard every ten ms or so; reading
-	// the prompts of others holds all of them up for some tens of ms.
+	// silenceThreshold is how long a runner must not have been heard on any stream to be suspected.
+	// A runner with a few streams is heard every ten milliseconds or so; the prefill of other
+	// prompts delays all of them by some tens of milliseconds.
 	silenceThreshold = 70 * time.Millisecond
-	// minQueryInterval is the least time between two questions to one engine.
+	// minQueryInterval is the least time between two queries to one engine.
 	minQueryInterval = 250 * time.Millisecond
 	// queryTimeout bounds the wait for an engine's report.
 	queryTimeout = 300 * time.Millisecond
 )
 
-// faultLocator finds out which runner of a silent path is at fault: runners that
-// other streams have heard since are cleared, the rest get no new work for a
-// moment, and the first engine is asked what its requests wait for.
+// faultLocator finds out which runner of a silent path is at fault. Runners that other streams have
+// heard since are cleared, the rest get no new work for a moment, and the first engine is asked
+// what its requests wait for.
 type faultLocator struct {
 	forwarder *Forwarder
 	throttle  queryThrottle
 }
 
-// silentRunners handles that nothing has come on an attempt since a time. It returns the
-// runners of the path from which nothing came on any other stream either, which
-// get no new work for a moment. A path whose runners were all heard lately is
-// busy, not dead.
+// silentRunners handles an attempt on which nothing was received since a time. It returns the
+// runners of the path that were not heard on any other stream either, which get no new work for a
+// moment. A path whose runners were all heard lately is busy, not dead.
 func (s *faultLocator) silentRunners(a *attempt, since, now time.Time) []*fleet.Runner {
 	var quiet []*fleet.Runner
 	for i := range a.path.Len() {
@@ -49,7 +48,7 @@
 			continue
 		}
 		quiet = append(quiet, r)
-		if !r.IsSlow(now) { // it answers, only later
+		if !r.IsSlow(now) { // a slow runner responds, only later
 			r.Suspect(now.Add(suspectDuration))
 		}
 	}
@@ -95,7 +94,7 @@
 	}
 }
 
-// eject leaves an engine out, and says what a question to it met, nil for an answer.
+// eject ejects an engine, and logs the error of the query to it, nil for a reply.
 func (q *stallQuery) eject(r *fleet.Runner, why metric.Ejection, met error, now time.Time) {
 	f := q.locator.forwarder
 	till := r.Failed(now)
@@ -110,10 +109,9 @@
 	f.log(event.RunnerEjected, told...)
 }
 
-// probe asks an engine that others wait for how it stands. One that doesn't answer
-// either is likely to be dead, which is then known within the bound of one question and
-// not after the next request has run into it; one that answers is left out for a moment,
-// but not taken as lost.
+// probe queries an engine that others wait for. If it does not reply either, it is likely to be
+// dead, which is then known within one query timeout instead of after the next request. If it
+// replies, it is ejected for a moment but not taken as lost.
 type probe struct {
 	forwarder *Forwarder
 	runner    *fleet.Runner
--- a/transport/forward/fingerprint.go
+++ b/transport/forward/fingerprint.go
@@ -4,8 +4,8 @@
 
 import "pinerun.example/pinerun/protocol"
 
-// workFingerprint returns the fingerprint of what the caller asks for. It is worked out when it is first
-// needed: most requests end well, and a hash of a large body takes milliseconds.
+// workFingerprint returns the fingerprint of the requested work. It is computed on first use: most
+// requests succeed without it, and hashing a large body takes milliseconds.
 func (x *exchange) workFingerprint() protocol.Fingerprint {
 	if x.fingerprint.IsZero() {
 		x.fingerprint = protocol.FingerprintOf(x.teamName(), x.request.Method, x.request.Host, x.request.RequestURI, x.body)
--- a/transport/forward/forwarder.go
+++ b/transport/forward/forwarder.go
@@ -21,51 +21,54 @@
 	"pinerun.example/pinerun/transport/crashcheck"
 )
 
-// HeaderCodec translates between headers and what they say.
+// HeaderCodec translates between HTTP headers and the terms that they carry.
 type HeaderCodec interface {
 	ParseRequest(h http.Header, now time.Time) protocol.CallerTerms
 	SetAttemptHeaders(h http.Header, s *protocol.AttemptTerms, now time.Time)
 	ParseResponse(status int, h http.Header) protocol.AnswerTerms
 }
 
-// Reporter asks an engine how it stands.
+// Reporter requests the status report of an engine.
 type Reporter interface {
 	Report(ctx context.Context, address string) (protocol.EngineReport, error)
 }
 
 const (
-	// sweepInterval is how often resting connections are looked through.
+	// sweepInterval is how often idle connections are checked for expiry.
 	sweepInterval = time.Second
-	// idleCheckInterval is how often an entry with no open request looks whether the VM was suspended
-	// and which slow engines are due to be asked.
+	// idleCheckInterval is how often an entry without open requests checks whether the VM was
+	// suspended and which slow engines are due for another query.
 	idleCheckInterval = 250 * time.Millisecond
 )
 
-// Forwarder forwards requests. Set the exported fields before Start.
+// Forwarder forwards requests to endpoints. Set the exported fields before Start.
 type Forwarder struct {
 	Home     fleet.Entry
 	Routing  *routing.Store
 	Registry *registry.Registry
 	Headers  HeaderCodec
 	Reporter Reporter
-	// PathChanger changes the paths of running requests, nil to leave them as they are.
+	// PathChanger changes the paths of running requests. If it is nil, paths never change.
 	PathChanger PathChanger
 	Counters    *metric.Set
 	Logger      *slog.Logger
-	// KeysTrustedUntil returns until when keys confirmed then are accepted.
+	// KeysTrustedUntil returns until when keys confirmed at a given time are accepted.
 	KeysTrustedUntil func(confirmed time.Time) time.Time
-	// MemoryBudget bounds what is held for callers and of requests.
+	// MemoryBudget bounds the bytes buffered for callers and for request bodies.
 	MemoryBudget *backlog.Budget
-	// ReportFailure tells the other entries that this one met a sign of an endpoint, nil for nobody.
+	// ReportFailure reports an observation about an endpoint's health to the other entries. It may
+	// be nil.
 	ReportFailure func(endpoint string, sign protocol.LossObservation, at time.Time)
-	// ReportAddressOwner tells them which process answers at an endpoint's address, nil for nobody: "" is
-	// one that does not hold the layers of the endpoint's record.
+	// ReportAddressOwner reports to the other entries which process answers at an endpoint's
+	// address. An empty owner is a process that does not hold the layers of the endpoint's record.
+	// It may be nil.
 	ReportAddressOwner func(endpoint, occupant string, at time.Time)
-	// Quarantine knows which work may end what runs it, nil for nothing ever.
+	// Quarantine tracks work that may crash the endpoints that run it. It may be nil.
 	Quarantine Quarantine
-	// OnResume is told that the VM was suspended, nil for nobody.
+	// OnResume is called after the VM was suspended. It may be nil.
 	OnResume func(now time.Time)
-	// ReportSlowdown tells them that this one met a sign of an endpoint's pace, nil for nobody.
+	// ReportSlowdown reports an observed slowdown of an endpoint to the other entries. It may be
+	// nil.
 	ReportSlowdown func(news protocol.RelaySlow, at time.Time)
 
 	done         part.Done
@@ -78,18 +81,18 @@
 	queues       waitQueues
 	poller       poller
 	slowdowns    slowdownMonitor
-	losses       part.Signal   // told when a runner is found lost
-	refusals     part.Signal   // told when work is found to end endpoints
-	resumed      part.Signal   // told when the VM was suspended
-	suspended    time.Duration // how long it had been, as far as is taken into account; of run
-	lastHeard    atomic.Int64  // unix nanoseconds, when anything last came from an endpoint
+	losses       part.Signal   // fires when a runner is found lost
+	refusals     part.Signal   // fires when work is found to crash endpoints
+	resumed      part.Signal   // fires after the VM was suspended
+	suspended    time.Duration // total suspension already handled; used only by run
+	lastHeard    atomic.Int64  // Unix nanoseconds when an endpoint was last heard
 	openCount    atomic.Int64
-	activated    part.Signal // told when the first request is open
+	activated    part.Signal // fires when the first request opens
 	entryCount   atomic.Int64
 	refusing     atomic.Bool
 }
 
-// Start begins the upkeep of connections.
+// Start starts the background maintenance of connections, queues and engine reports.
 func (f *Forwarder) Start() {
 	f.pool.opened = func() { f.Counters.Add(metric.EndpointConnections, 1) }
 	f.faultLocator.forwarder = f
@@ -100,7 +103,7 @@
 	go f.run()
 }
 
-// Close ends it.
+// Close stops the background maintenance.
 func (f *Forwarder) Close() {
 	f.done.Close()
 	f.crashProbes.Close()
@@ -109,12 +112,12 @@
 // OpenRequests returns how many requests are being served.
 func (f *Forwarder) OpenRequests() int64 { return f.openCount.Load() }
 
-// RefuseNew makes the forwarder refuse every further request, because the entry
-// stops and the request would not be finished in time.
+// RefuseNew makes the forwarder refuse every further request. An entry that stops calls it, because
+// it would not finish the request in time.
 func (f *Forwarder) RefuseNew() { f.refusing.Store(true) }
 
-// run does the upkeep. Of a large fleet most entries have nothing open most of the time: lines and
-// engines' room are looked at while some request is.
+// run does the background maintenance. Most entries of a large fleet have no open requests most of
+// the time, so queues and engine capacity are checked only while a request is open.
 func (f *Forwarder) run() {
 	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
@@ -130,7 +133,7 @@
 		if f.openCount.Load() > 0 {
 			idling = nil
 		} else {
-			turning, polling = nil, nil // the timers behind them stop as well
+			turning, polling = nil, nil // the runtime stops timers that no goroutine waits on
 		}
 		select {
 		case <-t.C:
@@ -173,7 +176,7 @@
 	}
 	x.tagCallerConn(refusal == nil)
 	if refusal != nil {
-		x.reservation.releaseAll() // its body is given up, however long the refusal waits for its caller
+		x.reservation.releaseAll() // releases the body now: the refusal may wait long for its caller
 		x.refuse(refusal)
 		return
 	}
--- a/transport/forward/handle.go
+++ b/transport/forward/handle.go
@@ -11,7 +11,8 @@
 	"pinerun.example/pinerun/internal/metric"
 )
 
-// handleMessage acts on what an attempt tells, as long as the attempt is open.
+// handleMessage handles a message of an attempt. It ignores messages of attempts that are no longer
+// open.
 func (x *exchange) handleMessage(m message) {
 	if !slices.Contains(x.open, m.from()) {
 		return
@@ -33,13 +34,13 @@
 }
 
 func (x *exchange) handleHead(m headReceived) {
-	// The head waits for the first event: until then the request may still go
-	// elsewhere.
+	// The head is kept until the first event: until then the request may still be sent to another
+	// endpoint.
 	m.attempt.head = m.head
 }
 
-// handleEvent passes an event on. The attempt that speaks first stays; another one
-// that was started because it was silent ends.
+// handleEvent passes an event on to the caller. The attempt that delivers the first event stays
+// open; a second attempt that was started because the first was silent is closed.
 func (x *exchange) handleEvent(m eventReceived) {
 	x.keepOnly(m.attempt)
 	now := clock.Now()
@@ -76,7 +77,7 @@
 	}
 }
 
-// keepOnly ends all open attempts but one.
+// keepOnly closes all open attempts but one.
 func (x *exchange) keepOnly(a *attempt) {
 	for len(x.open) > 1 {
 		other := x.open[0]
@@ -100,13 +101,14 @@
 		x.markFull(a, m.terms.AtFault, now)
 		x.decideRetry(a, retry.NotRun, &m)
 	case x.headSent:
-		// The caller has the head of a stream, and this is no part of one, whether
-		// it is a success or the endpoint's own failure.
+		// The caller already has the head of a stream, so no other response can follow, whether it
+		// is a success or the endpoint's own failure.
 		x.decideRetry(a, retry.Broken, &m)
 	case m.head.StatusCode >= http.StatusInternalServerError:
 		x.decideRetry(a, retry.Failed, &m)
 	case claimsNotRun(m.head.StatusCode) && !x.route.MayRepeat():
-		// Only the endpoint's own word says that a request did not run.
+		// The status alone does not prove that the request did not run; only the endpoint's
+		// explicit statement does.
 		x.decideRetry(a, retry.Broken, &m)
 	default:
 		x.reportRan(a, now)
@@ -135,8 +137,8 @@
 		x.ejectFaulty(a, a.endpoint.Spec().Address, metric.EjectedConnection, now)
 		x.attemptFailed(a, retry.NeverSent, m.cause)
 	case m.stale:
-		// A connection that had rested ended before the answer. The endpoint may
-		// have run the request all the same, but is hardly at fault.
+		// A reused connection closed before the response. The endpoint may have run the request all
+		// the same, but is hardly at fault.
 		x.attemptFailed(a, retry.Broken, m.cause)
 	default:
 		x.ejectFaulty(a, "", metric.EjectedFailed, now)
@@ -144,8 +146,7 @@
 	}
 }
 
-// claimsNotRun reports whether a status tells the caller that the request did not
-// run.
+// claimsNotRun reports whether a status tells the caller that the request did not run.
 func claimsNotRun(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusRequestTimeout
 }
--- a/transport/forward/idle_test.go
+++ b/transport/forward/idle_test.go
@@ -19,8 +19,9 @@
 	"pinerun.example/pinerun/state/routing"
 )
 
-// TestIdleEntryDerivesNoView lets an endpoint change each 100 ms for ten seconds, before
-// an entry that serves nobody and before one with a request that waits all the while.
+// TestIdleEntryDerivesNoView guards against entries without open requests that derive a view for
+// each change of an endpoint. An endpoint changes every 100 ms for ten seconds, once without any
+// request and once while a request waits.
 func TestIdleEntryDerivesNoView(t *testing.T) {
 	derived := func(busy bool) (n uint64) {
 		synctest.Test(t, func(t *testing.T) {
@@ -33,7 +34,7 @@
 			f.Start()
 			defer f.Close()
 			if busy {
-				go f.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/", nil)) // waits for the entry to open
+				go f.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/", nil)) // waits for the entry's startup
 			}
 			for i := range 100 {
 				endpoints.Add(protocol.Endpoint{ID: fmt.Sprint("e-", i), Service: "llm", DataCenter: "a"})
--- a/transport/forward/inflight.go
+++ b/transport/forward/inflight.go
@@ -10,14 +10,14 @@
 	"pinerun.example/pinerun/state/registry"
 )
 
-// inflightBytes is the bytes of large requests at each endpoint, by ID. Requests up to smallBytes
-// are bounded by their number. The zero value is empty.
+// inflightBytes tracks the bytes of large requests at each endpoint, by ID. Requests up to
+// smallBytes are bounded by their number. The zero value is empty.
 type inflightBytes struct {
 	mutex      sync.Mutex
 	byEndpoint map[string]*pressure.Inflight
 }
 
-// fits reports whether an endpoint may be sent a request of n bytes.
+// fits reports whether an endpoint has capacity for a request of n bytes.
 func (f *inflightBytes) fits(endpoint string, n int) bool {
 	if n <= smallBytes {
 		return true
@@ -28,7 +28,7 @@
 	return at == nil || at.Admits(int64(n))
 }
 
-// sent notes a request of n bytes.
+// sent records a request of n bytes.
 func (f *inflightBytes) sent(endpoint string, n int) {
 	if n <= smallBytes {
 		return
@@ -44,7 +44,7 @@
 	f.byEndpoint[endpoint].Sent(int64(n))
 }
 
-// ended notes that a request of n bytes is no longer there.
+// ended records that a request of n bytes is no longer at an endpoint.
 func (f *inflightBytes) ended(endpoint string, n int, fell bool) {
 	if n <= smallBytes {
 		return
@@ -56,7 +56,7 @@
 	}
 }
 
-// sweep forgets endpoints that are gone.
+// sweep removes endpoints that no longer exist.
 func (f *inflightBytes) sweep(endpoints *registry.Registry) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -71,7 +71,7 @@
 	}
 }
 
-// fits reports whether the first engine of a path has room for the request's bytes.
+// fits reports whether the first engine of a path has capacity for the bytes of the request.
 func (x *exchange) fits(p *path.Path) bool {
 	return x.forwarder.inflight.fits(p.Runner(0).Name(), len(x.body))
 }
--- a/transport/forward/inflight_test.go
+++ b/transport/forward/inflight_test.go
@@ -10,7 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLargeRequestWaitsForInflightBytes, and a small one does not.
+// TestLargeRequestWaitsForInflightBytes checks that a large request is not sent to an engine that
+// already holds too many bytes, and that a small one is.
 func TestLargeRequestWaitsForInflightBytes(t *testing.T) {
 	f, x := newForwarder(t, 1, nil)
 	engine := x.open[0].endpoint.Name()
@@ -29,7 +30,8 @@
 	require.True(t, ready)
 }
 
-// TestDisconnectLowersInflightLimit from then on.
+// TestDisconnectLowersInflightLimit checks that an engine which closes the connection under large
+// requests gets fewer bytes from then on.
 func TestDisconnectLowersInflightLimit(t *testing.T) {
 	f, x := newForwarder(t, 1, nil)
 	x.closeAttempts()
--- a/transport/forward/message.go
+++ b/transport/forward/message.go
@@ -8,24 +8,24 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// message is what an attempt tells its exchange: headCame, eventCame, wholeCame,
-// attemptEnded, pathAnswered or waitReported.
+// message is what an attempt sends to its exchange: headReceived, eventReceived, responseReceived,
+// attemptEnded, pathAnswered or stallReported.
 type message interface{ from() *attempt }
 
-// headReceived is the head of a stream.
+// headReceived carries the head of a stream.
 type headReceived struct {
 	attempt *attempt
 	head    *http.Response
 	terms   protocol.AnswerTerms
 }
 
-// eventReceived is one event of a stream.
+// eventReceived carries one event of a stream.
 type eventReceived struct {
 	attempt *attempt
 	event   streamEvent
 }
 
-// responseReceived is a whole answer that is not a stream.
+// responseReceived carries a whole response that is not a stream.
 type responseReceived struct {
 	attempt *attempt
 	head    *http.Response
@@ -33,9 +33,8 @@
 	terms   protocol.AnswerTerms
 }
 
-// attemptEnded is the end of an attempt. The cause is nil when a stream came to
-// its proper end. Unsent says that no byte left; stale that a connection which
-// had rested turned out to be closed.
+// attemptEnded reports the end of an attempt. The cause is nil if a stream ended properly. unsent
+// is set if no byte was sent; stale is set if a reused connection turned out to be closed.
 type attemptEnded struct {
 	attempt *attempt
 	cause   error
--- a/transport/forward/misplaced.go
+++ b/transport/forward/misplaced.go
@@ -13,11 +13,12 @@
 	"pinerun.example/pinerun/state/fleet"
 )
 
-// handleMisplaced handles the answer that a request was sent where it can't run: another process
-// has the address of a runner of its path, or that runner does not hold its layers. Unlike a
-// refusal for want of room this lasts, so all entries are told. 15 of 98 engines that had crashed
-// and started again gave twelve entries 344 such answers in 34 s while each found out for itself;
-// told, all 36 entries met 7 (their logs, one run each).
+// handleMisplaced handles a response which says that the request was sent where it can't run:
+// another process has the address of a runner of its path, or that runner does not hold its layers.
+// Unlike a refusal for lack of capacity this state lasts, so all entries are informed. When each
+// entry had to find out for itself, 15 of 98 engines that had crashed and restarted caused 344 such
+// responses at twelve entries in 34 s. With reports, all 36 entries met 7 (their logs, one run
+// each).
 func (x *exchange) handleMisplaced(m *responseReceived, now time.Time) {
 	f, a, terms := x.forwarder, m.attempt, &m.terms
 	x.avoidRefusing(m, now)
@@ -34,9 +35,9 @@
 	}
 }
 
-// reportOwner tells all entries that the process which answers at a runner's address is the
-// occupant, "" for one that does not hold the runner's layers. The time is that of the
-// question, so that a record written later stands.
+// reportOwner reports to all entries that the process which answers at a runner's address is the
+// owner; an empty owner does not hold the runner's layers. The time is that of the query, so that a
+// record written later takes precedence.
 func (f *Forwarder) reportOwner(r *fleet.Runner, occupant string, at time.Time) {
 	f.Counters.Add(metric.RecordsDisproved, 1)
 	if f.ReportAddressOwner != nil {
@@ -44,8 +45,8 @@
 	}
 }
 
-// applyOwner applies a report of who answers at an endpoint's address, and reports whether that
-// changes which record is used or how.
+// applyOwner applies a report of which process answers at an endpoint's address, and reports
+// whether that changes which record is used or how.
 func (f *Forwarder) applyOwner(report *loss.Report) bool {
 	id, occupant := report.Endpoint(), report.Occupant()
 	var news bool
--- a/transport/forward/poll.go
+++ b/transport/forward/poll.go
@@ -16,26 +16,27 @@
 )
 
 const (
-	// pollInterval is how often an engine is asked for its report while it has requests of
-	// this entry and little room.
+	// pollInterval is how often an engine is queried for its report while it runs requests of this
+	// entry and has little capacity left.
 	pollInterval = 500 * time.Millisecond
-	// fullRateEntries is how many entries of a data center ask that often; more ask in turn the
-	// more seldom, so that an engine is not asked more than about ten times a second.
+	// fullRateEntries is how many entries of a data center poll at that interval. If there are
+	// more, each polls less often, so that an engine is queried no more than about ten times a
+	// second.
 	fullRateEntries = 5.0
-	// pollCheckInterval is how often it is looked which engines are due.
+	// pollCheckInterval is how often the poller checks which engines are due.
 	pollCheckInterval = 50 * time.Millisecond
-	// pollUtilization is the part of an engine's room, as far as known, from which it is asked.
+	// pollUtilization is the known utilization of an engine from which it is polled.
 	pollUtilization = 0.5
 )
 
-// poller asks the engines that run requests of this entry how much of their room is used,
-// while their room matters: what the other entries have open there is not known otherwise.
+// poller queries the engines that run requests of this entry for their utilization while they are
+// near their capacity: the load from other entries is not known otherwise.
 type poller struct {
 	forwarder *Forwarder
 	throttle  queryThrottle
 }
 
-// pollDue asks the engines that are due.
+// pollDue queries the engines that are due.
 func (p *poller) pollDue(now time.Time) {
 	f := p.forwarder
 	table := f.Routing.Current()
@@ -54,7 +55,7 @@
 	}
 }
 
-// pollModel asks the engines of one model in one data center.
+// pollModel queries the engines of one model in one data center that are due.
 func (p *poller) pollModel(m *fleet.Model, service string, now time.Time) {
 	groups := m.Groups()
 	for i := range groups {
@@ -66,7 +67,7 @@
 	}
 }
 
-// nearCapacity reports whether an engine's room may be short.
+// nearCapacity reports whether an engine may be short of capacity.
 func (p *poller) nearCapacity(r *fleet.Runner, service string, now time.Time) bool {
 	fill := r.Utilization(now, 0)
 	if !now.Before(r.UtilizationUntil()) {
@@ -75,13 +76,13 @@
 	return fill > pollUtilization
 }
 
-// due reports whether an engine may be asked again, and notes that it is.
+// due reports whether an engine may be queried again, and if so records a query now.
 func (p *poller) due(r *fleet.Runner, sharers float64, now time.Time) bool {
 	every := time.Duration(max(1, sharers/fullRateEntries) * float64(pollInterval))
 	return p.throttle.allow(r.Name(), every, now)
 }
 
-// queryReport asks an engine how it stands.
+// queryReport queries an engine for its report.
 func (f *Forwarder) queryReport(r *fleet.Runner) (protocol.EngineReport, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 	defer cancel()
@@ -94,7 +95,7 @@
 	return report, err
 }
 
-// poll is one question to an engine.
+// poll is one query to an engine for its utilization.
 type poll struct {
 	forwarder *Forwarder
 	runner    *fleet.Runner
@@ -110,7 +111,7 @@
 		return
 	}
 	if !report.CapacityKnown {
-		return // an engine whose room is unknown is never taken as full
+		return // an engine of unknown capacity is never taken as full
 	}
 	p.runner.ReportUtilization(report.CapacityUsed, clock.Now())
 }
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -21,34 +21,37 @@
 	"pinerun.example/pinerun/transport/crashcheck"
 )
 
-// singleEndpointTime is how long a request that was at one end is open at a single endpoint before its first
-// event. Where it was seen a request ended its endpoint 0.1 to 0.25 s after it was sent; after that
-// another send costs less than what a slow endpoint does.
+// singleEndpointTime is how long a request that was running when an endpoint crashed stays at a
+// single endpoint before its first event. Requests that crashed their endpoint did so 0.1 to 0.25 s
+// after they were sent; after that, a second attempt costs less than waiting for a slow endpoint.
 const singleEndpointTime = 400 * time.Millisecond
 
-// Quarantine knows which work may end what runs it, from this entry and the others.
+// Quarantine tracks work that may crash the endpoints that run it, from the observations of all
+// entries.
 type Quarantine interface {
-	// Empty reports whether nothing is known against any work.
+	// Empty reports whether there are no observations about any work.
 	Empty() bool
 	Status(work protocol.Fingerprint, now time.Time) quarantine.Status
-	// IsSuspected reports whether anything was met of some work that running well would clear.
+	// IsSuspected reports whether there are observations about the work that a successful run would
+	// clear.
 	IsSuspected(work protocol.Fingerprint) bool
-	// ReservedEndpoints returns the endpoints at which other such work is on trial.
+	// ReservedEndpoints returns the endpoints that are reserved for isolated runs of other work.
 	ReservedEndpoints(work protocol.Fingerprint, now time.Time) []string
-	// MayStartIsolatedRun reports whether a trial begins that may begin at this look.
+	// MayStartIsolatedRun reports whether an isolated run may start at this check.
 	MayStartIsolatedRun(now time.Time) bool
-	// Report notes what this entry met, and tells the others.
+	// Report records an observation of this entry and passes it to the other entries.
 	Report(news protocol.RelayWork, at time.Time)
-	// RecordUnresolved notes that it may turn out soon whether a life of an endpoint has ended.
+	// RecordUnresolved records that it may become known soon whether an incarnation of an endpoint
+	// has crashed.
 	RecordUnresolved(endpoint string, life protocol.Incarnation, now time.Time)
 	crashcheck.Recorder
 }
 
-// isolationWait is a request that waits until its work may run alone.
+// isolationWait is the state of a request that waits until its work may run isolated.
 type isolationWait struct {
-	deadline  time.Time // until when waiting is of use
+	deadline  time.Time // until when waiting is useful
 	recheckAt time.Time
-	failed    *attempt // the last send, nil if there was none
+	failed    *attempt // the last attempt, nil if there was none
 	result    retry.Result
 	response  *responseReceived
 }
@@ -62,8 +65,8 @@
 	return q.Status(x.workFingerprint(), now)
 }
 
-// checkQuarantine refuses a request whose work is known to end what runs it, and returns nil for
-// any other.
+// checkQuarantine returns the refusal of a request whose work is known to crash endpoints, and nil
+// for any other.
 func (x *exchange) checkQuarantine(now time.Time) *protocol.Refusal {
 	if r, refused := x.quarantineStatus(now).(quarantine.Refused); refused {
 		return x.quarantineRefusal(r)
@@ -71,7 +74,7 @@
 	return nil
 }
 
-// quarantineRefusal returns what the caller of refused work is told.
+// quarantineRefusal returns the refusal of quarantined work.
 func (x *exchange) quarantineRefusal(r quarantine.Refused) *protocol.Refusal {
 	if x.mayHaveRun {
 		return protocol.Uncertain(protocol.StageFailed, fmt.Sprintf("%d endpoints ended when they ran this request", r.Crashes()))
@@ -79,8 +82,8 @@
 	return protocol.Refuse(protocol.EndsEndpoints, fmt.Sprintf("%d endpoints ended when they ran the same request", r.Crashes())).Again(r.Until())
 }
 
-// cancelRefused ends a request that is under way while its work is found to end endpoints,
-// unless it runs well, which proves the contrary.
+// cancelRefused ends an open request whose work has been found to crash endpoints, unless an
+// attempt has run long enough to prove the contrary.
 func (x *exchange) cancelRefused(now time.Time) {
 	r, refused := x.quarantineStatus(now).(quarantine.Refused)
 	if !refused {
@@ -100,9 +103,10 @@
 	x.fail(x.quarantineRefusal(r))
 }
 
-// applyQuarantine keeps a request back whose work must not run now, after its last send or before
-// the first, and reports whether it does. It is refused, or waits for its trial. Forgotten with
-// its try and at each entry, such a request was sent on until half of the endpoints had ended.
+// applyQuarantine holds back a request whose work must not run now, after its last attempt or
+// before the first, and reports whether it does. The request is refused or waits to run isolated.
+// Without this, such a request was retried, at each entry anew, until half of the endpoints had
+// crashed.
 func (x *exchange) applyQuarantine(a *attempt, r retry.Result, whole *responseReceived, now time.Time) bool {
 	switch s := x.quarantineStatus(now).(type) {
 	case quarantine.Refused:
@@ -119,7 +123,7 @@
 	}
 }
 
-// isolationDeadline returns until when it is of use to wait for a trial.
+// isolationDeadline returns until when waiting for an isolated run is useful.
 func (x *exchange) isolationDeadline(now time.Time) time.Time {
 	if till := x.queueDeadline(); !till.IsZero() {
 		return till
@@ -130,7 +134,7 @@
 	return x.deadline
 }
 
-// checkIsolation looks whether a request that waits for its trial may run.
+// checkIsolation checks whether a request that waits for an isolated run may start.
 func (x *exchange) checkIsolation(now time.Time) {
 	t := x.isolation
 	t.recheckAt = now.Add(quarantine.IsolationPollInterval)
@@ -161,8 +165,8 @@
 	}
 }
 
-// startIsolated sends a request whose turn has come to an endpoint where no other such work is, and
-// reports whether it did.
+// startIsolated sends a request that may run isolated to an endpoint without other quarantined
+// work, and reports whether it did.
 func (x *exchange) startIsolated(now time.Time) bool {
 	t, f := x.isolation, x.forwarder
 	p, ready := x.pickNext(now)
@@ -182,7 +186,7 @@
 	return true
 }
 
-// expireIsolation ends a request that has waited for its trial in vain.
+// expireIsolation ends a request that has waited for an isolated run for too long.
 func (x *exchange) expireIsolation() {
 	t := x.isolation
 	x.isolation = nil
@@ -194,8 +198,8 @@
 	x.endWith(retry.FinalAction(t.result, x.mayHaveRun), t.response, again)
 }
 
-// avoidReserved adds to the runners that a request avoids those at which work is on trial that must
-// not meet it.
+// avoidReserved adds to the runners that a request avoids those that are reserved for isolated runs
+// of other work.
 func (x *exchange) avoidReserved(avoid []*fleet.Runner, now time.Time) []*fleet.Runner {
 	if _, free := x.quarantineStatus(now).(quarantine.Unrestricted); free {
 		return avoid
@@ -210,8 +214,8 @@
 	return avoid
 }
 
-// markIsolated notes the trial that an attempt is, if its work is not free: other such work keeps
-// away from its endpoint.
+// markIsolated reports that an attempt runs quarantined work, so that other such work avoids its
+// endpoint.
 func (x *exchange) markIsolated(a *attempt, now time.Time) {
 	q := x.forwarder.Quarantine
 	a.incarnation = x.forwarder.Registry.Incarnation(a.endpoint.Name())
@@ -221,7 +225,7 @@
 	}
 }
 
-// clearIsolated ends the trial that an attempt is.
+// clearIsolated reports that an attempt no longer runs quarantined work.
 func (x *exchange) clearIsolated(a *attempt, now time.Time) {
 	if a.isolated {
 		a.isolated = false
@@ -229,8 +233,8 @@
 	}
 }
 
-// reportBroken tells that an attempt's answer reportBroken off, or that its endpoint is lost, soon after the
-// work began there. It is told once for each attempt.
+// reportBroken reports that an attempt's response was aborted, or that its endpoint is lost, soon
+// after the work began there. It reports that once for each attempt.
 func (x *exchange) reportBroken(a *attempt, now time.Time) {
 	f := x.forwarder
 	if f.Quarantine == nil || a.reportedBroken || !a.firstEventAt.IsZero() && now.Sub(a.firstEventAt) > quarantine.SafeAfter {
@@ -243,7 +247,7 @@
 	}
 }
 
-// reportRan tells that the work reportRan well on an attempt, if anything is known against it.
+// reportRan reports that the work ran well on an attempt, if there are observations against it.
 func (x *exchange) reportRan(a *attempt, now time.Time) {
 	q := x.forwarder.Quarantine
 	if a.reportedRan || q == nil || q.Empty() || !q.IsSuspected(x.workFingerprint()) {
@@ -253,7 +257,8 @@
 	q.Report(x.workReport(a, protocol.WorkRan), now)
 }
 
-// recordProgress notes an event of an attempt: work that runs on proves that it does not end its endpoint.
+// recordProgress records an event of an attempt. Work that keeps running proves that it does not
+// crash its endpoint.
 func (x *exchange) recordProgress(a *attempt, now time.Time) {
 	if a.firstEventAt.IsZero() {
 		a.firstEventAt = now
@@ -264,13 +269,13 @@
 	}
 }
 
-// workReport returns what to tell of the request's work at an attempt's endpoint.
+// workReport returns a report about the request's work at an attempt's endpoint.
 func (x *exchange) workReport(a *attempt, sign protocol.WorkObservation) protocol.RelayWork {
 	return protocol.RelayWork{Work: x.workFingerprint(), Endpoint: a.endpoint.Name(), Incarnation: a.incarnation, Observation: sign}
 }
 
-// reportLostEndpoints tells of open attempts whose endpoint is lost before their connection breaks, or
-// that wait for a later stage of their path.
+// reportLostEndpoints reports open attempts whose endpoint is lost before their connection breaks,
+// or whose path has lost a later stage.
 func (x *exchange) reportLostEndpoints(now time.Time) {
 	for _, a := range x.open {
 		if a.endpoint.Lost(now) {
@@ -280,8 +285,8 @@
 	}
 }
 
-// reportLostStages tells that later stages of an attempt's path are lost, if the work had not run for
-// long by then. The answer does not break off then, and a change of path would have the next
+// reportLostStages reports that later stages of an attempt's path are lost, if the work had not run
+// for long by then. The response is not aborted in that case, and a path change would make the next
 // engine run the work.
 func (x *exchange) reportLostStages(a *attempt, now time.Time) {
 	q := x.forwarder.Quarantine
@@ -302,8 +307,8 @@
 	}
 }
 
-// mayChangeEndpoints reports whether the request may be put on other engines while it is open: not if
-// those may end under it.
+// mayChangeEndpoints reports whether the request may be moved to other engines while it is open. It
+// may not if it could crash those.
 func (x *exchange) mayChangeEndpoints(now time.Time) bool {
 	switch x.quarantineStatus(now).(type) {
 	case quarantine.Unrestricted, quarantine.PreferIsolation:
@@ -313,7 +318,8 @@
 	}
 }
 
-// mayHedge reports whether a request may be open at two endpoints: not if it may end both.
+// mayHedge reports whether a request may be open at two endpoints. It may not if it could crash
+// both.
 func (x *exchange) mayHedge(silent *attempt, now time.Time) bool {
 	switch x.quarantineStatus(now).(type) {
 	case quarantine.Unrestricted:
@@ -325,8 +331,8 @@
 	}
 }
 
-// abandonLost gives up an attempt that waits for a lost endpoint, for a request that may not be open
-// at two. It reports whether it did.
+// abandonLost closes an attempt that waits for a lost endpoint, for a request that may not be open
+// at two endpoints. It reports whether it did.
 func (x *exchange) abandonLost(a *attempt, now time.Time) bool {
 	if len(lostRunners(a, now)) == 0 || len(x.open) != 1 || x.open[0] != a {
 		return false
@@ -339,13 +345,13 @@
 	return true
 }
 
-// isDisconnect reports whether an attempt ended as it does when its endpoint ends, and not
-// because the endpoint sent something wrong.
+// isDisconnect reports whether an attempt ended the way it does when its endpoint crashes, and not
+// because the endpoint sent something invalid.
 func isDisconnect(cause error) bool {
 	return errors.Is(cause, io.EOF) || errors.Is(cause, io.ErrUnexpectedEOF) || errors.Is(cause, syscall.ECONNRESET) || errors.Is(cause, syscall.EPIPE)
 }
 
-// ApplyRefusal tells requests under way that some work is refused from now on.
+// ApplyRefusal makes open requests check whether their work is refused from now on.
 func (f *Forwarder) ApplyRefusal(r *quarantine.Refusal) {
 	f.Counters.Add(metric.WorkRefused, 1)
 	f.log(event.WorkRefused, slog.String("fingerprint", r.Work().String()), slog.Int("ends", len(r.Crashes())),
@@ -353,5 +359,5 @@
 	f.RecheckRefusals()
 }
 
-// RecheckRefusals has requests under way look whether their work is refused.
+// RecheckRefusals makes open requests check whether their work is refused.
 func (f *Forwarder) RecheckRefusals() { f.refusals.Tell() }
--- a/transport/forward/queue.go
+++ b/transport/forward/queue.go
@@ -18,23 +18,23 @@
 )
 
 const (
-	// dispatchInterval is how often those that wait are given their turn: room also comes back
-	// without a sign, when other entries' requests end.
+	// dispatchInterval is how often queued requests are dispatched: capacity also becomes free
+	// without notice, when requests of other entries end.
 	dispatchInterval = 10 * time.Millisecond
-	// maxDispatchScan is how many that wait are given their turn one after the other when the
-	// first finds no room: it may be larger than others.
+	// maxDispatchScan is how many queued requests are tried in a row if the first finds no
+	// capacity: it may be larger than the others.
 	maxDispatchScan = 4
-	// firstEventMargin is how long the first event usually takes once a request is sent: the
-	// median is 0.1 s, and 0.4 s covers reading behind other prompts.
+	// firstEventMargin is the time reserved for the first event after dispatch: its median is
+	// 0.1 s, and 0.4 s covers a prefill behind other requests.
 	firstEventMargin = 400 * time.Millisecond
-	// targetMargin is the same for a request that is just in time.
+	// targetMargin is the same for a request that just meets its target.
 	targetMargin = 150 * time.Millisecond
-	// resumePriority is the priority of streams that have begun and wait to go on: before all
-	// that have not.
+	// resumePriority is the priority of streams that have begun and wait to resume: ahead of all
+	// requests that have not begun.
 	resumePriority = -1
 )
 
-// waitQueue is the requests of one service that wait for room at its engines.
+// waitQueue holds the requests of one service that wait for capacity at its engines.
 type waitQueue struct {
 	mutex      sync.Mutex
 	queue      admit.WaitQueue
@@ -42,7 +42,8 @@
 	lastTicket admit.Ticket
 }
 
-// enqueue lets a request wait and returns its ticket and the channel of its turns.
+// enqueue adds a request to the queue and returns its ticket and the channel of its dispatch
+// offers. If the queue refuses it, again is when the caller should retry.
 func (l *waitQueue) enqueue(w admit.Waiter, now time.Time) (t admit.Ticket, turns chan int, again time.Time, ok bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -59,7 +60,7 @@
 	return w.Ticket, turns, time.Time{}, true
 }
 
-// remove takes a request out.
+// remove removes a request from the queue.
 func (l *waitQueue) remove(t admit.Ticket) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -67,35 +68,35 @@
 	delete(l.dispatches, t)
 }
 
-// recordStart notes that a request of a team began.
+// recordStart records that a request of a team started.
 func (l *waitQueue) recordStart(team string, now time.Time) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.queue.RecordDispatch(team, now)
 }
 
-// anyAhead reports whether requests wait that go before a new one of that priority.
+// anyAhead reports whether a queued request goes before a new one of that priority.
 func (l *waitQueue) anyAhead(priority int) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.queue.HasPredecessors(priority)
 }
 
-// groups returns who waits.
+// groups returns the queued requests grouped by priority and team.
 func (l *waitQueue) groups() []admit.Group {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.queue.Groups()
 }
 
-// retryAfter returns from when it is worth to come back.
+// retryAfter returns when a refused caller should retry.
 func (l *waitQueue) retryAfter(now time.Time) time.Time {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.queue.RetryAfter(now)
 }
 
-// dispatch gives the request that goes after so many others its dispatch.
+// dispatch offers capacity to the request at a position of the queue.
 func (l *waitQueue) dispatch(after int, now time.Time) {
 	if after >= maxDispatchScan {
 		return
@@ -108,13 +109,13 @@
 	}
 	select {
 	case l.dispatches[w.Ticket] <- after:
-	default: // it has not taken its last turn yet
+	default: // it has not handled its last offer yet
 	}
 }
 
-// waitQueues holds the line of each service. The zero value has none.
+// waitQueues holds the wait queue of each service. The zero value has none.
 type waitQueues struct {
-	byService sync.Map // of *line by service name
+	byService sync.Map // *waitQueue by service name
 }
 
 func (l *waitQueues) forService(service string) *waitQueue {
@@ -125,7 +126,7 @@
 	return made.(*waitQueue)
 }
 
-// dispatchFirst gives the first of each line its dispatchFirst.
+// dispatchFirst offers capacity to the first request of each queue.
 func (l *waitQueues) dispatchFirst(now time.Time) {
 	l.byService.Range(func(_, found any) bool {
 		found.(*waitQueue).dispatch(0, now)
@@ -133,7 +134,8 @@
 	})
 }
 
-// QueueStatus returns who waits for room at engines, in order of service, priority and team.
+// QueueStatus returns the requests that wait for capacity at engines, grouped by service, priority
+// and team.
 func (f *Forwarder) QueueStatus(now time.Time) []protocol.WaitingStatus {
 	var all []protocol.WaitingStatus
 	f.queues.byService.Range(func(service, found any) bool {
@@ -151,20 +153,20 @@
 	return all
 }
 
-// queuedRequest is a request that waits for room: how its last send ended, and its place in the
-// line.
+// queuedRequest is a request that waits for capacity: its place in the queue and the result of its
+// last attempt.
 type queuedRequest struct {
 	queue      *waitQueue
 	ticket     admit.Ticket
 	dispatches chan int
-	deadline   time.Time // until when waiting is of use
+	deadline   time.Time // until when waiting is useful
 	since      time.Time
-	failed     *attempt // the last send, nil if there was none
+	failed     *attempt // the last attempt, nil if there was none
 	result     retry.Result
 	response   *responseReceived
 }
 
-// start sends the request for the first time, or lets it wait for room.
+// start sends the request for the first time, or queues it for capacity.
 func (x *exchange) start(now time.Time) {
 	if x.applyQuarantine(nil, retry.NeverSent, nil, now) {
 		return
@@ -209,9 +211,9 @@
 	return p, found && pathReady(&p, &q) && x.fits(&p)
 }
 
-// queueDeadline returns until when it is of use to begin: after that the caller leaves before
-// the first event can come. Callers of answers that are no streams wait to their deadline;
-// requests of plain services don't wait here.
+// queueDeadline returns until when starting the request is useful. After that the caller leaves
+// before the first event can arrive. Callers of responses that are not streams wait until their
+// deadline. Requests for plain services are not queued.
 func (x *exchange) queueDeadline() time.Time {
 	switch {
 	case x.service.Engine == nil:
@@ -230,8 +232,8 @@
 	return till
 }
 
-// enqueue lets the request enqueue for room until it is of no use. It reports whether it does,
-// and if not, from when to come back.
+// enqueue queues the request for capacity until the given time. It reports whether it did, and if
+// not, when the caller should retry.
 func (x *exchange) enqueue(a *attempt, r retry.Result, whole *responseReceived, till, now time.Time) (again time.Time, ok bool) {
 	l := x.forwarder.queues.forService(x.service.Name)
 	if !now.Before(till) {
@@ -256,7 +258,8 @@
 	return time.Time{}, true
 }
 
-// handleDispatch tries to begin a request that waits.
+// handleDispatch tries to start a queued request. If there is no capacity for it, the next one is
+// tried.
 func (x *exchange) handleDispatch(after int, now time.Time) {
 	h := x.queued
 	if !x.tryDispatch(now) {
@@ -267,7 +270,7 @@
 	h.queue.dispatch(0, now)
 }
 
-// tryDispatch sends the request that waits, if there is room and the budget allows it.
+// tryDispatch sends the queued request if there is capacity and the retry budget allows it.
 func (x *exchange) tryDispatch(now time.Time) bool {
 	h := x.queued
 	if x.applyQuarantine(h.failed, h.result, h.response, now) {
@@ -291,7 +294,7 @@
 	return true
 }
 
-// dequeue takes the request out of the line.
+// dequeue removes the request from its queue.
 func (x *exchange) dequeue() {
 	if x.queued != nil {
 		x.queued.queue.remove(x.queued.ticket)
@@ -299,7 +302,7 @@
 	}
 }
 
-// expireQueued ends a request that has waited for room in vain.
+// expireQueued ends a request that has waited for capacity for too long.
 func (x *exchange) expireQueued(now time.Time) {
 	h := x.queued
 	x.dequeue()
@@ -321,7 +324,7 @@
 	return x.team.Name
 }
 
-// noCapacity is the refusal of a request for which the engines have no room in time.
+// noCapacity is the refusal of a request for which the engines have no capacity in time.
 func noCapacity(again time.Time) *protocol.Refusal {
-	return protocol.Refuse(protocol.QueueFull, "no engines have room for the request in time").Again(again)
+	return protocol.Refuse(protocol.QueueFull, "no engine has capacity for the request in time").Again(again)
 }
--- a/transport/forward/reply.go
+++ b/transport/forward/reply.go
@@ -15,11 +15,11 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// writeGrace is how much longer than its deadline a request's answer may take to
-// be written to a caller that reads slowly.
+// writeGrace is how long after its deadline a request's response may still be written to a caller
+// that reads slowly.
 const writeGrace = 400 * time.Millisecond
 
-// copyHead puts an endpoint's head into the caller's answer.
+// copyHead copies an endpoint's head into the response.
 func (x *exchange) copyHead(head *http.Response) {
 	h := x.writer.Header()
 	for name, values := range head.Header {
@@ -27,11 +27,11 @@
 	}
 	stripHopHeaders(h)
 	if h.Get("Content-Type") == "" {
-		h["Content-Type"] = nil // the library must not guess one
+		h["Content-Type"] = nil // keeps net/http from guessing one
 	}
 }
 
-// deliver passes a whole answer on.
+// deliver passes a whole response on to the caller.
 func (x *exchange) deliver(m *responseReceived) {
 	x.finished = true
 	x.copyHead(m.head)
@@ -47,7 +47,7 @@
 	x.recordAnswered(m.head.StatusCode)
 }
 
-// writeStreamHead passes the head of a stream on.
+// writeStreamHead passes the head of a stream on to the caller.
 func (x *exchange) writeStreamHead(head *http.Response) {
 	x.headSent = true
 	x.copyHead(head)
@@ -69,11 +69,11 @@
 	}
 }
 
-// endStream ends a stream that came to its proper end.
+// endStream completes a stream that ended properly.
 func (x *exchange) endStream() {
 	x.finished = true
 	if !x.headSent {
-		x.fail(protocol.Uncertain(protocol.StageFailed, "the stream had no event"))
+		x.fail(protocol.Uncertain(protocol.StageFailed, "the stream ended without an event"))
 		return
 	}
 	if !x.drain() {
@@ -96,13 +96,13 @@
 		slog.Int64("first_ms", x.timing.timeToFirstEvent(x.begun).Milliseconds()), slog.Int64("pause_ms", x.timing.longestPause.Milliseconds()))
 }
 
-// fail ends the request without a whole answer. A stream that has begun is
-// broken off, so that it can't look complete.
+// fail ends the request without a complete response. It aborts a stream that has begun, so that the
+// stream can't look complete.
 func (x *exchange) fail(r *protocol.Refusal) {
 	x.finished = true
 	if x.headSent {
 		x.closeAttempts()
-		x.flush() // the events that came are the caller's
+		x.flush() // the events received so far belong to the caller
 		x.drain()
 		x.forwarder.Counters.Refused(r.Kind())
 		x.forwarder.log(event.StreamCut, x.requestAttr(), slog.String("kind", string(r.Kind())), slog.Int("events", x.events),
@@ -112,7 +112,7 @@
 	x.refuse(r)
 }
 
-// refusalBody returns a refusal as callers get it.
+// refusalBody encodes a refusal for the caller.
 func refusalBody(r *protocol.Refusal) []byte {
 	body, err := json.Marshal(struct {
 		Kind    protocol.Kind `json:"kind"`
@@ -121,12 +121,12 @@
 		Remedy  string        `json:"remedy"`
 	}{r.Kind(), r.Outcome().String(), r.Message(), r.Remedy()})
 	if err != nil {
-		return []byte("{}") // can't happen: the fields are strings
+		return []byte("{}") // cannot happen: the fields are strings
 	}
 	return body
 }
 
-// refuse answers with a refusal.
+// refuse responds with a refusal.
 func (x *exchange) refuse(r *protocol.Refusal) {
 	f := x.forwarder
 	f.Counters.Refused(r.Kind())
@@ -137,7 +137,7 @@
 		h.Set("Retry-After", strconv.FormatFloat(wait, 'f', 3, 64))
 	}
 	if r.Kind() == protocol.Stopping || r.Kind() == protocol.NoConfiguration || r.Kind() == protocol.PlatformDown {
-		h.Set("Connection", "close") // the next request shall reach another entry
+		h.Set("Connection", "close") // makes the next request reach another entry
 	}
 	body := refusalBody(r)
 	h.Set("Content-Length", strconv.Itoa(len(body)))
--- a/transport/forward/reroute.go
+++ b/transport/forward/reroute.go
@@ -18,16 +18,17 @@
 )
 
 const (
-	// changeTimeFactor is how many times its expected length the pause after a change of path may
-	// last: other requests that lost the same stage are read again at the same engines.
+	// changeTimeFactor is how many times its expected length the pause after a path change may
+	// last: other requests that lost the same stage are prefilled again at the same engines.
 	changeTimeFactor = 3
-	// minChangeSilence is the least silence after a change of path that is suspicious. With 90 ms
-	// 45 in 100 streams that changed their path were sent elsewhere as well and read whole
-	// again; of the others nine in ten paused for less than 235 ms, the silence before the
-	// order included.
+	// minChangeSilence is the least silence after a path change that counts as overdue. With 90 ms,
+	// 45 in 100 streams that changed their path were also retried elsewhere and prefilled again
+	// from the start; of the others, nine in ten paused for less than 235 ms, including the silence
+	// before the order.
 	minChangeSilence = 200 * time.Millisecond
-	// stagesPerSilent is of how many stages of a path one may be replaced because it fell silent.
-	// Where more are silent the way to the first engine is likelier to be at fault.
+	// stagesPerSilent is how many stages a path must have for each stage that is replaced because
+	// it fell silent. If more are silent, the network path to the first engine is more likely to be
+	// at fault.
 	stagesPerSilent = 3
 )
 
@@ -36,15 +37,15 @@
 	ChangePath(ctx context.Context, o protocol.PathOrder) protocol.PathAnswer
 }
 
-// pathAnswered is what became of an order to change the path of an attempt.
+// pathAnswered carries the outcome of an order to change the path of an attempt.
 type pathAnswered struct {
 	attempt *attempt
 	answer  protocol.PathAnswer
 }
 
-// stallReported is whether an attempt's first engine lists it among the requests that wait
-// for a runner, as it does when an order that was not answered had no effect. An engine that
-// does not report counts as one that lists it.
+// stallReported says whether an attempt's first engine lists it among the requests that wait for a
+// runner, as it does if an unanswered order had no effect. An engine that does not report counts as
+// listing it.
 type stallReported struct {
 	attempt *attempt
 	stalled bool
@@ -65,7 +66,7 @@
 	c.attempt.post(pathAnswered{attempt: c.attempt, answer: answer})
 }
 
-// stallCheck is one question to an attempt's first engine whether the request still waits.
+// stallCheck asks an attempt's first engine whether the request still waits.
 type stallCheck struct {
 	forwarder *Forwarder
 	attempt   *attempt
@@ -78,9 +79,8 @@
 	a.post(stallReported{attempt: a, stalled: waits})
 }
 
-// replaceLost has the first engine of an attempt's path replaceLost the stages that are lost, if
-// that is better than sending the request again. It returns "" when it did nothing: then a
-// further send may be thought of.
+// replaceLost makes the first engine of an attempt's path replace the lost stages, if that is
+// better than a further attempt. It returns "" if it did nothing, so that the caller may hedge.
 func (x *exchange) replaceLost(a *attempt, now time.Time) silenceAction {
 	if a.pathChange.Pending() {
 		x.checkUnresolvedOrder(a, now)
@@ -98,11 +98,10 @@
 	return x.changePath(a, q, now)
 }
 
-// replaceSilent is replace for a request that can't be sent elsewhere: nothing but waiting
-// would be left, so stages that have fallen silent are replaced too, as long as they are
-// few. Where sending elsewhere is possible it is better: of the streams whose silent stages
-// were replaced 20 in 100 paused for over 250 ms, of those whose stages were known to be
-// lost 5 in 100.
+// replaceSilent is replaceLost for a request that can't be retried elsewhere. The only alternative
+// is to wait, so stages that have fallen silent are replaced too, as long as they are few. A retry
+// is better where it is possible: of the streams whose silent stages were replaced, 20 in 100
+// paused for over 250 ms; of those whose stages were known to be lost, 5 in 100.
 func (x *exchange) replaceSilent(a *attempt, quiet []*fleet.Runner, now time.Time) silenceAction {
 	if lost := lostRunners(a, now); len(lost) > 0 {
 		quiet = lost
@@ -115,15 +114,15 @@
 	return x.changePath(a, x.changeQuery(a, quiet, now), now)
 }
 
-// mayReplace reports whether stages of an attempt's path may be replaced: not the first
-// one, whose engine is to be ordered, nor while another attempt may speak first, nor where the
-// work may have ended them.
+// mayReplace reports whether stages of an attempt's path may be replaced: not the first stage,
+// whose engine receives the order, not while another attempt may deliver the next event, and not if
+// the work may have crashed them.
 func (x *exchange) mayReplace(a *attempt, stages []*fleet.Runner, now time.Time) bool {
 	return x.forwarder.PathChanger != nil && len(x.open) == 1 && a.pathChange.CanStart() && len(stages) > 0 &&
 		!slices.Contains(stages, a.endpoint) && x.mayChangeEndpoints(now)
 }
 
-// changePath orders the changePath of path that the query allows, and returns "" if there is none.
+// changePath orders the path change that the query allows, and returns "" if there is none.
 func (x *exchange) changePath(a *attempt, q *reroute.Query, now time.Time) silenceAction {
 	change, ok := reroute.Choose(x.candidateModels(a), q).(*reroute.Change)
 	if !ok {
@@ -133,8 +132,7 @@
 	return silenceChanging
 }
 
-// changeQuery is what the decision on a change of path depends on, without a path
-// elsewhere.
+// changeQuery returns the input for the decision on a path change, without a path elsewhere.
 func (x *exchange) changeQuery(a *attempt, lost []*fleet.Runner, now time.Time) *reroute.Query {
 	written := x.events * max(1, x.service.Engine.EventTokens)
 	q := &reroute.Query{
@@ -144,8 +142,8 @@
 	return q
 }
 
-// candidateModels returns the engines among which replacements are looked for: those of the path's
-// data center first.
+// candidateModels returns the models whose engines may replace a stage, those of the path's data
+// center first.
 func (x *exchange) candidateModels(a *attempt) []*fleet.Model {
 	view := x.forwarder.Registry.View()
 	home := a.endpoint.Spec().Model
@@ -158,7 +156,7 @@
 	return list
 }
 
-// orderPath sends the orderPath. From now on the work counts at the stages of both paths.
+// orderPath sends the order. From now on the load counts at the stages of both paths.
 func (x *exchange) orderPath(a *attempt, c *reroute.Change, now time.Time) {
 	f := x.forwarder
 	a.pathChange.Start(c.Path())
--- a/transport/forward/reroute_answer.go
+++ b/transport/forward/reroute_answer.go
@@ -14,14 +14,14 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// checkUnresolvedOrder asks the first engine about an order whose effect has not been seen.
+// checkUnresolvedOrder queries the first engine about an order whose effect is not known.
 func (x *exchange) checkUnresolvedOrder(a *attempt, now time.Time) {
 	if a.pathChange.StartQuery(now) {
 		go (&stallCheck{forwarder: x.forwarder, attempt: a}).run()
 	}
 }
 
-// handlePathAnswer acts on what became of an order.
+// handlePathAnswer handles the outcome of an order.
 func (x *exchange) handlePathAnswer(m pathAnswered, now time.Time) {
 	a := m.attempt
 	next, _ := a.pathChange.OrderedPath()
@@ -43,8 +43,8 @@
 	}
 }
 
-// handleStallReport acts on what the first engine told of a request whose change of path is in
-// doubt.
+// handleStallReport handles what the first engine reports about a request whose path change is
+// unresolved.
 func (x *exchange) handleStallReport(m stallReported, now time.Time) {
 	a := m.attempt
 	next, _ := a.pathChange.OrderedPath()
@@ -54,7 +54,7 @@
 	}
 }
 
-// switchPath puts the attempt on the path that its first engine has taken.
+// switchPath moves the attempt to the path that its first engine has accepted.
 func (x *exchange) switchPath(a *attempt, p *path.Path, now time.Time) {
 	for i := range a.path.Len() {
 		r, span := a.path.Runner(i), a.path.Span(i)
@@ -69,19 +69,19 @@
 	a.pathChangedAt = now
 	x.timing.postpone(a.changeGraceUntil)
 	if len(lostRunners(a, now)) > 0 {
-		x.recoverLost(a, now) // another stage was lost meanwhile
+		x.recoverLost(a, now) // another stage was lost in the meantime
 	}
 }
 
-// recoverLost acts on the lost stages of an attempt's path, if it has any.
+// recoverLost handles the lost stages of an attempt's path, if it has any.
 func (x *exchange) recoverLost(a *attempt, now time.Time) {
 	if lost := lostRunners(a, now); len(lost) > 0 {
 		x.recoverAttempt(a, lost, now)
 	}
 }
 
-// avoidUnfit leaves out the new stage that could not take the request, or all new stages if
-// the answer does not name one.
+// avoidUnfit avoids the new stage that could not take the request, or all new stages if the reply
+// does not name one.
 func (x *exchange) avoidUnfit(a *attempt, p *path.Path, address string, now time.Time) {
 	for i := range p.Len() {
 		r, span := p.Runner(i), p.Span(i)
@@ -97,7 +97,7 @@
 	}
 }
 
-// recordPathChange notes that an event came on an attempt, which ends the pause of a change of path.
+// recordPathChange records the duration of a path change when the next event is received.
 func (x *exchange) recordPathChange(a *attempt, now time.Time) {
 	a.pathChange.HandleProgress()
 	if a.pathChangedAt.IsZero() {
@@ -107,8 +107,8 @@
 	a.pathChangedAt = time.Time{}
 }
 
-// closeUnresolved ends the open attempts that a late order may still put on another path, before
-// the request is sent elsewhere: two paths must not run it.
+// closeUnresolved closes the open attempts that a late order may still move to another path, before
+// the request is sent elsewhere: it must not run on two paths.
 func (x *exchange) closeUnresolved() {
 	for _, a := range slices.Clone(x.open) {
 		if a.pathChange.MayApplyLate() {
@@ -117,20 +117,20 @@
 	}
 }
 
-// layerPasses returns the layer passes that the attempt asks of a stage.
+// layerPasses returns how many layer passes the attempt asks of a stage.
 func (a *attempt) layerPasses(span protocol.Span) int64 {
 	return a.passesPerLayer * int64(span.Layers())
 }
 
-// adjustPendingLoad counts the work of the attempt (sign 1) at the stages that only the ordered path
-// has, or takes it off again (sign -1), if an order is not settled yet.
+// adjustPendingLoad adds the attempt's load (sign 1) to the stages that only the ordered path has,
+// or removes it (sign -1), if an order is pending.
 func (a *attempt) adjustPendingLoad(sign int64) {
 	if next, ok := a.pathChange.OrderedPath(); ok {
 		a.adjustLoad(next, sign)
 	}
 }
 
-// adjustLoad is loadNext for a path that may no longer be ordered.
+// adjustLoad is adjustPendingLoad for a path whose order may no longer be pending.
 func (a *attempt) adjustLoad(next *path.Path, sign int64) {
 	for i := range next.Len() {
 		r, span := next.Runner(i), next.Span(i)
@@ -144,13 +144,13 @@
 	}
 }
 
-// provesStage reports whether an event on the attempt proves that a stage works. It does not if
-// the stage may have been replaced.
+// provesStage reports whether an event on the attempt proves that a stage works. It does not if the
+// stage may have been replaced.
 func (a *attempt) provesStage(stage int) bool {
 	return a.pathChange.UsesStage(a.path.Runner(stage), a.path.Span(stage))
 }
 
-// answerCause returns why an order was not taken, "" if the kind of the answer says all.
+// answerCause returns why an order was not accepted, "" if the kind of the reply says everything.
 func answerCause(answer protocol.PathAnswer) string {
 	switch answer := answer.(type) {
 	case protocol.PathRefused:
--- a/transport/forward/reroute_harness_test.go
+++ b/transport/forward/reroute_harness_test.go
@@ -22,8 +22,8 @@
 	"pinerun.example/pinerun/state/routing"
 )
 
-// firstEngine plays the first engine of every path: an order to change a path waits for an
-// answer, and a report says what is set.
+// firstEngine stands for the first engine of every path: an order to change a path waits for an
+// answer from the test, and a report says what the test sets.
 type firstEngine struct {
 	orders  chan protocol.PathOrder
 	answers chan protocol.PathAnswer
@@ -48,10 +48,10 @@
 	return r, nil
 }
 
-// fleetSize is how many engines there are, a third for each third of the layers.
+// fleetSize is the number of engines, a third for each third of the layers.
 const fleetSize = 12
 
-// silentEngines returns the addresses of engines whose connections come up and say nothing.
+// silentEngines returns the addresses of engines that accept connections and send nothing.
 func silentEngines(t *testing.T) []string {
 	var list []string
 	for range fleetSize {
@@ -63,14 +63,15 @@
 	return list
 }
 
-// pathChangeHarness is an exchange of a stream over engines that hold a third of the layers each.
+// pathChangeHarness drives an exchange of a stream over engines that hold a third of the layers
+// each.
 type pathChangeHarness struct {
 	t          require.TestingT
 	forwarder  *Forwarder
 	exchange   *exchange
 	engine     *firstEngine
 	ordered    bool // an order waits for its answer
-	unresolved bool // some order was not answered
+	unresolved bool // an order was not answered
 	changes    int
 }
 
@@ -109,7 +110,7 @@
 	return s
 }
 
-// lose has everybody take a stage of the oldest open send as lost.
+// lose marks a stage of the oldest open attempt as lost.
 func (s *pathChangeHarness) lose(stage int) {
 	x := s.exchange
 	if len(x.open) > 0 {
@@ -120,7 +121,7 @@
 	s.recordOrder()
 }
 
-// recordOrder notes an order that an action brought about.
+// recordOrder records the order that an action caused, if any, and checks it.
 func (s *pathChangeHarness) recordOrder() {
 	if n := int(s.forwarder.Counters.Value(string(metric.PathOrders))); n > s.changes {
 		require.Equal(s.t, s.changes+1, n, "two orders at once")
@@ -137,14 +138,14 @@
 	}
 }
 
-// answer gives the answer to the order and takes what comes of it.
+// answer answers the order and handles the result.
 func (s *pathChangeHarness) answer(a protocol.PathAnswer) {
 	if !s.ordered {
 		return
 	}
 	s.ordered = false
 	if len(s.exchange.open) == 0 {
-		return // the order ended with its send
+		return // the order ended with its attempt
 	}
 	_, unanswered := a.(protocol.PathUnanswered)
 	s.unresolved = s.unresolved || unanswered
@@ -159,7 +160,7 @@
 	}
 }
 
-// event brings an event on the oldest open send.
+// event delivers an event on the oldest open attempt.
 func (s *pathChangeHarness) event() {
 	if x := s.exchange; len(x.open) > 0 {
 		a := x.open[0]
@@ -168,7 +169,7 @@
 	}
 }
 
-// look looks at the request as a second later, when an order in doubt is asked about.
+// look checks the request as if a second had passed, when an unresolved order is queried.
 func (s *pathChangeHarness) look(stalled bool) {
 	x := s.exchange
 	if len(x.open) == 0 || !x.open[0].pathChange.Pending() || s.ordered {
@@ -187,8 +188,8 @@
 	}
 }
 
-// check compares the work that counts at the runners with the open sends, and says that
-// no send is open beside one whose path may change.
+// check compares the load that counts at the runners with the open attempts, and checks that no
+// second attempt is open while the path of one may change.
 func (s *pathChangeHarness) check() {
 	x := s.exchange
 	if len(x.open) > 1 {
--- a/transport/forward/reroute_test.go
+++ b/transport/forward/reroute_test.go
@@ -13,8 +13,9 @@
 	"pinerun.example/pinerun/state/fleet"
 )
 
-// TestWorkFollowsThePath draws losses, answers, lost answers, reports, events and callers
-// that leave: work counts just where it may be done, and one request never has two paths.
+// TestWorkFollowsThePath draws losses, replies to orders, lost replies, reports, events and callers
+// that leave. It checks that load counts exactly where the request may run, and that a request
+// never runs on two paths.
 func TestWorkFollowsThePath(t *testing.T) {
 	addresses := silentEngines(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -44,8 +45,8 @@
 	})
 }
 
-// TestLostStageIsReplacedBeforeRetry, and what has moved is heard on its
-// new path.
+// TestLostStageIsReplacedBeforeRetry checks that a lost stage is replaced instead of retrying the
+// request, and that events after the change count for the new path.
 func TestLostStageIsReplacedBeforeRetry(t *testing.T) {
 	s := newPathChangeHarness(t, silentEngines(t), true)
 	t.Cleanup(s.end)
@@ -54,8 +55,8 @@
 	s.lose(1)
 	require.True(t, s.ordered)
 	require.Equal(t, 1, s.exchange.attempts)
-	s.event() // on its way since before the loss
-	require.False(t, before.Runner(1).HeardAt().After(s.exchange.begun), "what came says nothing of a stage that is being replaced")
+	s.event() // sent before the loss
+	require.False(t, before.Runner(1).HeardAt().After(s.exchange.begun), "an event proves nothing about a stage that is being replaced")
 	require.True(t, before.Runner(2).HeardAt().After(s.exchange.begun))
 	s.answer(protocol.PathTaken{})
 	require.Equal(t, 1, s.exchange.attempts)
@@ -67,7 +68,8 @@
 	require.WithinDuration(t, time.Now(), a.path.Runner(1).HeardAt(), time.Minute)
 }
 
-// TestSecondLossDuringPathChange is answered by a second one.
+// TestSecondLossDuringPathChange checks that a second loss during a path change leads to a second
+// change.
 func TestSecondLossDuringPathChange(t *testing.T) {
 	s := newPathChangeHarness(t, silentEngines(t), false)
 	t.Cleanup(s.end)
@@ -82,7 +84,8 @@
 	require.Equal(t, 1, s.exchange.attempts)
 }
 
-// TestUnfitStageIsNotRetried, whether it is named or not.
+// TestUnfitStageIsNotRetried checks that a stage that could not take the request is not ordered
+// again, whether the reply names it or not.
 func TestUnfitStageIsNotRetried(t *testing.T) {
 	for _, named := range []bool{true, false} {
 		s := newPathChangeHarness(t, silentEngines(t), true)
@@ -102,11 +105,12 @@
 		require.Zero(t, unfit.Outstanding())
 		require.Equal(t, named, !unfit.Usable(time.Now()))
 		s.answer(answer)
-		require.Equal(t, 2, s.exchange.attempts, "then it is sent elsewhere")
+		require.Equal(t, 2, s.exchange.attempts, "the request is sent elsewhere")
 	}
 }
 
-// TestFailedPathChangeIsRetriedElsewhere, if the request may run twice.
+// TestFailedPathChangeIsRetriedElsewhere checks that a failed path change leads to a further
+// attempt if the request is repeatable.
 func TestFailedPathChangeIsRetriedElsewhere(t *testing.T) {
 	for _, mayRepeat := range []bool{true, false} {
 		s := newPathChangeHarness(t, silentEngines(t), mayRepeat)
@@ -117,7 +121,9 @@
 	}
 }
 
-// TestUnresolvedAttemptClosesBeforeRetry: a late order then finds no request.
+// TestUnresolvedAttemptClosesBeforeRetry guards against a request that runs on two paths: an
+// attempt whose order has no reply is closed before the next attempt, so that a late order finds no
+// request.
 func TestUnresolvedAttemptClosesBeforeRetry(t *testing.T) {
 	s := newPathChangeHarness(t, silentEngines(t), true)
 	t.Cleanup(s.end)
@@ -126,7 +132,7 @@
 	s.answer(protocol.PathUnanswered{Cause: errNoAnswer})
 	require.Equal(t, 1, s.exchange.attempts)
 	s.look(false)
-	require.Equal(t, 1, s.exchange.attempts, "it does not wait: it may have been moved")
+	require.Equal(t, 1, s.exchange.attempts, "not listed as stalled: its path may have changed")
 	s.look(true)
 	require.Equal(t, 2, s.exchange.attempts)
 	require.Len(t, s.exchange.open, 1)
@@ -134,8 +140,8 @@
 	require.Error(t, first.cancelled.Err(), "the engine sees its connection close")
 }
 
-// TestSilentStageIsReplacedWithoutAlternative: not if the request may be sent elsewhere,
-// and not if most of the path is silent.
+// TestSilentStageIsReplacedWithoutAlternative checks that a silent stage is replaced only if the
+// request can't be sent elsewhere and most of the path is not silent.
 func TestSilentStageIsReplacedWithoutAlternative(t *testing.T) {
 	for _, c := range []struct {
 		mayRepeat     bool
@@ -161,7 +167,8 @@
 	}
 }
 
-// TestFirstStageIsNotReplaced, nor has one that is lost itself anybody to order it.
+// TestFirstStageIsNotReplaced checks that a lost engine that holds the whole model, or the first
+// stage, leads to a further attempt: no engine is left that could receive an order.
 func TestFirstStageIsNotReplaced(t *testing.T) {
 	s := newPathChangeHarness(t, silentEngines(t), true)
 	t.Cleanup(s.end)
--- a/transport/forward/reservation.go
+++ b/transport/forward/reservation.go
@@ -10,18 +10,17 @@
 )
 
 const (
-	// smallBytes is the size up to which a body, an answer or an event is not counted, in
-	// bytes: it is allowed for in the bound on connections. Most are smaller, and need no look
-	// at the budget.
+	// smallBytes is the size in bytes up to which a body, a response or an event is not counted:
+	// the bound on connections allows for it. Most are smaller and need no access to the budget.
 	smallBytes = 4 << 10
-	// reserveRetryInterval is how often an answer that finds no room is tried again. Engines wait
-	// some seconds before they cut it off.
+	// reserveRetryInterval is how often a response that finds the budget used up tries again.
+	// Engines wait some seconds before they close the connection.
 	reserveRetryInterval = 20 * time.Millisecond
 )
 
-// reservation is what one request takes of the entry's budget beside what waits for its caller:
-// its body, and what its engines sent that is not passed on yet. The zero value is bounded
-// by nothing.
+// reservation is the memory that one request takes from the entry's budget, apart from what is
+// buffered for its caller: its body, and what its engines sent that is not passed on yet. The zero
+// value is unbounded.
 type reservation struct {
 	budget *backlog.Budget
 
@@ -30,7 +29,7 @@
 	closed bool
 }
 
-// reserve takes room for n bytes more, or gives back -n, and reports whether there is any.
+// reserve reserves n more bytes, or releases -n, and reports whether the budget allows it.
 func (r *reservation) reserve(n int64) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -44,7 +43,7 @@
 	return true
 }
 
-// reserveWait waits for room for n bytes more, and reports whether it came before the end.
+// reserveWait waits until n more bytes can be reserved. It reports false if end is closed first.
 func (r *reservation) reserveWait(n int64, end <-chan struct{}) bool {
 	if r.reserve(n) {
 		return true
@@ -63,7 +62,7 @@
 	}
 }
 
-// releaseAll gives everything back. What is taken later counts no more.
+// releaseAll releases everything. Later reservations are not counted.
 func (r *reservation) releaseAll() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/transport/forward/silence.go
+++ b/transport/forward/silence.go
@@ -13,34 +13,34 @@
 	"pinerun.example/pinerun/state/fleet"
 )
 
-// maxOpenAttempts is how many attempts of one request are open at once.
+// maxOpenAttempts is how many attempts of one request may be open at once.
 const maxOpenAttempts = 2
 
-// silenceAction is what is done about a silence.
+// silenceAction is the action taken on a silence.
 type silenceAction string
 
-// The actions on a silence.
+// The actions on a silence. Their texts appear in the log.
 const (
-	silenceBusy          silenceAction = "other streams hear its runners: wait"
-	silenceNotRepeatable silenceAction = "may not run twice: wait"
+	silenceBusy          silenceAction = "its runners are heard on other streams: wait"
+	silenceNotRepeatable silenceAction = "not repeatable: wait"
 	silenceHedged        silenceAction = "asked elsewhere already: wait"
-	silenceMaxAttempts   silenceAction = "no further send is allowed: wait"
-	silenceNoPath        silenceAction = "no sound path elsewhere: wait"
+	silenceMaxAttempts   silenceAction = "no further attempt is allowed: wait"
+	silenceNoPath        silenceAction = "no healthy path elsewhere: wait"
 	silenceNoBudget      silenceAction = "retry budget spent: wait"
 	silenceElsewhere     silenceAction = "ask elsewhere"
 	silenceNoGain        silenceAction = "slow, and no path is enough faster: wait"
-	silenceTooLate       silenceAction = "slow, and late already: wait"
-	silenceQuarantined   silenceAction = "may end its endpoint: not at two"
+	silenceTooLate       silenceAction = "slow, and already too late: wait"
+	silenceQuarantined   silenceAction = "may crash its endpoint: no second attempt"
 	silenceChanging      silenceAction = "change its path"
 )
 
-// noRetryPossible reports whether a silence ended in the finding that the request can't be sent
+// noRetryPossible reports whether the action is to wait because the request can't be sent
 // elsewhere.
 func (s silenceAction) noRetryPossible() bool {
 	return s == silenceNotRepeatable || s == silenceMaxAttempts || s == silenceNoPath || s == silenceNoBudget
 }
 
-// wake acts when the deadline has come or an event is overdue.
+// wake handles a deadline that has passed and an event that is overdue.
 func (x *exchange) wake(now time.Time) {
 	x.checkSuspension(now)
 	if x.queued != nil {
@@ -70,8 +70,8 @@
 	}
 }
 
-// handleSilence finds out why an attempt is overdue, and acts on it: stages are lost, engines
-// are slow, or nothing is known and those that are silent are suspected.
+// handleSilence finds out why an attempt is overdue and reacts: stages are lost, engines are slow,
+// or the cause is unknown and the silent runners are suspected.
 func (x *exchange) handleSilence(silent *attempt, now time.Time) {
 	x.reportOpenCall(silent, now)
 	if silent.waitsOnReusedConn() {
@@ -92,8 +92,8 @@
 	x.recoverAttempt(silent, x.forwarder.faultLocator.silentRunners(silent, x.timing.lastEvent, now), now)
 }
 
-// handleLosses acts on the news that some runner is lost: what an open attempt waits for won't
-// come if its path leads there, so it need not fall silent first.
+// handleLosses handles a change in the set of lost runners. An attempt whose path leads over a lost
+// runner won't receive what it waits for, so it need not fall silent first.
 func (x *exchange) handleLosses(now time.Time) {
 	x.reportLostEndpoints(now)
 	for _, a := range x.open {
@@ -104,7 +104,7 @@
 	}
 }
 
-// lostRunners returns the runners of an attempt's path that are lost.
+// lostRunners returns the lost runners of an attempt's path.
 func lostRunners(a *attempt, now time.Time) []*fleet.Runner {
 	var lost []*fleet.Runner
 	for i := range a.path.Len() {
@@ -115,7 +115,8 @@
 	return lost
 }
 
-// recoverAttempt does what can be done about an attempt that waits for some runners.
+// recoverAttempt does what is possible for an attempt that waits for some runners: replace stages,
+// hedge, or wait.
 func (x *exchange) recoverAttempt(silent *attempt, quiet []*fleet.Runner, now time.Time) {
 	action := x.replaceLost(silent, now)
 	if action == "" {
@@ -127,18 +128,19 @@
 	x.logSilence(silent, quiet, action, now)
 }
 
-// logSilence logs what was done about a silence.
+// logSilence logs the action on a silence.
 func (x *exchange) logSilence(silent *attempt, quiet []*fleet.Runner, action silenceAction, now time.Time) {
 	if action == x.lastAction {
-		return // one line for each turn of a silence, not for each look at it
+		return // logs each change of the action, not each check
 	}
 	x.lastAction = action
 	x.forwarder.log(event.SilenceSuspected, x.requestAttr(), slog.Int("attempt", silent.number), slog.String("endpoint", silent.endpoint.Name()),
 		slog.Int64("silent_ms", now.Sub(x.timing.lastEvent).Milliseconds()), slog.Int("quiet", len(quiet)), slog.String("action", string(action)))
 }
 
-// closeLostAttempts ends the open attempts but one that wait for a lost runner, and reports whether
-// another is of use: not while one is open whose runners may all live.
+// closeLostAttempts closes the open attempts that wait for a lost runner, except the last open one,
+// and reports whether another attempt is useful. It is not while an attempt is open that has no
+// lost runner.
 func (x *exchange) closeLostAttempts(now time.Time) bool {
 	for _, a := range slices.Clone(x.open) {
 		if len(x.open) > 1 && len(lostRunners(a, now)) > 0 {
@@ -148,23 +150,23 @@
 	return len(x.open) == 1 && len(lostRunners(x.open[0], now)) > 0
 }
 
-// suspectsConn reports whether a silent attempt whose runners others hear is more likely to
-// wait on a connection that is dead than on busy runners: nothing has come for a second on one that
-// had rested. What is on the way may forget open connections for good, without a reset, while new
-// ones work. A stream that has begun is not doubted so: where 2,000 callers read nothing, the
-// copies of their streams would take the room of others.
+// suspectsConn reports whether a silent attempt whose runners are heard on other streams more
+// likely waits on a dead connection than on busy runners: nothing was received for a second on a
+// reused connection. Devices on the network path may drop the state of open connections for good,
+// without a reset, while new ones work. Streams that have begun are exempt: where 2,000 callers
+// read nothing, the second attempts of their streams would take the capacity of others.
 func (x *exchange) suspectsConn(silent *attempt, now time.Time) bool {
 	return silent.waitsOnReusedConn() && !now.Before(x.deadAt())
 }
 
-// needsNewConn reports whether a further send goes on a new connection: those that rest may all be
-// as dead as that of the attempt that is silent.
+// needsNewConn reports whether a further attempt must use a new connection: the idle ones may be as
+// dead as that of the silent attempt.
 func (x *exchange) needsNewConn(now time.Time) bool {
 	return len(x.open) > 0 && (x.open[0].waitsOnReusedConn() || !now.Before(x.deadAt()))
 }
 
-// secondOnReusedConn returns the attempt beside a silent one if it may wait on a dead connection as well, nil
-// if it does not.
+// secondOnReusedConn returns the attempt beside a silent one if it may also wait on a dead
+// connection, nil otherwise.
 func (x *exchange) secondOnReusedConn(now time.Time) *attempt {
 	if len(x.open) < maxOpenAttempts || now.Before(x.deadAt()) {
 		return nil
@@ -175,8 +177,8 @@
 	return nil
 }
 
-// hedge asks for the answer elsewhere, without the runners that have fallen
-// silent, while the silent attempt stays open. It returns what was done.
+// hedge starts a second attempt that avoids the silent runners, while the silent attempt stays
+// open. It returns the action taken.
 func (x *exchange) hedge(silent *attempt, quiet []*fleet.Runner, now time.Time) silenceAction {
 	switch {
 	case len(x.open) >= maxOpenAttempts && !x.closeLostAttempts(now) && x.secondOnReusedConn(now) == nil:
@@ -213,7 +215,7 @@
 	x.closeUnresolved()
 	if deaf := x.secondOnReusedConn(now); deaf != nil {
 		x.forwarder.pool.closeIdle(deaf.endpoint.Name())
-		x.closeAttempt(deaf) // only now that another takes its place
+		x.closeAttempt(deaf) // closed only now that another attempt replaces it
 	}
 	x.startAttempt(&p)
 	return action
--- a/transport/forward/slow_caller.go
+++ b/transport/forward/slow_caller.go
@@ -16,15 +16,15 @@
 	"pinerun.example/pinerun/transport/backlog"
 )
 
-// writeChunkBytes is how much of a whole answer is written before its caller must have taken all
-// of it, in bytes, so that no more than twice as much waits for one caller.
+// writeChunkBytes is how many bytes of a whole response are written before the caller must have
+// read all of them, so that at most twice as much is buffered for one caller.
 const writeChunkBytes = 32 << 10
 
-// refusalReadTimeout is how long a refusal waits for a caller that does not read. It is short, so
-// only those wait whose callers have left answers before it unread.
+// refusalReadTimeout is how long a refusal waits for a caller that does not read. Refusals are
+// short, so only those wait whose callers have left earlier responses unread.
 const refusalReadTimeout = 10 * time.Second
 
-// incoming returns the channel of what attempts tell, nil while the exchange is paused.
+// incoming returns the channel of the attempts' messages, nil while the exchange is paused.
 func (x *exchange) incoming() <-chan message {
 	if x.paused {
 		return nil
@@ -41,8 +41,8 @@
 	return x.caller.Told()
 }
 
-// checkCaller acts on whether the caller keeps up with its stream. Bytes that wait before the
-// stream has begun belong to the connection's answer before.
+// checkCaller reacts to whether the caller keeps up with its stream. Bytes that are buffered before
+// the stream has begun belong to the previous response on the connection.
 func (x *exchange) checkCaller(now time.Time) {
 	if x.finished || !x.headSent {
 		return
@@ -68,17 +68,17 @@
 	}
 }
 
-// resumeReading ends the pause: what attempts tell is taken again.
+// resumeReading ends the pause: messages of attempts are received again.
 func (x *exchange) resumeReading(now time.Time) {
 	if !x.paused {
 		return
 	}
 	x.paused = false
-	x.timing.lastEvent = now // the silence was this entry's, not the engine's
+	x.timing.lastEvent = now // the silence was caused by this entry, not by the engine
 	x.timing.restart(now)
 }
 
-// pauseReading pauses the exchange. Attempts that can't tell it anything stop reading their
+// pauseReading pauses the exchange. Attempts that can't deliver messages stop reading from their
 // engines.
 func (x *exchange) pauseReading(d pressure.Pause, now time.Time) {
 	if !x.paused {
@@ -93,8 +93,8 @@
 	}
 }
 
-// park ends the open attempt before its engine, which is left unread, cuts it off. The
-// stream goes on elsewhere after the last event written, once the caller has read that.
+// park closes the open attempt before its engine, whose response is left unread, cuts it off. The
+// stream continues elsewhere after the last event written, once the caller has read that.
 func (x *exchange) park(now time.Time) {
 	if len(x.open) == 0 {
 		x.recheckAt = x.deadline
@@ -107,8 +107,8 @@
 	x.checkCaller(now)
 }
 
-// checkParked sends the request elsewhere once the caller has read everything. Sooner would
-// waste the reading of the prompt on a caller that takes an event now and then.
+// checkParked sends the request elsewhere once the caller has read everything. An earlier attempt
+// would waste a prefill on a caller that reads an event now and then.
 func (x *exchange) checkParked(d pressure.Decision, now time.Time) {
 	if _, ended := d.(pressure.Abort); ended {
 		x.failForMemory()
@@ -124,7 +124,7 @@
 	x.retryOrFinish(a, retry.Broken, nil, now)
 }
 
-// handleWriteError ends a stream whose caller's connection can't be written to any more.
+// handleWriteError ends a stream whose caller's connection can no longer be written to.
 func (x *exchange) handleWriteError() {
 	if x.caller != nil && errors.Is(x.caller.Err(), backlog.ErrEnded) {
 		x.failForMemory()
@@ -134,13 +134,13 @@
 	x.finished = true
 }
 
-// failForMemory breaks the answer off, because the budget gave its room to others.
+// failForMemory aborts the response, because the budget gave its memory to others.
 func (x *exchange) failForMemory() {
-	x.fail(protocol.Uncertain(protocol.CallerGone, "the caller did not read its answer, and its room was needed"))
+	x.fail(protocol.Uncertain(protocol.CallerGone, "the caller did not read its response, and its memory was needed"))
 }
 
-// writeBody writes a whole answer as fast as its caller reads, and reports whether the caller
-// took all of it.
+// writeBody writes a whole response as fast as its caller reads, and reports whether the caller
+// read all of it.
 func (x *exchange) writeBody(body []byte) bool {
 	for len(body) > writeChunkBytes {
 		if _, err := x.writer.Write(body[:writeChunkBytes]); err != nil {
@@ -157,8 +157,8 @@
 	return x.drain()
 }
 
-// drain waits until the caller has taken what waits for it, and reports whether it did.
-// The write deadline bounds the wait.
+// drain waits until the caller has read what is buffered for it, and reports whether it did. The
+// write deadline bounds the wait.
 func (x *exchange) drain() bool {
 	if x.caller == nil || x.caller.Held() == 0 {
 		return true
@@ -174,8 +174,9 @@
 	return x.caller.Err() == nil
 }
 
-// tagCallerConn tells the caller's connection whose answer it carries. One that is not admitted is
-// nobody's, and gives way first: else callers without a key would displace those with one.
+// tagCallerConn tells the caller's connection whose response it carries. The connection of a
+// request that is not admitted belongs to no team and gives way first: otherwise callers without a
+// key would displace callers with one.
 func (x *exchange) tagCallerConn(admitted bool) {
 	switch {
 	case x.caller == nil:
@@ -186,14 +187,14 @@
 	}
 }
 
-// waitForRead waits until the caller has taken a refusal. Otherwise who sends requests one
-// behind the other and reads nothing has a refusal of each held, as much as the budget is.
+// waitForRead waits until the caller has read a refusal. Otherwise a caller that sends requests one
+// after the other and reads nothing could fill the whole budget with refusals.
 func (x *exchange) waitForRead() {
 	if x.caller == nil {
 		return
 	}
 	rc := http.NewResponseController(x.writer)
-	_ = rc.SetWriteDeadline(time.Now().Add(refusalReadTimeout)) // fails only once the connection has
+	_ = rc.SetWriteDeadline(time.Now().Add(refusalReadTimeout)) // fails only if the connection has failed
 	if rc.Flush() == nil {
 		x.drain()
 	}
--- a/transport/forward/slow_path.go
+++ b/transport/forward/slow_path.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	// stageOverhead is what each stage adds to the time of an event beside its work: the wait
-	// for the pass under way there, and the way to the next stage. The median is 1.7 to 2.4 ms
-	// on paths of 6 to 17 stages.
+	// stageOverhead is what each stage adds to the time of an event beside its work: the wait for
+	// the pass that is running there, and the transfer to the next stage. The median is 1.7 to
+	// 2.4 ms on paths of 6 to 17 stages.
 	stageOverhead = 2 * time.Millisecond
-	// deadTimeout is how long an attempt whose path is known to be slow, or is heard by others, must
-	// be silent for one of its engines, or its connection, to be suspected to be dead. An engine
-	// slow by a factor of twelve that reads the prompts of others holds a stream up for some
-	// tenths of a second; callers leave a silent stream after two seconds or more.
+	// deadTimeout is how long an attempt whose path is known to be slow, or is heard on other
+	// streams, must be silent before one of its engines or its connection is suspected to be dead.
+	// An engine that is slow by a factor of twelve and prefills other prompts delays a stream by
+	// some tenths of a second; callers leave a silent stream after two seconds or more.
 	deadTimeout = time.Second
 	// typicalFirstEvent is how long the first event takes elsewhere, with a margin: the median is
-	// 50 ms on engines with room.
+	// 50 ms on engines with free capacity.
 	typicalFirstEvent = 100 * time.Millisecond
-	// minSpeedup is by which factor another path must be faster for the request to be sent
-	// there, since its prompt is read again. A path that is slower than usual by less falls
+	// minSpeedup is the factor by which another path must be faster for the request to be sent
+	// there, since its prompt is prefilled again. A path that is slower than usual by less falls
 	// silent for another reason.
 	minSpeedup = 1.5
 )
 
 // expectedEventTime returns how long an event of a path should take: its tokens pass through all
-// layers, one after the other.
+// layers in sequence.
 func expectedEventTime(p *path.Path, s *protocol.RoutedService) time.Duration {
 	if s.Engine == nil {
 		return 0
@@ -43,7 +43,7 @@
 	return work + time.Duration(p.Len())*stageOverhead
 }
 
-// slowness returns how many times its usual time a path takes, by the known pace of its
+// slowness returns how many times its usual time a path takes, by the known slowdown of its
 // engines.
 func slowness(p *path.Path, now time.Time) float64 {
 	usual, known := 0.0, 0.0
@@ -59,7 +59,7 @@
 	return known / usual
 }
 
-// slowRunners returns the runners of a path that are slow.
+// slowRunners returns the runners of a path that are known to be slow.
 func slowRunners(p *path.Path, now time.Time) []*fleet.Runner {
 	var all []*fleet.Runner
 	for i := range p.Len() {
@@ -70,11 +70,11 @@
 	return all
 }
 
-// deadAt returns when the open attempt, although it is known to be slow or busy, is suspected
-// to be dead.
+// deadAt returns when the open attempt is suspected to be dead although it is known to be slow or
+// busy.
 func (x *exchange) deadAt() time.Time { return x.timing.lastEvent.Add(deadTimeout) }
 
-// canMeetTarget reports whether the answer would still be in time if it went on elsewhere.
+// canMeetTarget reports whether the response would still be in time if it continued elsewhere.
 func (x *exchange) canMeetTarget(now time.Time) bool {
 	if !x.timing.started {
 		return now.Add(typicalFirstEvent).Before(x.route.Aim(x.begun))
@@ -83,9 +83,9 @@
 	return aim <= 0 || x.timing.longestPause <= aim && now.Add(typicalFirstEvent).Before(x.timing.lastEvent.Add(aim))
 }
 
-// handleSlow does what can be done about an attempt that is overdue because runners of its
-// path are slow. They are not suspected: they answer, only later. The request is sent
-// elsewhere only if its answer can then still be in time.
+// handleSlow handles an attempt that is overdue because runners of its path are slow. They are not
+// suspected: they respond, only later. The request is sent elsewhere only if its response can then
+// still be in time.
 func (x *exchange) handleSlow(silent *attempt, slow []*fleet.Runner, now time.Time) {
 	switch {
 	case !x.canMeetTarget(now):
@@ -98,7 +98,7 @@
 }
 
 // fasterPathExists reports whether a path without the slow runners is faster than that of an
-// attempt by enoughFaster.
+// attempt by minSpeedup.
 func (x *exchange) fasterPathExists(silent *attempt, slow []*fleet.Runner, now time.Time) bool {
 	before := x.avoid
 	x.avoid = append(x.avoid[:len(x.avoid):len(x.avoid)], slow...)
--- a/transport/forward/slowdown.go
+++ b/transport/forward/slowdown.go
@@ -18,45 +18,46 @@
 )
 
 const (
-	// onTimeFactor is how many times its expected time an event may take and still show that
-	// all engines of its path work as usual.
+	// onTimeFactor is how many times its expected time an event may take and still show that all
+	// engines of its path work at their usual speed.
 	onTimeFactor = 1.4
-	// lateFactor is the multiple of the expected time from which one of them may be slow. One of ten engines that is
-	// slow by a factor of twelve doubles the time of an event.
+	// lateFactor is the multiple of the expected time from which an event is late, so that an
+	// engine of its path may be slow. One of ten engines that is slow by a factor of twelve doubles
+	// the time of an event.
 	lateFactor = 1.8
-	// minLateEvents is how many events in a row must be late: reading the prompts of others holds
-	// single ones up.
+	// minLateEvents is how many events in a row must be late: the prefill of other prompts delays
+	// single events.
 	minLateEvents = 2
-	// maxStageQueries is how many engines of one path are asked at once which of them is slow.
+	// maxStageQueries is how many engines of one path are queried at once to find the slow one.
 	maxStageQueries = 4
-	// queriesPerSecond bounds how many engines an entry asks because they may be slow: in a
-	// crowded fleet everything is late, and each question takes an engine's time.
+	// queriesPerSecond bounds how many engines an entry queries because they may be slow: in an
+	// overloaded fleet everything is late, and each query takes an engine's time.
 	queriesPerSecond = 10.0
-	// slowdownQueryInterval is the least time between two questions to one engine for its pace. An
-	// answer is some tenths of a second old, so the first one may describe the time before
-	// the engine became slow.
+	// slowdownQueryInterval is the least time between two slowdown queries to one engine. A reply
+	// is some tenths of a second old, so the first one may describe the time before the engine
+	// became slow.
 	slowdownQueryInterval = 120 * time.Millisecond
-	// slowRecheckInterval is how often an engine that is slow is asked whether it still is: several
-	// times before the report that it is slow lapses.
+	// slowRecheckInterval is how often a slow engine is queried whether it still is: several times
+	// before the report that it is slow expires.
 	slowRecheckInterval = 500 * time.Millisecond
 )
 
-// slowdownMonitor finds out which endpoints are slow. It asks the engines of paths whose events come
-// late, compares the time of plain services' answers with the usual one, and asks slow
-// engines again until they are as fast as before.
+// slowdownMonitor finds out which endpoints are slow. It queries the engines of paths whose events
+// are late, compares the response times of plain services with a baseline, and queries slow engines
+// until they are as fast as before.
 type slowdownMonitor struct {
 	forwarder *Forwarder
 	throttle  queryThrottle
 
 	mutex      sync.Mutex
-	tokens     float64                  // questions that may be asked now, refilled by questionsPerSecond
-	refilledAt time.Time                // when left was refilled
-	slowUntil  map[string]time.Time     // slow endpoints, and when that lapses
-	nextQuery  map[string]time.Time     // the slow endpoints that this entry asks, and when next
-	baselines  map[string]time.Duration // time of an answer of a plain service, by route
+	tokens     float64                  // queries allowed now, refilled at queriesPerSecond
+	refilledAt time.Time                // when tokens was refilled
+	slowUntil  map[string]time.Time     // slow endpoints, and when that expires
+	nextQuery  map[string]time.Time     // slow endpoints that this entry queries, and when next
+	baselines  map[string]time.Duration // response time of a plain service, by route
 }
 
-// checkSlowdown compares the time that an event took with what its engines should take.
+// checkSlowdown compares the time that an event took with the time that its engines should take.
 func (x *exchange) checkSlowdown(a *attempt, pause time.Duration, now time.Time) {
 	usual := float64(expectedEventTime(&a.path, x.service))
 	switch {
@@ -77,9 +78,9 @@
 	}
 }
 
-// queryStages asks some engines of a path that has been late since a time for their pace. It
-// leaves out those that have passed an event on time since then, on any path, and those
-// known to be slow.
+// queryStages queries the slowdown of some engines of a path that has been late since a time. It
+// skips engines that have passed an event on time since then, on any path, and engines known to be
+// slow.
 func (p *slowdownMonitor) queryStages(late *path.Path, since, now time.Time) {
 	first := rand.IntN(max(1, late.Len()))
 	asks := 0
@@ -96,7 +97,7 @@
 	}
 }
 
-// takeToken takes one question from the bound on them, and reports whether one was left.
+// takeToken takes one query from the rate limit, and reports whether one was left.
 func (p *slowdownMonitor) takeToken(now time.Time) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -109,7 +110,8 @@
 	return true
 }
 
-// told tells the other entries the pace that an engine reported when it was asked.
+// reportSlowdown reports to the other entries the slowdown that an engine returned when it was
+// queried.
 func (p *slowdownMonitor) reportSlowdown(r *fleet.Runner, report *protocol.EngineReport, asked time.Time) {
 	f := p.forwarder
 	if report.Pace <= 0 || f.ReportSlowdown == nil {
@@ -120,7 +122,7 @@
 	}, asked.Add(-f.maxReportDelay()))
 }
 
-// maxReportDelay returns how old what an engine reports may be.
+// maxReportDelay returns how old the content of an engine's report may be.
 func (f *Forwarder) maxReportDelay() time.Duration {
 	table := f.Routing.Current()
 	if table == nil {
@@ -136,8 +138,8 @@
 	return time.Duration(most * float64(time.Millisecond))
 }
 
-// ApplySlownessReport takes what a report of an endpoint's pace changes, and reports whether it may
-// matter to who gives orders.
+// ApplySlownessReport applies what a slowness report changes, and reports whether that may matter
+// to the director.
 func (f *Forwarder) ApplySlownessReport(report slow.Report, v slow.Change) bool {
 	r := f.Registry.View().Runner(report.Endpoint())
 	if r == nil {
@@ -159,7 +161,7 @@
 	case slow.Recovered:
 		since := r.SlowSince(now)
 		if since.IsZero() {
-			return false // it was only doubted
+			return false // it was not taken as slow
 		}
 		r.ClearSlow()
 		f.slowdowns.untrack(r.Name())
@@ -171,8 +173,8 @@
 	}
 }
 
-// track notes that an endpoint is slow. Only the entry whose report was the last asks it
-// again, so that all entries together ask an engine once.
+// track records that an endpoint is slow. Only the entry whose report was the last queries it
+// again, so that all entries together query an engine once.
 func (p *slowdownMonitor) track(endpoint string, report slow.Report, till, now time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -193,14 +195,14 @@
 	}
 }
 
-// untrack notes that an endpoint is slow no longer.
+// untrack records that an endpoint is no longer slow.
 func (p *slowdownMonitor) untrack(endpoint string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.untrackLocked(endpoint)
 }
 
-// untrackLocked drops an endpoint. The mutex is held.
+// untrackLocked is untrack for a caller that holds the mutex.
 func (p *slowdownMonitor) untrackLocked(endpoint string) {
 	if _, known := p.slowUntil[endpoint]; known {
 		p.forwarder.Counters.Add(metric.EndpointsSlow, -1)
@@ -209,7 +211,7 @@
 	delete(p.nextQuery, endpoint)
 }
 
-// queryDue asks the slow engines that are due.
+// queryDue queries the slow engines that are due.
 func (p *slowdownMonitor) queryDue(now time.Time) {
 	for _, endpoint := range p.due(now) {
 		if r := p.forwarder.Registry.View().Runner(endpoint); r != nil {
@@ -218,8 +220,7 @@
 	}
 }
 
-// due returns which slow engines are to be asked again, and drops those of which the news
-// count no longer.
+// due returns the slow engines to query again, and removes those whose report has expired.
 func (p *slowdownMonitor) due(now time.Time) []string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/transport/forward/slowdown_harness_test.go
+++ b/transport/forward/slowdown_harness_test.go
@@ -21,7 +21,7 @@
 	"pinerun.example/pinerun/state/routing"
 )
 
-// reporter answers for engines, by address, and counts how often each was asked.
+// reporter reports for engines by address, and counts how often each was queried.
 type reporter struct {
 	mutex sync.Mutex
 	paces map[string]float64
@@ -52,8 +52,8 @@
 	return n
 }
 
-// localRelay passes what a forwarder tells to a book of its own and back, as the relay does
-// among entries.
+// localRelay classifies the reports of a forwarder and returns the verdicts to it, as the relay
+// does between entries.
 type localRelay struct {
 	mutex      sync.Mutex
 	classifier slow.Tracker
@@ -74,14 +74,14 @@
 	}
 }
 
-// applyOwnReports has a forwarder's own news applyOwnReports.
+// applyOwnReports connects a forwarder to a localRelay.
 func applyOwnReports(f *Forwarder) {
 	j := &localRelay{}
 	f.slowdowns.forwarder = f
 	f.ReportSlowdown = func(news protocol.RelaySlow, at time.Time) { j.deliver(f, news, at) }
 }
 
-// markSlow has everybody take a runner as slow by a factor of twelve.
+// markSlow applies a report by which a runner is slow by a factor of twelve.
 func markSlow(f *Forwarder, r *fleet.Runner) {
 	now := time.Now()
 	f.slowdowns.forwarder = f
@@ -90,8 +90,8 @@
 	f.ApplySlownessReport(report, b.Apply(report, now))
 }
 
-// newStagedForwarder returns a forwarder before three stages of an engine service, each held by that
-// many engines, and an exchange of a stream sent over one of the paths.
+// newStagedForwarder returns a forwarder with an engine service of three stages, each held by the
+// given number of engines, and an exchange of a stream sent over one of the paths.
 func newStagedForwarder(t *testing.T, each int) (*Forwarder, *exchange, *reporter) {
 	s := protocol.RoutedService{Name: "llm", Engine: &protocol.EngineFacts{
 		Layers: 9, LayerMB: 100, TokenLayerMB: 0.1, UsualPrompt: 10, UsualAnswer: 10, StepMS: 9, ReadPerSecond: 1e6, EventTokens: 3,
@@ -122,8 +122,8 @@
 	return f, x, asks
 }
 
-// newStreamExchange returns an exchange of a newStreamExchange before a service that aims at 500 ms to the first
-// event and pauses of 250 ms.
+// newStreamExchange returns an exchange of a stream whose target is 500 ms to the first event and
+// pauses of 250 ms.
 func newStreamExchange(t *testing.T, f *Forwarder, s *protocol.RoutedService) *exchange {
 	table, err := routing.Build(protocol.Routing{Version: 1, Services: []protocol.RoutedService{*s}})
 	require.NoError(t, err)
@@ -138,12 +138,12 @@
 	return x
 }
 
-// sendEvent has the open attempt send an event after a pause.
+// sendEvent makes the open attempt deliver an event after a pause.
 func sendEvent(x *exchange, pause time.Duration) {
 	time.Sleep(pause)
 	x.open[0].head = &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}
 	x.handleMessage(eventReceived{attempt: x.open[0], event: streamEvent{content: []byte("data: x\n\n")}})
 }
 
-// typicalPause is how long an event takes: 27 ms of work and the wait at three stages.
+// typicalPause is how long an event takes: 27 ms of work and the overhead of three stages.
 const typicalPause = 33 * time.Millisecond
--- a/transport/forward/slowdown_test.go
+++ b/transport/forward/slowdown_test.go
@@ -24,14 +24,14 @@
 			sendEvent(x, typicalPause)
 		}
 		synctest.Wait()
-		require.Zero(t, asks.total(), "nobody is asked while events come on time")
+		require.Zero(t, asks.total(), "no queries while events are on time")
 		for range 2 {
 			sendEvent(x, typicalPause+100*time.Millisecond)
 		}
 		synctest.Wait()
 		require.True(t, late.IsSlow(time.Now()))
 		require.InDelta(t, 12, late.ReportedSlowdown(time.Now()), 1e-9)
-		require.True(t, late.Usable(time.Now()), "it is not left out")
+		require.True(t, late.Usable(time.Now()), "a slow engine is not ejected")
 		require.Equal(t, int64(1), f.Counters.Value(string(metric.EndpointsSlow)))
 		for range 20 {
 			p, found := x.pickPath(time.Now())
@@ -41,8 +41,8 @@
 	})
 }
 
-// TestOnTimeEnginesAreNotQueried: what came on time through them since the
-// path began to be late clears them.
+// TestOnTimeEnginesAreNotQueried checks that an engine is not queried if an event passed through it
+// on time since the path became late.
 func TestOnTimeEnginesAreNotQueried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, x, asks := newStagedForwarder(t, 1)
@@ -58,7 +58,8 @@
 	})
 }
 
-// TestQueriesAreRateLimited: a fleet that is late everywhere is asked a few times a second.
+// TestQueriesAreRateLimited guards against a flood of queries in a fleet where every engine is
+// late.
 func TestQueriesAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, x, asks := newStagedForwarder(t, 1)
@@ -71,8 +72,8 @@
 	})
 }
 
-// TestSlowEngineIsQueriedUntilFast, by the entry that told that it is slow; then it gets
-// work again.
+// TestSlowEngineIsQueriedUntilFast checks that the entry that reported an engine as slow queries it
+// until it is fast again, and that it then gets work again.
 func TestSlowEngineIsQueriedUntilFast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, x, asks := newStagedForwarder(t, 2)
@@ -98,11 +99,12 @@
 		require.Zero(t, f.Counters.Value(string(metric.EndpointsSlow)))
 		asked := asks.total()
 		look(5 * time.Second)
-		require.Equal(t, asked, asks.total(), "nobody is asked any more")
+		require.Equal(t, asked, asks.total(), "no queries once the engine is fast")
 	})
 }
 
-// TestOnlyReportingEntryQueriesAgain: with thirty entries an engine is asked by one of them.
+// TestOnlyReportingEntryQueriesAgain guards against every entry querying a slow engine: only the
+// entry that reported it does.
 func TestOnlyReportingEntryQueriesAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, x, asks := newStagedForwarder(t, 2)
@@ -113,12 +115,13 @@
 		require.Zero(t, asks.total())
 		time.Sleep(slow.ReportTTL)
 		f.slowdowns.queryDue(time.Now())
-		require.Zero(t, f.Counters.Value(string(metric.EndpointsSlow)), "the news lapsed")
+		require.Zero(t, f.Counters.Value(string(metric.EndpointsSlow)), "the report has expired")
 	})
 }
 
-// TestOverdueStreamOnSlowPath is asked for elsewhere while that keeps it in time,
-// its engines are not suspected, and a stream that is late already waits.
+// TestOverdueStreamOnSlowPath checks that a stream that is overdue on a slow path is sent elsewhere
+// while it can still be in time, that its engines are not suspected, and that a stream that is
+// already too late waits.
 func TestOverdueStreamOnSlowPath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, x, _ := newStagedForwarder(t, 2)
@@ -134,18 +137,18 @@
 
 		_, x, _ = newStagedForwarder(t, 2)
 		markSlow(x.forwarder, x.open[0].path.Runner(1))
-		time.Sleep(450 * time.Millisecond) // an answer elsewhere would come after the aim
+		time.Sleep(450 * time.Millisecond) // a response from elsewhere would miss the target
 		x.wake(time.Now())
 		require.Len(t, x.open, 1)
 		require.Equal(t, silenceTooLate, x.lastAction)
 		time.Sleep(deadTimeout)
 		x.wake(time.Now())
-		require.Len(t, x.open, 2, "silent for so long it may be dead")
+		require.Len(t, x.open, 2, "after deadTimeout it may be dead")
 	})
 }
 
-// TestSlightSlownessDoesNotExplainSilence: a stream that is silent on a path hardly slower than
-// usual is asked for elsewhere as any other.
+// TestSlightSlownessDoesNotExplainSilence checks that a silent stream on a path that is hardly
+// slower than usual is hedged like any other.
 func TestSlightSlownessDoesNotExplainSilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, x, _ := newStagedForwarder(t, 2)
@@ -157,7 +160,8 @@
 	})
 }
 
-// TestNoHedgeWithoutFasterPath: where every path is as slow, the prompt isn't read again.
+// TestNoHedgeWithoutFasterPath checks that the prompt is not prefilled again if every path is
+// equally slow.
 func TestNoHedgeWithoutFasterPath(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, x, _ := newStagedForwarder(t, 2)
@@ -170,6 +174,6 @@
 		require.Equal(t, silenceNoGain, x.lastAction)
 		var p path.Path
 		q := x.pathQuery(time.Now())
-		require.True(t, f.choosePath(x.service, &q, "a", &p), "somebody serves")
+		require.True(t, f.choosePath(x.service, &q, "a", &p), "a path is still available")
 	})
 }
--- a/transport/forward/startup.go
+++ b/transport/forward/startup.go
@@ -10,22 +10,21 @@
 	"pinerun.example/pinerun/internal/clock"
 )
 
-// startupTimeout is how long after an entry's start requests wait for the first routing table
-// and list of endpoints. Those come after 0.13 s (the median of 73 entries that start at
-// once, 0.21 s the slowest), and the callers that come meanwhile were mostly cut off when
-// the entries ended: a refusal is the end of the one repeat that they have. 391 of them
-// were refused in that time on a day that ends with all entries killed.
+// startupTimeout is how long after an entry's start requests wait for the first routing table and
+// list of endpoints. Those arrive after 0.13 s in the median of 73 entries that start at once,
+// 0.21 s at the slowest. Most callers in that time were cut off when the previous processes of the
+// entries ended, and a refusal uses up their only retry: 391 were refused in a test run that ends
+// with all entries killed.
 const startupTimeout = 500 * time.Millisecond
 
-// startupGate lets requests wait that come right after the start. The zero value lets nobody
-// wait.
+// startupGate holds requests that arrive right after the start. The zero value holds none.
 type startupGate struct {
 	mutex    sync.Mutex
 	deadline time.Time
-	opened   chan struct{} // closed when waiting is of no use any more
+	opened   chan struct{} // closed when waiting is no longer useful
 }
 
-// start lets requests wait from now on.
+// start holds requests from now on.
 func (o *startupGate) start(now time.Time) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -33,7 +32,7 @@
 	o.opened = make(chan struct{})
 }
 
-// open lets those go on that wait, and nobody wait from now on.
+// open releases the requests that wait, and holds none from now on.
 func (o *startupGate) open() {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -43,7 +42,7 @@
 	}
 }
 
-// wait returns once the entry is open, waiting is of no use, or the caller has left.
+// wait returns once the gate is open, its deadline has passed or the caller has left.
 func (o *startupGate) wait(caller context.Context) {
 	o.mutex.Lock()
 	over, till := o.opened, o.deadline
@@ -60,6 +59,6 @@
 	}
 }
 
-// EndStartupWait ends the waiting of requests that came right after the start: there is all that is
-// needed to serve them, or it is known that it won't come soon.
+// EndStartupWait releases the requests that arrived right after the start: either everything needed
+// to serve them is available, or it is known that it won't be soon.
 func (f *Forwarder) EndStartupWait() { f.startup.open() }
--- a/transport/forward/startup_test.go
+++ b/transport/forward/startup_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStartupGateWaits plays callers that come back while entries start:
-// one whose entry opens meanwhile waits just for that, one whose entry does not open is
-// told so in half a second, and afterwards nobody waits.
+// TestStartupGateWaits checks how long callers wait that return while an entry starts: until the
+// entry is ready, until the gate's deadline if it does not get ready, or until the caller leaves.
+// Afterwards no caller waits.
 func TestStartupGateWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		waits := func(o *startupGate, caller context.Context) time.Duration {
@@ -22,17 +22,17 @@
 			return time.Since(begun)
 		}
 		var o startupGate
-		require.Zero(t, waits(&o, t.Context()), "nothing is awaited before the start")
+		require.Zero(t, waits(&o, t.Context()), "no wait before the start")
 		o.start(time.Now())
 		time.AfterFunc(130*time.Millisecond, o.open)
 		require.Equal(t, 130*time.Millisecond, waits(&o, t.Context()))
-		require.Zero(t, waits(&o, t.Context()), "it is open")
+		require.Zero(t, waits(&o, t.Context()), "the gate is open")
 		o.open()
 
 		o.start(time.Now())
 		time.Sleep(100 * time.Millisecond)
 		require.Equal(t, startupTimeout-100*time.Millisecond, waits(&o, t.Context()))
-		require.Zero(t, waits(&o, t.Context()), "it did not open in time")
+		require.Zero(t, waits(&o, t.Context()), "the deadline has passed")
 
 		o.start(time.Now())
 		caller, leave := context.WithCancel(t.Context())
--- a/transport/forward/suspension.go
+++ b/transport/forward/suspension.go
@@ -8,8 +8,8 @@
 	"pinerun.example/pinerun/internal/clock"
 )
 
-// checkSuspension tells requests under way, and who else must know, that the VM was suspended: their
-// timers stood still with it.
+// checkSuspension notifies open requests and OnResume after the VM was suspended: their timers
+// stood still with it.
 func (f *Forwarder) checkSuspension(now time.Time) {
 	slept := clock.Slept()
 	if slept == f.suspended {
@@ -22,9 +22,9 @@
 	}
 }
 
-// checkSuspension takes it into account that the VM was suspended, and reports whether it was since
-// the last look. Deadlines count that time. Silences don't: each request of the entry would be
-// asked for elsewhere at once, and each engine told to be slow.
+// checkSuspension reports whether the VM was suspended since the last check. Deadlines count the
+// suspended time. Silences don't: otherwise each request of the entry would be hedged at once, and
+// each engine reported as slow.
 func (x *exchange) checkSuspension(now time.Time) bool {
 	slept := clock.Slept()
 	if slept == x.suspended {
--- a/transport/forward/throttle.go
+++ b/transport/forward/throttle.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// queryThrottle is when endpoints were last queryThrottle something, by ID, so that none is queryThrottle too
-// often. The zero value has queryThrottle nobody.
+// queryThrottle limits how often each endpoint is queried, by endpoint ID. The zero value has
+// queried none.
 type queryThrottle struct {
 	mutex sync.Mutex
 	last  map[string]time.Time
 }
 
-// allow reports whether an endpoint was not asked for that long, and notes that it is now.
+// allow reports whether an endpoint was not queried for the given interval, and if so records a
+// query now.
 func (a *queryThrottle) allow(endpoint string, every time.Duration, now time.Time) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
--- a/transport/forward/timing.go
+++ b/transport/forward/timing.go
@@ -9,39 +9,39 @@
 )
 
 const (
-	// minSilence is the least silence inside a stream that is suspicious: reading
-	// the prompts of others holds a stream up by as much.
+	// minSilence is the least silence inside a stream that counts as overdue: the prefill of other
+	// prompts delays a stream by as much.
 	minSilence = 90 * time.Millisecond
-	// silenceFactor is how many of its usual pauses a stream may be silent.
+	// silenceFactor is how many of its mean pauses a stream may be silent.
 	silenceFactor = 4
-	// minSilenceFactor is how many of its usual pauses a stream may be silent even where that is
-	// beyond half of the pause aimed at: engines with many open requests write that slowly.
+	// minSilenceFactor is how many of its mean pauses a stream may be silent even if that exceeds
+	// half of the target pause: engines with many open requests write that slowly.
 	minSilenceFactor = 2
-	// firstEventShare is the part of the aim after which a first event is overdue.
+	// firstEventShare is the part of the route's target time after which the first event is
+	// overdue.
 	firstEventShare = 0.5
-	// silenceRecheckInterval is how often a silence that lasts is looked at again.
+	// silenceRecheckInterval is how often a lasting silence is checked again.
 	silenceRecheckInterval = 100 * time.Millisecond
-	// resumeGrace is how long after a suspension of the VM nothing is taken as silent: all its
-	// requests have to be looked at first, some hundred at some tens of us each.
+	// resumeGrace is how long after a suspension of the VM nothing counts as silent: all requests
+	// of the entry have to be checked first, some hundreds at some tens of microseconds each.
 	resumeGrace = 200 * time.Millisecond
 	// pauseSmoothing is the weight of a new pause in the mean.
 	pauseSmoothing = 0.2
 )
 
-// eventTiming follows the pauses of one answer and says when the next event is
-// overdue.
+// eventTiming tracks the pauses of one response and computes when the next event is overdue.
 type eventTiming struct {
-	lastEvent       time.Time // event, or when the request was sent
+	lastEvent       time.Time // last event, or when the request was sent
 	overdue         time.Time
 	meanPause       time.Duration
-	started         bool // the first event has come
+	started         bool // the first event was received
 	firstEventAt    time.Time
-	longestPause    time.Duration // pause between two events
+	longestPause    time.Duration // longest pause between two events
 	firstEventLimit time.Duration
 	pauseTarget     time.Duration
 }
 
-// start starts at the time when a request came in.
+// start starts the timing when a request is received.
 func (r *eventTiming) start(route *protocol.Route, s *protocol.RoutedService, now time.Time) {
 	r.lastEvent = now
 	r.firstEventLimit = time.Duration(firstEventShare * float64(route.Aim(now).Sub(now)))
@@ -51,7 +51,7 @@
 	}
 }
 
-// recordEvent notes that an recordEvent came.
+// recordEvent records an event.
 func (r *eventTiming) recordEvent(now time.Time) {
 	if r.started {
 		pause := now.Sub(r.lastEvent)
@@ -68,7 +68,7 @@
 	r.overdue = now.Add(r.silenceLimit())
 }
 
-// timeToFirstEvent returns how long after a time the first event came, 0 if none did.
+// timeToFirstEvent returns how long after a time the first event was received, 0 if none was.
 func (r *eventTiming) timeToFirstEvent(begun time.Time) time.Duration {
 	if !r.started {
 		return 0
@@ -76,7 +76,7 @@
 	return r.firstEventAt.Sub(begun)
 }
 
-// silenceLimit is the silence inside a stream from which it is suspicious.
+// silenceLimit returns the silence inside a stream from which it is overdue.
 func (r *eventTiming) silenceLimit() time.Duration {
 	b := max(minSilence, silenceFactor*r.meanPause)
 	if r.pauseTarget > 0 {
@@ -85,26 +85,26 @@
 	return b
 }
 
-// restart notes that the request was sent again.
+// restart records that the request was sent again.
 func (r *eventTiming) restart(now time.Time) {
 	r.overdue = now.Add(max(r.firstEventLimit/2, minSilence))
 }
 
-// postpone puts the next look off until a time: what holds the stream up is known.
+// postpone delays the next check until a time, for a pause whose cause is known.
 func (r *eventTiming) postpone(till time.Time) {
 	if till.After(r.overdue) {
 		r.overdue = till
 	}
 }
 
-// resume notes that the VM was suspended: what came meanwhile is read in the next moments, and
+// resume records that the VM was suspended. What arrived in the meantime is about to be read, and
 // endpoints were not silent for that long.
 func (r *eventTiming) resume(now time.Time) {
 	r.lastEvent = now
 	r.postpone(now.Add(max(resumeGrace, r.silenceLimit())))
 }
 
-// recheckLater puts the next look off.
+// recheckLater delays the next check by silenceRecheckInterval.
 func (r *eventTiming) recheckLater(now time.Time) { r.overdue = now.Add(silenceRecheckInterval) }
 
 // overdueAt returns when the next event is overdue.
--- a/transport/forward/timing_test.go
+++ b/transport/forward/timing_test.go
@@ -23,7 +23,7 @@
 	now := time.Unix(100, 0)
 	var r eventTiming
 	r.start(route, service, now)
-	require.Equal(t, now.Add(250*time.Millisecond), r.overdueAt(), "half the aim for the first event")
+	require.Equal(t, now.Add(250*time.Millisecond), r.overdueAt(), "half the target for the first event")
 	now = now.Add(60 * time.Millisecond)
 	r.recordEvent(now)
 	require.Equal(t, 60*time.Millisecond, r.timeToFirstEvent(time.Unix(100, 0)))
@@ -32,12 +32,12 @@
 		now = now.Add(45 * time.Millisecond)
 		r.recordEvent(now)
 	}
-	require.Equal(t, now.Add(100*time.Millisecond), r.overdueAt(), "no more than half the pause aimed at, if that is twice the usual")
+	require.Equal(t, now.Add(100*time.Millisecond), r.overdueAt(), "at most half the target pause, if that is at least twice the mean")
 	for range 40 {
 		now = now.Add(80 * time.Millisecond)
 		r.recordEvent(now)
 	}
-	require.InDelta(t, 160, r.overdueAt().Sub(now).Milliseconds(), 1, "a stream that is usually that slow is not suspected sooner than after twice its pause")
+	require.InDelta(t, 160, r.overdueAt().Sub(now).Milliseconds(), 1, "a stream with long pauses is overdue after twice its mean pause")
 	require.Equal(t, 80*time.Millisecond, r.longestPause)
 }
 
@@ -50,8 +50,8 @@
 	require.Equal(t, now.Add(silenceRecheckInterval), r.overdueAt())
 }
 
-// TestReadEventReturnsWholeEvents reads streams in pieces of any size and
-// checks that the events are the stream, and that a part of one is never passed.
+// TestReadEventReturnsWholeEvents cuts a stream at any byte and reads it in small pieces. It checks
+// that the events add up to the stream and that a part of an event is never returned.
 func TestReadEventReturnsWholeEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		events := rapid.SliceOf(rapid.StringMatching(`(id: [0-9]{1,3}\r?\n)?data: [a-z ]{0,40}\r?\n\r?\n`)).Draw(t, "events")
@@ -63,7 +63,7 @@
 			e, err := readEvent(r)
 			if err != nil {
 				require.True(t, errors.Is(err, io.EOF) || errors.Is(err, errTruncatedEvent))
-				require.Equal(t, errors.Is(err, errTruncatedEvent), len(got) < cut, "an end inside an event is told apart")
+				require.Equal(t, errors.Is(err, errTruncatedEvent), len(got) < cut, "an end inside an event has its own error")
 				break
 			}
 			got += string(e.content)
@@ -71,7 +71,7 @@
 		require.True(t, strings.HasPrefix(whole[:cut], got))
 		for i, sum := 0, 0; i < len(events); i++ {
 			if sum += len(events[i]); sum <= cut {
-				require.GreaterOrEqual(t, len(got), sum, "a whole event that came was held back")
+				require.GreaterOrEqual(t, len(got), sum, "a whole event was not returned")
 			}
 		}
 	})
