--- a/transport/forward/admit.go
+++ b/transport/forward/admit.go
@@ -34,19 +34,19 @@
 		return protocol.Refuse(protocol.NoConfiguration, "no routing table has been read yet").Again(x.begun.Add(unconfirmedRetryAfter))
 	}
 	x.table = table
-	if most := table.CallerLimits().HeaderBytes; most > 0 && headBytes(x.request) > most {
-		return protocol.Refuse(protocol.HeadTooLarge, "the head is longer than "+strconv.Itoa(most)+" bytes")
+	if limit := table.CallerLimits().HeaderBytes; limit > 0 && headBytes(x.request) > limit {
+		return protocol.Refuse(protocol.HeadTooLarge, "the head is longer than "+strconv.Itoa(limit)+" bytes")
 	}
-	unsure := x.begun.Sub(f.Routing.ConfirmedAt()) > unconfirmedAfter
+	unconfirmed := x.begun.Sub(f.Routing.ConfirmedAt()) > unconfirmedAfter
 	target, _, _ := strings.Cut(x.request.RequestURI, "?")
 	x.route = table.Match(x.request.Host, target)
 	if x.route == nil {
-		if unsure {
+		if unconfirmed {
 			return protocol.Refuse(protocol.PlatformDown, "the route is unknown, but the routing table may be outdated").Again(x.begun.Add(unconfirmedRetryAfter))
 		}
 		return protocol.Refuse(protocol.UnknownService, "no route matches the host and path")
 	}
-	if refusal := x.admitTeam(unsure); refusal != nil {
+	if refusal := x.admitTeam(unconfirmed); refusal != nil {
 		return refusal
 	}
 	x.deadline = x.route.Timeout(x.begun)
@@ -73,7 +73,7 @@
 
 // admitTeam finds the team of the caller's key. It accepts a key only if the platform has confirmed
 // recently enough that the key is not withdrawn.
-func (x *exchange) admitTeam(unsure bool) *protocol.Refusal {
+func (x *exchange) admitTeam(unconfirmed bool) *protocol.Refusal {
 	if !x.table.RequiresKey() || x.route.Public {
 		return nil
 	}
@@ -83,7 +83,7 @@
 	}
 	team := x.table.Team(x.terms.Key)
 	if team == nil {
-		if unsure {
+		if unconfirmed {
 			return protocol.Refuse(protocol.PlatformDown, "the key is unknown, but the routing table may be outdated").Again(x.begun.Add(unconfirmedRetryAfter))
 		}
 		return protocol.Refuse(protocol.WrongKey, "the key is not known")
--- a/transport/forward/baseline.go
+++ b/transport/forward/baseline.go
@@ -44,8 +44,8 @@
 
 // slowdownOf returns how many times its baseline a call to a plain service has taken.
 func (x *exchange) slowdownOf(a *attempt, now time.Time) float64 {
-	usual := x.forwarder.slowdowns.baseline(x.route.Name, x.initialBaseline())
-	return float64(now.Sub(a.sentAt)) / float64(usual)
+	baseline := x.forwarder.slowdowns.baseline(x.route.Name, x.initialBaseline())
+	return float64(now.Sub(a.sentAt)) / float64(baseline)
 }
 
 // initialBaseline returns the baseline before any response: a third of the time from which a
@@ -55,37 +55,37 @@
 }
 
 // reportObservedSlowdown reports the slowdown that a response, or the wait for one, showed.
-func (f *Forwarder) reportObservedSlowdown(a *attempt, pace float64, now time.Time) {
-	if f.ReportSlowdown == nil || pace <= 0 {
+func (f *Forwarder) reportObservedSlowdown(a *attempt, slowdown float64, now time.Time) {
+	if f.ReportSlowdown == nil || slowdown <= 0 {
 		return
 	}
-	f.ReportSlowdown(protocol.RelaySlow{Endpoint: a.endpoint.Name(), Observation: protocol.SlowSeen, Pace: min(pace, protocol.MaxPace)}, now)
+	f.ReportSlowdown(protocol.RelaySlow{Endpoint: a.endpoint.Name(), Observation: protocol.SlowSeen, Pace: min(slowdown, protocol.MaxPace)}, now)
 }
 
 // baseline returns how long a response on a route to a plain service usually takes. Baselines are
 // kept by route because routes to one service ask for different work: an entry that has had a few
 // quick responses on one route would take those of another as slow.
-func (p *slowdownMonitor) baseline(route string, guess time.Duration) time.Duration {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if usual, known := p.baselines[route]; known {
-		return max(time.Millisecond, usual)
+func (m *slowdownMonitor) baseline(route string, initial time.Duration) time.Duration {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if baseline, known := m.baselines[route]; known {
+		return max(time.Millisecond, baseline)
 	}
-	return guess
+	return initial
 }
 
 // recordDuration adds a response time to the baseline of its route. The first one may be that of a
 // slow endpoint, so it counts as the initial baseline at most.
-func (p *slowdownMonitor) recordDuration(route string, took, guess time.Duration) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if p.baselines == nil {
-		p.baselines = make(map[string]time.Duration)
+func (m *slowdownMonitor) recordDuration(route string, took, initial time.Duration) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if m.baselines == nil {
+		m.baselines = make(map[string]time.Duration)
 	}
-	usual, known := p.baselines[route]
+	baseline, known := m.baselines[route]
 	if !known {
-		p.baselines[route] = min(took, guess)
+		m.baselines[route] = min(took, initial)
 		return
 	}
-	p.baselines[route] = usual + time.Duration(baselineSmoothing*float64(min(took, maxBaselineRatio*usual)-usual))
+	m.baselines[route] = baseline + time.Duration(baselineSmoothing*float64(min(took, maxBaselineRatio*baseline)-baseline))
 }
--- a/transport/forward/baseline_test.go
+++ b/transport/forward/baseline_test.go
@@ -101,14 +101,14 @@
 // TestBaselineFollowsDurations checks that a service that always takes long is not slow, and that
 // one hanging call hardly changes the baseline.
 func TestBaselineFollowsDurations(t *testing.T) {
-	var p slowdownMonitor
-	require.Equal(t, 30*time.Millisecond, p.baseline("s", 30*time.Millisecond))
+	var monitor slowdownMonitor
+	require.Equal(t, 30*time.Millisecond, monitor.baseline("s", 30*time.Millisecond))
 	for range 100 {
-		p.recordDuration("s", 200*time.Millisecond, 30*time.Millisecond)
+		monitor.recordDuration("s", 200*time.Millisecond, 30*time.Millisecond)
 	}
-	require.InDelta(t, 0.2, p.baseline("s", 30*time.Millisecond).Seconds(), 0.01)
-	p.recordDuration("s", 10*time.Second, 30*time.Millisecond)
-	require.InDelta(t, 0.22, p.baseline("s", 30*time.Millisecond).Seconds(), 0.01)
+	require.InDelta(t, 0.2, monitor.baseline("s", 30*time.Millisecond).Seconds(), 0.01)
+	monitor.recordDuration("s", 10*time.Second, 30*time.Millisecond)
+	require.InDelta(t, 0.22, monitor.baseline("s", 30*time.Millisecond).Seconds(), 0.01)
 }
 
 // TestBaselinesAreSeparatePerRoute guards against a baseline shared by routes: quick responses on
@@ -116,8 +116,8 @@
 func TestBaselinesAreSeparatePerRoute(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f, call := newPlainForwarder(t)
-		var paces []float64
-		f.ReportSlowdown = func(news protocol.RelaySlow, _ time.Time) { paces = append(paces, news.Pace) }
+		var slowdowns []float64
+		f.ReportSlowdown = func(report protocol.RelaySlow, _ time.Time) { slowdowns = append(slowdowns, report.Pace) }
 		for i := range 12 {
 			x := call()
 			x.route.Name = "quick"
@@ -131,9 +131,9 @@
 			time.Sleep(took)
 			respond(x)
 		}
-		require.Len(t, paces, 12)
-		for _, pace := range paces {
-			require.Less(t, pace, float64(slowCallRatio))
+		require.Len(t, slowdowns, 12)
+		for _, slowdown := range slowdowns {
+			require.Less(t, slowdown, float64(slowCallRatio))
 		}
 	})
 }
--- a/transport/forward/body.go
+++ b/transport/forward/body.go
@@ -25,14 +25,14 @@
 )
 
 // readBody reads the request's body within the limit and the entry's memory budget.
-func (x *exchange) readBody(most int64) *protocol.Refusal {
+func (x *exchange) readBody(limit int64) *protocol.Refusal {
 	if x.request.ContentLength == 0 {
 		return nil
 	}
-	if most <= 0 {
-		most = maxBodyBytes
+	if limit <= 0 {
+		limit = maxBodyBytes
 	}
-	if x.request.ContentLength > most {
+	if x.request.ContentLength > limit {
 		return bodyTooLarge()
 	}
 	rc := http.NewResponseController(x.writer)
@@ -42,7 +42,7 @@
 		n, err := x.request.Body.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
 		switch {
-		case int64(len(body)) > most:
+		case int64(len(body)) > limit:
 			return bodyTooLarge()
 		case errors.Is(err, io.EOF):
 			x.body = body
@@ -54,7 +54,7 @@
 			return protocol.Refuse(protocol.MalformedRequest, "the body was not received completely").Because(err)
 		}
 		if len(body) == cap(body) {
-			if body = x.growBody(body, most); body == nil {
+			if body = x.growBody(body, limit); body == nil {
 				return protocol.Refuse(protocol.TooManyOpen, "the entry holds too many bytes of request bodies").Again(clock.Now().Add(memoryRetryAfter))
 			}
 		}
@@ -71,16 +71,16 @@
 
 // bodyDeadline returns until when the body must have arrived.
 func (x *exchange) bodyDeadline() time.Time {
-	by := x.begun.Add(bodyReadTimeout)
-	if x.deadline.Before(by) {
+	deadline := x.begun.Add(bodyReadTimeout)
+	if x.deadline.Before(deadline) {
 		return x.deadline
 	}
-	return by
+	return deadline
 }
 
 // growBody returns the body in a larger buffer, or nil if the entry has no memory for it.
-func (x *exchange) growBody(body []byte, most int64) []byte {
-	size := min(2*int64(cap(body)), most+1)
+func (x *exchange) growBody(body []byte, limit int64) []byte {
+	size := min(2*int64(cap(body)), limit+1)
 	if !x.reservation.reserve(bodyCopies * (size - int64(cap(body)))) {
 		return nil
 	}
--- a/transport/forward/body_test.go
+++ b/transport/forward/body_test.go
@@ -42,9 +42,9 @@
 	})
 	require.NoError(t, err)
 	counters := &metric.Set{}
-	held := &backlog.Budget{Counters: counters}
-	held.Limit(512 << 10)
-	f := &Forwarder{Routing: &routing.Store{}, Registry: &registry.Registry{}, Headers: plainHeaders{}, Counters: counters, MemoryBudget: held}
+	budget := &backlog.Budget{Counters: counters}
+	budget.Limit(512 << 10)
+	f := &Forwarder{Routing: &routing.Store{}, Registry: &registry.Registry{}, Headers: plainHeaders{}, Counters: counters, MemoryBudget: budget}
 	f.Routing.Offer(table)
 	f.Routing.Confirm(time.Now())
 	f.Registry.Replace(nil, time.Now())
--- a/transport/forward/candidate.go
+++ b/transport/forward/candidate.go
@@ -36,21 +36,21 @@
 // runners whose utilization is below localUtilizationLimit. Otherwise another data center replaces
 // it if it is better: ready or healthy where the best one so far is not, or with a much lower
 // utilization.
-func (f *Forwarder) choosePath(s *protocol.RoutedService, q *path.Query, first string, into *path.Path) bool {
+func (f *Forwarder) choosePath(s *protocol.RoutedService, q *path.Query, preferred string, into *path.Path) bool {
 	view := f.Registry.View()
 	if s.Engine == nil {
 		return path.ChooseInto(view.Model(registry.ModelName(s.Name, "")), q, into) < 0
 	}
-	best, found := candidateIn(view, s.Name, first, q)
+	best, found := candidateIn(view, s.Name, preferred, q)
 	if found && best.ready && best.healthy && best.utilization < localUtilizationLimit {
 		*into = best.path
 		return true
 	}
-	for _, center := range f.Registry.EngineDataCenters(s.Name) {
-		if center == first {
+	for _, dataCenter := range f.Registry.EngineDataCenters(s.Name) {
+		if dataCenter == preferred {
 			continue
 		}
-		other, ok := candidateIn(view, s.Name, center, q)
+		other, ok := candidateIn(view, s.Name, dataCenter, q)
 		if ok && (!found || other.betterThan(&best)) {
 			best, found = other, true
 		}
@@ -59,9 +59,10 @@
 	return found
 }
 
-func candidateIn(view *fleet.View, service, center string, q *path.Query) (candidate, bool) {
+// candidateIn returns the candidate of one data center, and false if no path exists there.
+func candidateIn(view *fleet.View, service, dataCenter string, q *path.Query) (candidate, bool) {
 	var c candidate
-	m := view.Model(registry.ModelName(service, center))
+	m := view.Model(registry.ModelName(service, dataCenter))
 	if path.ChooseSubspans(m, q, &c.path) >= 0 {
 		return c, false
 	}
@@ -71,14 +72,15 @@
 	return c, true
 }
 
-func (c *candidate) betterThan(than *candidate) bool {
-	if c.ready != than.ready {
+// betterThan reports whether c should replace other.
+func (c *candidate) betterThan(other *candidate) bool {
+	if c.ready != other.ready {
 		return c.ready
 	}
-	if c.healthy != than.healthy {
+	if c.healthy != other.healthy {
 		return c.healthy
 	}
-	return c.utilization+minRemoteGain < than.utilization
+	return c.utilization+minRemoteGain < other.utilization
 }
 
 // pathReady reports whether every runner of a path accepts work now and has capacity for the
@@ -91,12 +93,12 @@
 // pathUtilization returns the highest utilization among the runners of a path, the request
 // included.
 func pathUtilization(p *path.Path, q *path.Query) float64 {
-	most := 0.0
+	highest := 0.0
 	for i := range p.Len() {
-		passes := float64((q.Positions + q.OutputTokens) * p.Span(i).Layers())
-		most = max(most, p.Runner(i).Utilization(q.Now, passes))
+		layerPasses := float64((q.Positions + q.OutputTokens) * p.Span(i).Layers())
+		highest = max(highest, p.Runner(i).Utilization(q.Now, layerPasses))
 	}
-	return most
+	return highest
 }
 
 // pathHealthy reports whether every runner of a path accepts work now and need not be avoided.
--- a/transport/forward/conn.go
+++ b/transport/forward/conn.go
@@ -146,14 +146,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN
+		empty = err == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
 // keepAliveSeconds returns how many seconds the endpoint says it keeps an idle connection open.
--- a/transport/forward/crash_probe.go
+++ b/transport/forward/crash_probe.go
@@ -39,28 +39,28 @@
 }
 
 // Probe queries the endpoint once.
-func (k *crashProbe) Probe() quarantine.ProbeResult {
-	if !k.engine {
-		return k.probePort()
+func (p *crashProbe) Probe() quarantine.ProbeResult {
+	if !p.engine {
+		return p.probePort()
 	}
-	asked := clock.Now()
-	report, err := k.forwarder.queryReport(k.runner)
+	queriedAt := clock.Now()
+	report, err := p.forwarder.queryReport(p.runner)
 	switch {
 	case err != nil:
-		return k.classifyError(err, asked)
+		return p.classifyError(err, queriedAt)
 	default:
-		return quarantine.ClassifyAnswer(k.incarnation, report.Incarnation, k.sentAt)
+		return quarantine.ClassifyAnswer(p.incarnation, report.Incarnation, p.sentAt)
 	}
 }
 
 // probePort connects to an endpoint that makes no reports.
-func (k *crashProbe) probePort() quarantine.ProbeResult {
+func (p *crashProbe) probePort() quarantine.ProbeResult {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
-	asked := clock.Now()
-	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", k.runner.Spec().Address)
+	queriedAt := clock.Now()
+	c, err := (&net.Dialer{}).DialContext(ctx, "tcp", p.runner.Spec().Address)
 	if err != nil {
-		return k.classifyError(err, asked)
+		return p.classifyError(err, queriedAt)
 	}
 	defer func() { _ = c.Close() }() // nothing was sent on it
 	if err := c.SetReadDeadline(time.Now().Add(portProbeTime)); err != nil {
@@ -74,9 +74,9 @@
 
 // classifyError classifies a failed query: a refused connection means that the incarnation is over,
 // any other error leaves it unclear.
-func (k *crashProbe) classifyError(cause error, asked time.Time) quarantine.ProbeResult {
-	k.forwarder.reportError(k.runner, cause, asked, clock.Now())
-	if sign, _ := observationOf(cause); sign == protocol.LossRefused {
+func (p *crashProbe) classifyError(cause error, queriedAt time.Time) quarantine.ProbeResult {
+	p.forwarder.reportError(p.runner, cause, queriedAt, clock.Now())
+	if observation, _ := observationOf(cause); observation == protocol.LossRefused {
 		return quarantine.ProbeCrashed
 	}
 	return quarantine.ProbeInconclusive
--- a/transport/forward/decide.go
+++ b/transport/forward/decide.go
@@ -24,7 +24,7 @@
 
 // decideRetry applies the retry policy after an attempt without a good response, unless another
 // attempt is still open.
-func (x *exchange) decideRetry(a *attempt, r retry.Result, whole *responseReceived) {
+func (x *exchange) decideRetry(a *attempt, r retry.Result, response *responseReceived) {
 	now := clock.Now()
 	if r == retry.Failed || r == retry.Broken {
 		x.mayHaveRun = true
@@ -35,19 +35,19 @@
 	if a.path.Len() == 1 {
 		x.avoid = append(x.avoid, a.endpoint)
 	}
-	x.retryOrFinish(a, r, whole, now)
+	x.retryOrFinish(a, r, response, now)
 }
 
 // retryOrFinish applies the retry policy once no attempt is open.
-func (x *exchange) retryOrFinish(a *attempt, r retry.Result, whole *responseReceived, now time.Time) {
-	if r != retry.Failed && (x.route.MayRepeat() || !x.mayHaveRun) && x.applyQuarantine(a, r, whole, now) {
+func (x *exchange) retryOrFinish(a *attempt, r retry.Result, response *responseReceived, now time.Time) {
+	if r != retry.Failed && (x.route.MayRepeat() || !x.mayHaveRun) && x.applyQuarantine(a, r, response, now) {
 		return
 	}
 	p, ready := x.pickNext(now)
-	hope := x.queueDeadline()
+	waitUntil := x.queueDeadline()
 	next := x.forwarder.retryBudgets.decide(x.service.Name, retry.FailedAttempt{
 		Result: r, MayRepeat: x.route.MayRepeat(), MayHaveRun: x.mayHaveRun,
-		EndpointAllowed: x.mayRetry(), EndpointReady: ready && x.mayReach(&p), Unreachable: x.unsent, Now: now, Deadline: x.deadline, WaitUntil: hope,
+		EndpointAllowed: x.mayRetry(), EndpointReady: ready && x.mayReach(&p), Unreachable: x.unsent, Now: now, Deadline: x.deadline, WaitUntil: waitUntil,
 	})
 	switch next {
 	case retry.Resend:
@@ -55,11 +55,11 @@
 		x.startAttempt(&p)
 		x.timing.restart(now)
 	case retry.Enqueue:
-		if again, ok := x.enqueue(a, r, whole, hope, now); !ok {
-			x.endWith(retry.FinalAction(r, x.mayHaveRun), whole, again)
+		if retryAt, ok := x.enqueue(a, r, response, waitUntil, now); !ok {
+			x.endWith(retry.FinalAction(r, x.mayHaveRun), response, retryAt)
 		}
 	default:
-		x.endWith(next, whole, now.Add(capacityRetryAfter))
+		x.endWith(next, response, now.Add(capacityRetryAfter))
 	}
 }
 
@@ -74,12 +74,12 @@
 }
 
 // endWith ends the request as the retry policy says.
-func (x *exchange) endWith(next retry.Action, whole *responseReceived, again time.Time) {
+func (x *exchange) endWith(next retry.Action, response *responseReceived, retryAt time.Time) {
 	switch next {
 	case retry.Deliver:
-		x.deliver(whole)
+		x.deliver(response)
 	case retry.Refuse:
-		x.fail(protocol.Refuse(protocol.RetriesSpent, "no endpoint could take the request").Again(again))
+		x.fail(protocol.Refuse(protocol.RetriesSpent, "no endpoint could take the request").Again(retryAt))
 	case retry.Expire:
 		x.fail(deadlinePassed())
 	default:
@@ -94,6 +94,7 @@
 	x.decideRetry(a, r, nil)
 }
 
+// retryReason returns the reason under which a retry is counted.
 func retryReason(r retry.Result) metric.Reason {
 	switch r {
 	case retry.NeverSent:
--- a/transport/forward/eject.go
+++ b/transport/forward/eject.go
@@ -12,7 +12,7 @@
 
 // ejectFaulty ejects the runner at an address. If the address is empty and the path has several
 // runners, it looks for the faulty one instead.
-func (x *exchange) ejectFaulty(a *attempt, address string, why metric.Ejection, now time.Time) {
+func (x *exchange) ejectFaulty(a *attempt, address string, reason metric.Ejection, now time.Time) {
 	if address == "" {
 		if a.path.Len() > 1 {
 			x.forwarder.faultLocator.silentRunners(a, x.timing.lastEvent, now)
@@ -25,11 +25,11 @@
 		if r.Spec().Address != address {
 			continue
 		}
-		till := r.Failed(now)
+		until := r.Failed(now)
 		x.avoid = append(x.avoid, r)
-		x.forwarder.Counters.Ejected(why)
-		x.forwarder.log(event.RunnerEjected, slog.String("runner", r.Name()), slog.String("reason", string(why)), x.requestAttr(),
-			slog.Int64("till_ms", till.Sub(now).Milliseconds()))
+		x.forwarder.Counters.Ejected(reason)
+		x.forwarder.log(event.RunnerEjected, slog.String("runner", r.Name()), slog.String("reason", string(reason)), x.requestAttr(),
+			slog.Int64("till_ms", until.Sub(now).Milliseconds()))
 	}
 }
 
--- a/transport/forward/encode.go
+++ b/transport/forward/encode.go
@@ -30,7 +30,7 @@
 	h := x.request.Header.Clone()
 	stripHopHeaders(h)
 	h.Del("Content-Length")
-	x.forwarder.Headers.SetAttemptHeaders(h, x.sendTerms(a), a.sentAt)
+	x.forwarder.Headers.SetAttemptHeaders(h, x.attemptTerms(a), a.sentAt)
 	var b bytes.Buffer
 	b.Grow(1024 + len(x.body))
 	b.WriteString(x.request.Method)
@@ -50,7 +50,7 @@
 	return b.Bytes()
 }
 
-func (x *exchange) sendTerms(a *attempt) *protocol.AttemptTerms {
+func (x *exchange) attemptTerms(a *attempt) *protocol.AttemptTerms {
 	s := &protocol.AttemptTerms{EndpointID: a.endpoint.Name(), Deadline: x.deadline, LastEvent: x.lastEvent}
 	if x.team != nil {
 		s.Team = x.team.Name
--- a/transport/forward/event.go
+++ b/transport/forward/event.go
@@ -53,6 +53,7 @@
 	}
 }
 
+// streamError returns errTruncatedEvent for an EOF inside the event, and err otherwise.
 func streamError(e *streamEvent, err error) error {
 	if errors.Is(err, io.EOF) && len(e.content) > 0 {
 		return errTruncatedEvent
--- a/transport/forward/exchange.go
+++ b/transport/forward/exchange.go
@@ -109,8 +109,8 @@
 			x.handleMessage(m)
 		case <-x.callerUpdates():
 			x.checkCaller(clock.Now())
-		case after := <-x.dispatches():
-			x.handleDispatch(after, clock.Now())
+		case position := <-x.dispatches():
+			x.handleDispatch(position, clock.Now())
 		case <-timer.C:
 			x.wake(clock.Now())
 		case <-x.request.Context().Done():
@@ -163,6 +163,7 @@
 	}
 }
 
+// recordCallerLeft counts and logs a caller that disconnected.
 func (x *exchange) recordCallerLeft() {
 	x.forwarder.Counters.Refused(protocol.CallerGone)
 	x.forwarder.log(event.CallerLeft, x.requestAttr(), slog.Int("events", x.events), slog.Int64("after_ms", clock.Since(x.begun).Milliseconds()))
--- a/transport/forward/failure.go
+++ b/transport/forward/failure.go
@@ -22,18 +22,18 @@
 // the time since, says about it. Without such reports each entry finds out for itself: one lost
 // engine of 85 caused 120 failed connections at 47 entries in 3.7 s (logs of 73 entries over 48 s).
 func (f *Forwarder) reportError(r *fleet.Runner, cause error, since, now time.Time) {
-	sign, certain := observationOf(cause)
+	observation, certain := observationOf(cause)
 	if !certain && !f.reachesOthers(r, since) {
 		return // this entry, or its network path to the runner, may be at fault
 	}
-	if sign != 0 {
-		f.reportObservation(r, sign, now)
+	if observation != 0 {
+		f.reportObservation(r, observation, now)
 	}
 }
 
 // observationOf returns what an error says about the endpoint, 0 for nothing, and whether that is
 // certain regardless of what else this entry has heard.
-func observationOf(cause error) (sign protocol.LossObservation, certain bool) {
+func observationOf(cause error) (observation protocol.LossObservation, certain bool) {
 	var n net.Error
 	switch {
 	case errors.Is(cause, syscall.ECONNREFUSED):
@@ -62,16 +62,16 @@
 	}
 }
 
-func (f *Forwarder) reportObservation(r *fleet.Runner, sign protocol.LossObservation, now time.Time) {
+func (f *Forwarder) reportObservation(r *fleet.Runner, observation protocol.LossObservation, now time.Time) {
 	if f.ReportFailure != nil {
-		f.ReportFailure(r.Name(), sign, now)
+		f.ReportFailure(r.Name(), observation, now)
 	}
 }
 
 // ApplyFailureReport applies what a failure or address owner report changes, and reports whether
 // that may matter to the director.
-func (f *Forwarder) ApplyFailureReport(report loss.Report, v loss.Change) bool {
-	if _, ok := v.(loss.OccupantObserved); ok {
+func (f *Forwarder) ApplyFailureReport(report loss.Report, change loss.Change) bool {
+	if _, ok := change.(loss.OccupantObserved); ok {
 		return f.applyOwner(&report)
 	}
 	r := f.Registry.View().Runner(report.Endpoint())
@@ -79,7 +79,7 @@
 		return false
 	}
 	now := clock.Now()
-	switch v := v.(type) {
+	switch v := change.(type) {
 	case loss.Lost:
 		r.MarkLost(v.At(), v.Until())
 		f.Counters.Ejected(metric.EjectedLost)
--- a/transport/forward/failure_test.go
+++ b/transport/forward/failure_test.go
@@ -35,13 +35,13 @@
 
 // reportedFailure is an observation as the forwarder reports it.
 type reportedFailure struct {
-	endpoint string
-	sign     protocol.LossObservation
+	endpoint    string
+	observation protocol.LossObservation
 }
 
 // newForwarder returns a forwarder with n engines that hold the whole model each, and an exchange
 // of a stream with an attempt at the first engine chosen.
-func newForwarder(t *testing.T, n int, tells *[]reportedFailure) (*Forwarder, *exchange) {
+func newForwarder(t *testing.T, n int, reports *[]reportedFailure) (*Forwarder, *exchange) {
 	s := protocol.RoutedService{Name: "llm", Engine: &protocol.EngineFacts{
 		Layers: 10, LayerMB: 100, TokenLayerMB: 0.1, UsualPrompt: 10, UsualAnswer: 10, StepMS: 1, ReadPerSecond: 1e6,
 		Accelerators: []protocol.AcceleratorFacts{{Name: "t4", MemoryMB: 2000, StepFactor: 1, ReadFactor: 1}},
@@ -51,9 +51,9 @@
 		Headers: plainHeaders{}, Counters: &metric.Set{},
 	}
 	f.faultLocator.forwarder = f
-	if tells != nil {
-		f.ReportFailure = func(endpoint string, sign protocol.LossObservation, _ time.Time) {
-			*tells = append(*tells, reportedFailure{endpoint, sign})
+	if reports != nil {
+		f.ReportFailure = func(endpoint string, observation protocol.LossObservation, _ time.Time) {
+			*reports = append(*reports, reportedFailure{endpoint, observation})
 		}
 	}
 	f.InitRetryBudget(RetryBudget{Share: 0.2, Slack: 1000, WindowEnd: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
@@ -82,10 +82,10 @@
 
 // markLost applies a report by which a runner is lost.
 func markLost(f *Forwarder, r *fleet.Runner) {
-	var b loss.Tracker
+	var tracker loss.Tracker
 	now := time.Now()
 	report := loss.NewReport(r.Name(), "another", protocol.LossRefused, now)
-	f.ApplyFailureReport(report, b.Apply(report, 10, now))
+	f.ApplyFailureReport(report, tracker.Apply(report, 10, now))
 }
 
 // TestStreamRetriesWhenEngineIsReportedLost checks that a stream is retried as soon as its engine
@@ -93,9 +93,9 @@
 func TestStreamRetriesWhenEngineIsReportedLost(t *testing.T) {
 	f, x := newForwarder(t, 4, nil)
 	first := x.open[0].endpoint
-	news := f.losses.Awaited()
+	lossSignal := f.losses.Awaited()
 	markLost(f, first)
-	<-news
+	<-lossSignal
 	x.handleLosses(time.Now())
 	require.Len(t, x.open, 2)
 	second := x.open[1].endpoint
@@ -137,31 +137,31 @@
 // TestReportErrorObservations checks which errors are reported: a refused connection is certain, a
 // timeout counts only while this entry hears other endpoints and not that one.
 func TestReportErrorObservations(t *testing.T) {
-	var tells []reportedFailure
-	f, x := newForwarder(t, 2, &tells)
-	r, begun := x.open[0].endpoint, time.Now()
+	var reports []reportedFailure
+	f, x := newForwarder(t, 2, &reports)
+	endpoint, begun := x.open[0].endpoint, time.Now()
 	refused := &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
-	f.reportError(r, refused, begun, begun)
-	require.Equal(t, []reportedFailure{{r.Name(), protocol.LossRefused}}, tells)
+	f.reportError(endpoint, refused, begun, begun)
+	require.Equal(t, []reportedFailure{{endpoint.Name(), protocol.LossRefused}}, reports)
 
-	tells = nil
-	f.reportError(r, context.DeadlineExceeded, begun, begun.Add(time.Second))
-	require.Empty(t, tells, "this entry hears no endpoint")
+	reports = nil
+	f.reportError(endpoint, context.DeadlineExceeded, begun, begun.Add(time.Second))
+	require.Empty(t, reports, "this entry hears no endpoint")
 	var other *fleet.Runner
 	for _, o := range f.Registry.View().Runners() {
-		if o != r {
+		if o != endpoint {
 			other = o
 		}
 	}
 	f.recordWorking(other, begun.Add(time.Millisecond))
-	f.reportError(r, errors.New("spoilt"), begun, begun.Add(time.Second))
-	require.Empty(t, tells, "the error says nothing about the endpoint")
-	f.reportError(r, context.DeadlineExceeded, begun, begun.Add(time.Second))
-	require.Equal(t, []reportedFailure{{r.Name(), protocol.LossSilent}}, tells)
-
-	tells = nil
-	markLost(f, r)
-	f.recordWorking(r, time.Now().Add(2*time.Second))
-	require.Equal(t, []reportedFailure{{r.Name(), protocol.LossAnswered}}, tells)
-	require.True(t, r.Usable(time.Now()))
+	f.reportError(endpoint, errors.New("spoilt"), begun, begun.Add(time.Second))
+	require.Empty(t, reports, "the error says nothing about the endpoint")
+	f.reportError(endpoint, context.DeadlineExceeded, begun, begun.Add(time.Second))
+	require.Equal(t, []reportedFailure{{endpoint.Name(), protocol.LossSilent}}, reports)
+
+	reports = nil
+	markLost(f, endpoint)
+	f.recordWorking(endpoint, time.Now().Add(2*time.Second))
+	require.Equal(t, []reportedFailure{{endpoint.Name(), protocol.LossAnswered}}, reports)
+	require.True(t, endpoint.Usable(time.Now()))
 }
--- a/transport/forward/fault_locator.go
+++ b/transport/forward/fault_locator.go
@@ -40,22 +40,22 @@
 // silentRunners handles an attempt on which nothing was received since a time. It returns the
 // runners of the path that were not heard on any other stream either, which get no new work for a
 // moment. A path whose runners were all heard lately is busy, not dead.
-func (s *faultLocator) silentRunners(a *attempt, since, now time.Time) []*fleet.Runner {
-	var quiet []*fleet.Runner
+func (l *faultLocator) silentRunners(a *attempt, since, now time.Time) []*fleet.Runner {
+	var silent []*fleet.Runner
 	for i := range a.path.Len() {
 		r := a.path.Runner(i)
 		if heard := r.HeardAt(); heard.After(now.Add(-silenceThreshold)) || heard.After(a.sentAt) && heard.After(since.Add(silenceThreshold)) {
 			continue
 		}
-		quiet = append(quiet, r)
+		silent = append(silent, r)
 		if !r.IsSlow(now) { // a slow runner responds, only later
 			r.Suspect(now.Add(suspectDuration))
 		}
 	}
-	if len(quiet) > 0 && a.path.Len() > 1 && s.throttle.allow(a.endpoint.Name(), minQueryInterval, now) {
-		go (&stallQuery{locator: s, path: a.path, since: since}).run()
+	if len(silent) > 0 && a.path.Len() > 1 && l.throttle.allow(a.endpoint.Name(), minQueryInterval, now) {
+		go (&stallQuery{locator: l, path: a.path, since: since}).run()
 	}
-	return quiet
+	return silent
 }
 
 // stallQuery asks the first engine of a path which engine its requests wait for.
@@ -68,11 +68,11 @@
 func (q *stallQuery) run() {
 	f := q.locator.forwarder
 	first := q.path.Runner(0)
-	asked := clock.Now()
+	queriedAt := clock.Now()
 	report, err := f.queryReport(first)
 	now := clock.Now()
 	if err != nil {
-		f.reportError(first, err, asked, now)
+		f.reportError(first, err, queriedAt, now)
 		q.eject(first, metric.EjectedUnreported, err, now)
 		return
 	}
@@ -95,18 +95,18 @@
 }
 
 // eject ejects an engine, and logs the error of the query to it, nil for a reply.
-func (q *stallQuery) eject(r *fleet.Runner, why metric.Ejection, met error, now time.Time) {
+func (q *stallQuery) eject(r *fleet.Runner, reason metric.Ejection, cause error, now time.Time) {
 	f := q.locator.forwarder
-	till := r.Failed(now)
-	f.Counters.Ejected(why)
-	told := []slog.Attr{
-		slog.String("runner", r.Name()), slog.String("reason", string(why)),
-		slog.Int64("till_ms", till.Sub(now).Milliseconds()), slog.Int64("silent_ms", now.Sub(q.since).Milliseconds()),
+	until := r.Failed(now)
+	f.Counters.Ejected(reason)
+	attrs := []slog.Attr{
+		slog.String("runner", r.Name()), slog.String("reason", string(reason)),
+		slog.Int64("till_ms", until.Sub(now).Milliseconds()), slog.Int64("silent_ms", now.Sub(q.since).Milliseconds()),
 	}
-	if met != nil {
-		told = append(told, slog.String("cause", met.Error()))
+	if cause != nil {
+		attrs = append(attrs, slog.String("cause", cause.Error()))
 	}
-	f.log(event.RunnerEjected, told...)
+	f.log(event.RunnerEjected, attrs...)
 }
 
 // probe queries an engine that others wait for. If it does not reply either, it is likely to be
@@ -119,18 +119,18 @@
 
 func (p *probe) run() {
 	f := p.forwarder
-	asked := clock.Now()
+	queriedAt := clock.Now()
 	_, err := f.queryReport(p.runner)
 	if err == nil {
 		p.runner.MarkResponsive()
 		return
 	}
 	now := clock.Now()
-	f.reportError(p.runner, err, asked, now)
-	till := p.runner.Failed(now)
+	f.reportError(p.runner, err, queriedAt, now)
+	until := p.runner.Failed(now)
 	f.Counters.Ejected(metric.EjectedUnanswered)
 	f.log(event.RunnerEjected, slog.String("runner", p.runner.Name()), slog.String("reason", string(metric.EjectedUnanswered)), slog.String("cause", err.Error()),
-		slog.Int64("till_ms", till.Sub(now).Milliseconds()))
+		slog.Int64("till_ms", until.Sub(now).Milliseconds()))
 }
 
 func stalledAt(r *fleet.Runner, stalled []protocol.StalledRequest) bool {
--- a/transport/forward/forwarder.go
+++ b/transport/forward/forwarder.go
@@ -58,18 +58,18 @@
 	MemoryBudget *backlog.Budget
 	// ReportFailure reports an observation about an endpoint's health to the other entries. It may
 	// be nil.
-	ReportFailure func(endpoint string, sign protocol.LossObservation, at time.Time)
+	ReportFailure func(endpoint string, observation protocol.LossObservation, at time.Time)
 	// ReportAddressOwner reports to the other entries which process answers at an endpoint's
 	// address. An empty owner is a process that does not hold the layers of the endpoint's record.
 	// It may be nil.
-	ReportAddressOwner func(endpoint, occupant string, at time.Time)
+	ReportAddressOwner func(endpoint, owner string, at time.Time)
 	// Quarantine tracks work that may crash the endpoints that run it. It may be nil.
 	Quarantine Quarantine
 	// OnResume is called after the VM was suspended. It may be nil.
 	OnResume func(now time.Time)
 	// ReportSlowdown reports an observed slowdown of an endpoint to the other entries. It may be
 	// nil.
-	ReportSlowdown func(news protocol.RelaySlow, at time.Time)
+	ReportSlowdown func(report protocol.RelaySlow, at time.Time)
 
 	done         part.Done
 	retryBudgets serviceBudgets
@@ -119,40 +119,40 @@
 // run does the background maintenance. Most entries of a large fleet have no open requests most of
 // the time, so queues and engine capacity are checked only while a request is open.
 func (f *Forwarder) run() {
-	t := time.NewTicker(sweepInterval)
-	defer t.Stop()
-	turns := time.NewTicker(dispatchInterval)
-	defer turns.Stop()
+	sweeps := time.NewTicker(sweepInterval)
+	defer sweeps.Stop()
+	dispatches := time.NewTicker(dispatchInterval)
+	defer dispatches.Stop()
 	polls := time.NewTicker(pollCheckInterval)
 	defer polls.Stop()
 	idles := time.NewTicker(idleCheckInterval)
 	defer idles.Stop()
 	for {
-		busy := f.activated.Awaited()
-		turning, polling, idling := turns.C, polls.C, idles.C
+		activated := f.activated.Awaited()
+		dispatchTick, pollTick, idleTick := dispatches.C, polls.C, idles.C
 		if f.openCount.Load() > 0 {
-			idling = nil
+			idleTick = nil
 		} else {
-			turning, polling = nil, nil // the runtime stops timers that no goroutine waits on
+			dispatchTick, pollTick = nil, nil // the runtime stops timers that no goroutine waits on
 		}
 		select {
-		case <-t.C:
+		case <-sweeps.C:
 			clock.Look()
 			f.pool.sweep(clock.Now())
 			f.inflight.sweep(f.Registry)
-		case <-turning:
+		case <-dispatchTick:
 			now := clock.Now()
 			f.checkSuspension(now)
 			f.queues.dispatchFirst(now)
-		case <-polling:
+		case <-pollTick:
 			now := clock.Now()
 			f.poller.pollDue(now)
 			f.slowdowns.queryDue(now)
-		case <-idling:
+		case <-idleTick:
 			now := clock.Now()
 			f.checkSuspension(now)
 			f.slowdowns.queryDue(now)
-		case <-busy:
+		case <-activated:
 		case <-f.done.Done():
 			return
 		}
--- a/transport/forward/handle.go
+++ b/transport/forward/handle.go
@@ -46,7 +46,7 @@
 	now := clock.Now()
 	x.recordPathChange(m.attempt, now)
 	x.recordHeard(m.attempt, now)
-	if slept := x.checkSuspension(now); x.timing.started && !slept {
+	if suspended := x.checkSuspension(now); x.timing.started && !suspended {
 		x.checkSlowdown(m.attempt, now.Sub(x.timing.lastEvent), now)
 	}
 	x.timing.recordEvent(now)
@@ -88,6 +88,7 @@
 	}
 }
 
+// handleResponse delivers a whole response, or applies the retry policy to it.
 func (x *exchange) handleResponse(m responseReceived) {
 	now := clock.Now()
 	a := m.attempt
@@ -118,6 +119,7 @@
 	}
 }
 
+// handleEnd completes the stream of an attempt that ended properly, and handles its failure otherwise.
 func (x *exchange) handleEnd(m attemptEnded) {
 	a := m.attempt
 	now := clock.Now()
--- a/transport/forward/inflight.go
+++ b/transport/forward/inflight.go
@@ -24,8 +24,8 @@
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	at := f.byEndpoint[endpoint]
-	return at == nil || at.Admits(int64(n))
+	inflight := f.byEndpoint[endpoint]
+	return inflight == nil || inflight.Admits(int64(n))
 }
 
 // sent records a request of n bytes.
@@ -45,14 +45,14 @@
 }
 
 // ended records that a request of n bytes is no longer at an endpoint.
-func (f *inflightBytes) ended(endpoint string, n int, fell bool) {
+func (f *inflightBytes) ended(endpoint string, n int, disconnected bool) {
 	if n <= smallBytes {
 		return
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if at := f.byEndpoint[endpoint]; at != nil {
-		at.Finished(int64(n), fell)
+	if inflight := f.byEndpoint[endpoint]; inflight != nil {
+		inflight.Finished(int64(n), disconnected)
 	}
 }
 
@@ -64,8 +64,8 @@
 		return
 	}
 	v := endpoints.View()
-	for id, at := range f.byEndpoint {
-		if at.Bytes() == 0 && v.Runner(id) == nil {
+	for id, inflight := range f.byEndpoint {
+		if inflight.Bytes() == 0 && v.Runner(id) == nil {
 			delete(f.byEndpoint, id)
 		}
 	}
--- a/transport/forward/misplaced.go
+++ b/transport/forward/misplaced.go
@@ -15,9 +15,9 @@
 
 // handleMisplaced handles a response which says that the request was sent where it can't run:
 // another process has the address of a runner of its path, or that runner does not hold its layers.
-// Unlike a refusal for lack of capacity this state lasts, so all entries are informed. When each
+// Unlike a refusal for lack of capacity this state lasts, so the entry reports it to all others. When each
 // entry had to find out for itself, 15 of 98 engines that had crashed and restarted caused 344 such
-// responses at twelve entries in 34 s. With reports, all 36 entries met 7 (their logs, one run
+// responses at twelve entries in 34 s. With reports, all 36 entries got 7 (their logs, one run
 // each).
 func (x *exchange) handleMisplaced(m *responseReceived, now time.Time) {
 	f, a, terms := x.forwarder, m.attempt, &m.terms
@@ -27,42 +27,42 @@
 			continue
 		}
 		r := a.path.Runner(i)
-		occupant := ""
+		owner := ""
 		if i == 0 && terms.EndpointID != r.Name() {
-			occupant = terms.EndpointID
+			owner = terms.EndpointID
 		}
-		f.reportOwner(r, occupant, a.sentAt)
+		f.reportOwner(r, owner, a.sentAt)
 	}
 }
 
 // reportOwner reports to all entries that the process which answers at a runner's address is the
 // owner; an empty owner does not hold the runner's layers. The time is that of the query, so that a
 // record written later takes precedence.
-func (f *Forwarder) reportOwner(r *fleet.Runner, occupant string, at time.Time) {
+func (f *Forwarder) reportOwner(r *fleet.Runner, owner string, at time.Time) {
 	f.Counters.Add(metric.RecordsDisproved, 1)
 	if f.ReportAddressOwner != nil {
-		f.ReportAddressOwner(r.Name(), occupant, at)
+		f.ReportAddressOwner(r.Name(), owner, at)
 	}
 }
 
 // applyOwner applies a report of which process answers at an endpoint's address, and reports
 // whether that changes which record is used or how.
 func (f *Forwarder) applyOwner(report *loss.Report) bool {
-	id, occupant := report.Endpoint(), report.Occupant()
-	var news bool
-	switch occupant {
+	id, owner := report.Endpoint(), report.Occupant()
+	var changed bool
+	switch owner {
 	case "":
-		news = f.Registry.LayersDenied(id, report.Incarnation(), report.At())
+		changed = f.Registry.LayersDenied(id, report.Incarnation(), report.At())
 	case id:
-		moved := f.Registry.OwnerAnswered(id, occupant, report.Incarnation(), report.At())
-		news = f.Registry.LayersConfirmed(id, report.At()) || moved
+		answered := f.Registry.OwnerAnswered(id, owner, report.Incarnation(), report.At())
+		changed = f.Registry.LayersConfirmed(id, report.At()) || answered
 	default:
-		news = f.Registry.OwnerAnswered(id, occupant, report.Incarnation(), report.At())
+		changed = f.Registry.OwnerAnswered(id, owner, report.Incarnation(), report.At())
 	}
-	if news {
-		f.log(event.RecordDisproved, slog.String("endpoint", id), slog.String("occupant", occupant),
+	if changed {
+		f.log(event.RecordDisproved, slog.String("endpoint", id), slog.String("occupant", owner),
 			slog.String("sign", report.Observation().String()), slog.String("witness", report.Observer()),
 			slog.Int64("age_ms", clock.Since(report.At()).Milliseconds()))
 	}
-	return news
+	return changed
 }
--- a/transport/forward/poll.go
+++ b/transport/forward/poll.go
@@ -49,8 +49,8 @@
 		if services[i].Engine == nil {
 			continue
 		}
-		for _, center := range f.Registry.EngineDataCenters(services[i].Name) {
-			p.pollModel(view.Model(registry.ModelName(services[i].Name, center)), services[i].Name, now)
+		for _, dataCenter := range f.Registry.EngineDataCenters(services[i].Name) {
+			p.pollModel(view.Model(registry.ModelName(services[i].Name, dataCenter)), services[i].Name, now)
 		}
 	}
 }
@@ -69,17 +69,17 @@
 
 // nearCapacity reports whether an engine may be short of capacity.
 func (p *poller) nearCapacity(r *fleet.Runner, service string, now time.Time) bool {
-	fill := r.Utilization(now, 0)
+	utilization := r.Utilization(now, 0)
 	if !now.Before(r.UtilizationUntil()) {
-		fill *= p.forwarder.entriesPerDataCenter(service)
+		utilization *= p.forwarder.entriesPerDataCenter(service)
 	}
-	return fill > pollUtilization
+	return utilization > pollUtilization
 }
 
 // due reports whether an engine may be queried again, and if so records a query now.
-func (p *poller) due(r *fleet.Runner, sharers float64, now time.Time) bool {
-	every := time.Duration(max(1, sharers/fullRateEntries) * float64(pollInterval))
-	return p.throttle.allow(r.Name(), every, now)
+func (p *poller) due(r *fleet.Runner, entries float64, now time.Time) bool {
+	interval := time.Duration(max(1, entries/fullRateEntries) * float64(pollInterval))
+	return p.throttle.allow(r.Name(), interval, now)
 }
 
 // queryReport queries an engine for its report.
@@ -87,10 +87,10 @@
 	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 	defer cancel()
 	f.Counters.Add(metric.ReportsAsked, 1)
-	asked := clock.Now()
+	queriedAt := clock.Now()
 	report, err := f.Reporter.Report(ctx, r.Spec().Address)
 	if err == nil {
-		f.slowdowns.reportSlowdown(r, &report, asked)
+		f.slowdowns.reportSlowdown(r, &report, queriedAt)
 	}
 	return report, err
 }
@@ -103,10 +103,10 @@
 
 func (p *poll) run() {
 	f := p.forwarder
-	asked := clock.Now()
+	queriedAt := clock.Now()
 	report, err := f.queryReport(p.runner)
 	if err != nil {
-		f.reportError(p.runner, err, asked, clock.Now())
+		f.reportError(p.runner, err, queriedAt, clock.Now())
 		f.log(event.ReportIgnored, slog.String("runner", p.runner.Name()), slog.String("cause", err.Error()))
 		return
 	}
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -31,6 +31,7 @@
 type Quarantine interface {
 	// Empty reports whether there are no observations about any work.
 	Empty() bool
+	// Status returns what the work may do now.
 	Status(work protocol.Fingerprint, now time.Time) quarantine.Status
 	// IsSuspected reports whether there are observations about the work that a successful run would
 	// clear.
@@ -40,10 +41,10 @@
 	// MayStartIsolatedRun reports whether an isolated run may start at this check.
 	MayStartIsolatedRun(now time.Time) bool
 	// Report records an observation of this entry and passes it to the other entries.
-	Report(news protocol.RelayWork, at time.Time)
+	Report(report protocol.RelayWork, at time.Time)
 	// RecordUnresolved records that it may become known soon whether an incarnation of an endpoint
 	// has crashed.
-	RecordUnresolved(endpoint string, life protocol.Incarnation, now time.Time)
+	RecordUnresolved(endpoint string, incarnation protocol.Incarnation, now time.Time)
 	crashcheck.Recorder
 }
 
@@ -105,15 +106,15 @@
 
 // applyQuarantine holds back a request whose work must not run now, after its last attempt or
 // before the first, and reports whether it does. The request is refused or waits to run isolated.
-// Without this, such a request was retried, at each entry anew, until half of the endpoints had
+// Without this, each entry retried such a request on its own until half of the endpoints had
 // crashed.
-func (x *exchange) applyQuarantine(a *attempt, r retry.Result, whole *responseReceived, now time.Time) bool {
+func (x *exchange) applyQuarantine(a *attempt, r retry.Result, response *responseReceived, now time.Time) bool {
 	switch s := x.quarantineStatus(now).(type) {
 	case quarantine.Refused:
 		x.fail(x.quarantineRefusal(s))
 		return true
 	case quarantine.RequireIsolation, quarantine.Waiting:
-		x.isolation = &isolationWait{deadline: x.isolationDeadline(now), recheckAt: now, failed: a, result: r, response: whole}
+		x.isolation = &isolationWait{deadline: x.isolationDeadline(now), recheckAt: now, failed: a, result: r, response: response}
 		x.forwarder.Counters.Add(metric.RequestsTried, 1)
 		x.forwarder.log(event.TrialAwaited, x.requestAttr(), slog.String("fingerprint", x.workFingerprint().String()),
 			slog.Int64("till_ms", x.isolation.deadline.Sub(now).Milliseconds()))
@@ -125,27 +126,27 @@
 
 // isolationDeadline returns until when waiting for an isolated run is useful.
 func (x *exchange) isolationDeadline(now time.Time) time.Time {
-	if till := x.queueDeadline(); !till.IsZero() {
-		return till
+	if deadline := x.queueDeadline(); !deadline.IsZero() {
+		return deadline
 	}
-	if till := now.Add(quarantine.IsolationTimeout); till.Before(x.deadline) {
-		return till
+	if deadline := now.Add(quarantine.IsolationTimeout); deadline.Before(x.deadline) {
+		return deadline
 	}
 	return x.deadline
 }
 
 // checkIsolation checks whether a request that waits for an isolated run may start.
 func (x *exchange) checkIsolation(now time.Time) {
-	t := x.isolation
-	t.recheckAt = now.Add(quarantine.IsolationPollInterval)
+	wait := x.isolation
+	wait.recheckAt = now.Add(quarantine.IsolationPollInterval)
 	switch s := x.quarantineStatus(now).(type) {
 	case quarantine.Refused:
 		x.isolation = nil
 		x.fail(x.quarantineRefusal(s))
 		return
 	case quarantine.Waiting:
-		if s.Until().Before(t.recheckAt) {
-			t.recheckAt = s.Until()
+		if s.Until().Before(wait.recheckAt) {
+			wait.recheckAt = s.Until()
 		}
 	case quarantine.RequireIsolation:
 		if x.startIsolated(now) {
@@ -153,14 +154,14 @@
 		}
 	default:
 		x.isolation = nil
-		if t.failed == nil {
+		if wait.failed == nil {
 			x.start(now)
 			return
 		}
-		x.retryOrFinish(t.failed, t.result, t.response, now)
+		x.retryOrFinish(wait.failed, wait.result, wait.response, now)
 		return
 	}
-	if !now.Before(t.deadline) {
+	if !now.Before(wait.deadline) {
 		x.expireIsolation()
 	}
 }
@@ -168,17 +169,17 @@
 // startIsolated sends a request that may run isolated to an endpoint without other quarantined
 // work, and reports whether it did.
 func (x *exchange) startIsolated(now time.Time) bool {
-	t, f := x.isolation, x.forwarder
+	wait, f := x.isolation, x.forwarder
 	p, ready := x.pickNext(now)
 	if !ready || !pathHealthy(&p, now, nil) || !x.mayReach(&p) || slices.Contains(f.Quarantine.ReservedEndpoints(x.workFingerprint(), now), p.Runner(0).Name()) || !f.Quarantine.MayStartIsolatedRun(now) {
 		return false
 	}
-	again := t.failed != nil && t.result != retry.NeverSent
-	if again && !f.retryBudgets.takeRetry(x.service.Name, now) {
+	isRetry := wait.failed != nil && wait.result != retry.NeverSent
+	if isRetry && !f.retryBudgets.takeRetry(x.service.Name, now) {
 		return false
 	}
-	if t.failed != nil {
-		f.Counters.Retried(retryReason(t.result))
+	if wait.failed != nil {
+		f.Counters.Retried(retryReason(wait.result))
 	}
 	x.isolation = nil
 	x.startAttempt(&p)
@@ -188,20 +189,20 @@
 
 // expireIsolation ends a request that has waited for an isolated run for too long.
 func (x *exchange) expireIsolation() {
-	t := x.isolation
+	wait := x.isolation
 	x.isolation = nil
-	again := clock.Now().Add(quarantine.IsolationRetryAfter)
-	if t.failed == nil {
-		x.fail(protocol.Refuse(protocol.QueueFull, "endpoints ended when they ran this request, and none is free to run it alone").Again(again))
+	retryAt := clock.Now().Add(quarantine.IsolationRetryAfter)
+	if wait.failed == nil {
+		x.fail(protocol.Refuse(protocol.QueueFull, "endpoints ended when they ran this request, and none is free to run it alone").Again(retryAt))
 		return
 	}
-	x.endWith(retry.FinalAction(t.result, x.mayHaveRun), t.response, again)
+	x.endWith(retry.FinalAction(wait.result, x.mayHaveRun), wait.response, retryAt)
 }
 
 // avoidReserved adds to the runners that a request avoids those that are reserved for isolated runs
 // of other work.
 func (x *exchange) avoidReserved(avoid []*fleet.Runner, now time.Time) []*fleet.Runner {
-	if _, free := x.quarantineStatus(now).(quarantine.Unrestricted); free {
+	if _, unrestricted := x.quarantineStatus(now).(quarantine.Unrestricted); unrestricted {
 		return avoid
 	}
 	avoid = slices.Clip(avoid)
@@ -219,7 +220,7 @@
 func (x *exchange) markIsolated(a *attempt, now time.Time) {
 	q := x.forwarder.Quarantine
 	a.incarnation = x.forwarder.Registry.Incarnation(a.endpoint.Name())
-	if _, free := x.quarantineStatus(now).(quarantine.Unrestricted); !free {
+	if _, unrestricted := x.quarantineStatus(now).(quarantine.Unrestricted); !unrestricted {
 		a.isolated = true
 		q.Report(x.workReport(a, protocol.WorkTried), now)
 	}
@@ -270,8 +271,8 @@
 }
 
 // workReport returns a report about the request's work at an attempt's endpoint.
-func (x *exchange) workReport(a *attempt, sign protocol.WorkObservation) protocol.RelayWork {
-	return protocol.RelayWork{Work: x.workFingerprint(), Endpoint: a.endpoint.Name(), Incarnation: a.incarnation, Observation: sign}
+func (x *exchange) workReport(a *attempt, observation protocol.WorkObservation) protocol.RelayWork {
+	return protocol.RelayWork{Work: x.workFingerprint(), Endpoint: a.endpoint.Name(), Incarnation: a.incarnation, Observation: observation}
 }
 
 // reportLostEndpoints reports open attempts whose endpoint is lost before their connection breaks,
--- a/transport/forward/queue.go
+++ b/transport/forward/queue.go
@@ -27,7 +27,7 @@
 	// firstEventMargin is the time reserved for the first event after dispatch: its median is
 	// 0.1 s, and 0.4 s covers a prefill behind other requests.
 	firstEventMargin = 400 * time.Millisecond
-	// targetMargin is the same for a request that just meets its target.
+	// targetMargin is the time reserved for the first event of a request that just meets its target.
 	targetMargin = 150 * time.Millisecond
 	// resumePriority is the priority of streams that have begun and wait to resume: ahead of all
 	// requests that have not begun.
@@ -44,71 +44,71 @@
 
 // enqueue adds a request to the queue and returns its ticket and the channel of its dispatch
 // offers. If the queue refuses it, again is when the caller should retry.
-func (l *waitQueue) enqueue(w admit.Waiter, now time.Time) (t admit.Ticket, turns chan int, again time.Time, ok bool) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.lastTicket++
-	w.Ticket = l.lastTicket
-	if again, ok := l.queue.Enqueue(w, now); !ok {
-		return 0, nil, again, false
+func (q *waitQueue) enqueue(w admit.Waiter, now time.Time) (t admit.Ticket, offers chan int, retryAt time.Time, ok bool) {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	q.lastTicket++
+	w.Ticket = q.lastTicket
+	if retryAt, ok := q.queue.Enqueue(w, now); !ok {
+		return 0, nil, retryAt, false
 	}
-	if l.dispatches == nil {
-		l.dispatches = make(map[admit.Ticket]chan int)
+	if q.dispatches == nil {
+		q.dispatches = make(map[admit.Ticket]chan int)
 	}
-	turns = make(chan int, 1)
-	l.dispatches[w.Ticket] = turns
-	return w.Ticket, turns, time.Time{}, true
+	offers = make(chan int, 1)
+	q.dispatches[w.Ticket] = offers
+	return w.Ticket, offers, time.Time{}, true
 }
 
 // remove removes a request from the queue.
-func (l *waitQueue) remove(t admit.Ticket) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.queue.Remove(t)
-	delete(l.dispatches, t)
+func (q *waitQueue) remove(t admit.Ticket) {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	q.queue.Remove(t)
+	delete(q.dispatches, t)
 }
 
 // recordStart records that a request of a team started.
-func (l *waitQueue) recordStart(team string, now time.Time) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.queue.RecordDispatch(team, now)
+func (q *waitQueue) recordStart(team string, now time.Time) {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	q.queue.RecordDispatch(team, now)
 }
 
 // anyAhead reports whether a queued request goes before a new one of that priority.
-func (l *waitQueue) anyAhead(priority int) bool {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.queue.HasPredecessors(priority)
+func (q *waitQueue) anyAhead(priority int) bool {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	return q.queue.HasPredecessors(priority)
 }
 
 // groups returns the queued requests grouped by priority and team.
-func (l *waitQueue) groups() []admit.Group {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.queue.Groups()
+func (q *waitQueue) groups() []admit.Group {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	return q.queue.Groups()
 }
 
 // retryAfter returns when a refused caller should retry.
-func (l *waitQueue) retryAfter(now time.Time) time.Time {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	return l.queue.RetryAfter(now)
+func (q *waitQueue) retryAfter(now time.Time) time.Time {
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	return q.queue.RetryAfter(now)
 }
 
 // dispatch offers capacity to the request at a position of the queue.
-func (l *waitQueue) dispatch(after int, now time.Time) {
-	if after >= maxDispatchScan {
+func (q *waitQueue) dispatch(position int, now time.Time) {
+	if position >= maxDispatchScan {
 		return
 	}
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	w, ok := l.queue.Peek(after, now)
+	q.mutex.Lock()
+	defer q.mutex.Unlock()
+	w, ok := q.queue.Peek(position, now)
 	if !ok {
 		return
 	}
 	select {
-	case l.dispatches[w.Ticket] <- after:
+	case q.dispatches[w.Ticket] <- position:
 	default: // it has not handled its last offer yet
 	}
 }
@@ -118,17 +118,18 @@
 	byService sync.Map // *waitQueue by service name
 }
 
-func (l *waitQueues) forService(service string) *waitQueue {
-	if found, ok := l.byService.Load(service); ok {
+// forService returns the wait queue of a service, and creates it on first use.
+func (q *waitQueues) forService(service string) *waitQueue {
+	if found, ok := q.byService.Load(service); ok {
 		return found.(*waitQueue)
 	}
-	made, _ := l.byService.LoadOrStore(service, &waitQueue{})
-	return made.(*waitQueue)
+	created, _ := q.byService.LoadOrStore(service, &waitQueue{})
+	return created.(*waitQueue)
 }
 
 // dispatchFirst offers capacity to the first request of each queue.
-func (l *waitQueues) dispatchFirst(now time.Time) {
-	l.byService.Range(func(_, found any) bool {
+func (q *waitQueues) dispatchFirst(now time.Time) {
+	q.byService.Range(func(_, found any) bool {
 		found.(*waitQueue).dispatch(0, now)
 		return true
 	})
@@ -190,16 +191,16 @@
 		x.startAttempt(&p)
 		return
 	}
-	l := x.forwarder.queues.forService(x.service.Name)
-	if !l.anyAhead(x.priority()) {
+	queue := x.forwarder.queues.forService(x.service.Name)
+	if !queue.anyAhead(x.priority()) {
 		if p, ready := x.pickReady(now); ready {
-			l.recordStart(x.teamName(), now)
+			queue.recordStart(x.teamName(), now)
 			x.startAttempt(&p)
 			return
 		}
 	}
-	if again, ok := x.enqueue(nil, retry.NeverSent, nil, x.queueDeadline(), now); !ok {
-		x.fail(noCapacity(again))
+	if retryAt, ok := x.enqueue(nil, retry.NeverSent, nil, x.queueDeadline(), now); !ok {
+		x.fail(noCapacity(retryAt))
 	}
 }
 
@@ -225,55 +226,55 @@
 	if x.headSent {
 		from = x.timing.lastEvent
 	}
-	till := x.route.Patience(from).Add(-firstEventMargin)
-	if till.After(x.deadline) {
+	latest := x.route.Patience(from).Add(-firstEventMargin)
+	if latest.After(x.deadline) {
 		return x.deadline
 	}
-	return till
+	return latest
 }
 
 // enqueue queues the request for capacity until the given time. It reports whether it did, and if
 // not, when the caller should retry.
-func (x *exchange) enqueue(a *attempt, r retry.Result, whole *responseReceived, till, now time.Time) (again time.Time, ok bool) {
-	l := x.forwarder.queues.forService(x.service.Name)
-	if !now.Before(till) {
-		return l.retryAfter(now), false
+func (x *exchange) enqueue(a *attempt, r retry.Result, response *responseReceived, deadline, now time.Time) (retryAt time.Time, ok bool) {
+	queue := x.forwarder.queues.forService(x.service.Name)
+	if !now.Before(deadline) {
+		return queue.retryAfter(now), false
 	}
 	priority := x.priority()
 	if x.headSent {
 		priority = resumePriority
 	}
-	h := &queuedRequest{queue: l, deadline: till, since: now, failed: a, result: r, response: whole}
-	h.ticket, h.dispatches, again, ok = l.enqueue(admit.Waiter{
+	queued := &queuedRequest{queue: queue, deadline: deadline, since: now, failed: a, result: r, response: response}
+	queued.ticket, queued.dispatches, retryAt, ok = queue.enqueue(admit.Waiter{
 		Team: x.teamName(), Priority: priority, Since: x.begun,
-		TargetStart: x.route.Aim(x.begun).Add(-targetMargin), LatestStart: till,
+		TargetStart: x.route.Aim(x.begun).Add(-targetMargin), LatestStart: deadline,
 	}, now)
 	if !ok {
-		return again, false
+		return retryAt, false
 	}
-	x.queued = h
+	x.queued = queued
 	x.forwarder.Counters.Add(metric.RequestsHeld, 1)
 	x.forwarder.log(event.HoldBegun, x.requestAttr(), slog.Int("sends", x.attempts), slog.Int("priority", priority),
-		slog.Int64("most_ms", till.Sub(now).Milliseconds()))
+		slog.Int64("most_ms", deadline.Sub(now).Milliseconds()))
 	return time.Time{}, true
 }
 
 // handleDispatch tries to start a queued request. If there is no capacity for it, the next one is
 // tried.
-func (x *exchange) handleDispatch(after int, now time.Time) {
-	h := x.queued
+func (x *exchange) handleDispatch(position int, now time.Time) {
+	queued := x.queued
 	if !x.tryDispatch(now) {
-		h.queue.dispatch(after+1, now)
+		queued.queue.dispatch(position+1, now)
 		return
 	}
-	x.forwarder.Counters.Took(metric.Held, now.Sub(h.since))
-	h.queue.dispatch(0, now)
+	x.forwarder.Counters.Took(metric.Held, now.Sub(queued.since))
+	queued.queue.dispatch(0, now)
 }
 
 // tryDispatch sends the queued request if there is capacity and the retry budget allows it.
 func (x *exchange) tryDispatch(now time.Time) bool {
-	h := x.queued
-	if x.applyQuarantine(h.failed, h.result, h.response, now) {
+	queued := x.queued
+	if x.applyQuarantine(queued.failed, queued.result, queued.response, now) {
 		x.dequeue()
 		return true
 	}
@@ -281,13 +282,13 @@
 	if !ready || !x.mayReach(&p) {
 		return false
 	}
-	if h.failed != nil && h.result != retry.NeverSent && !x.forwarder.retryBudgets.takeRetry(x.service.Name, now) {
+	if queued.failed != nil && queued.result != retry.NeverSent && !x.forwarder.retryBudgets.takeRetry(x.service.Name, now) {
 		return false
 	}
 	x.dequeue()
-	h.queue.recordStart(x.teamName(), now)
-	if h.failed != nil {
-		x.forwarder.Counters.Retried(retryReason(h.result))
+	queued.queue.recordStart(x.teamName(), now)
+	if queued.failed != nil {
+		x.forwarder.Counters.Retried(retryReason(queued.result))
 	}
 	x.startAttempt(&p)
 	x.timing.restart(now)
@@ -304,14 +305,14 @@
 
 // expireQueued ends a request that has waited for capacity for too long.
 func (x *exchange) expireQueued(now time.Time) {
-	h := x.queued
+	queued := x.queued
 	x.dequeue()
-	x.forwarder.log(event.HoldEnded, x.requestAttr(), slog.Int64("held_ms", now.Sub(h.since).Milliseconds()), slog.Int("sends", x.attempts))
-	if h.failed == nil {
-		x.fail(noCapacity(h.queue.retryAfter(now)))
+	x.forwarder.log(event.HoldEnded, x.requestAttr(), slog.Int64("held_ms", now.Sub(queued.since).Milliseconds()), slog.Int("sends", x.attempts))
+	if queued.failed == nil {
+		x.fail(noCapacity(queued.queue.retryAfter(now)))
 		return
 	}
-	x.endWith(retry.FinalAction(h.result, x.mayHaveRun), h.response, h.queue.retryAfter(now))
+	x.endWith(retry.FinalAction(queued.result, x.mayHaveRun), queued.response, queued.queue.retryAfter(now))
 }
 
 // priority ranks by team first, then by route, as engines do.
@@ -325,6 +326,6 @@
 }
 
 // noCapacity is the refusal of a request for which the engines have no capacity in time.
-func noCapacity(again time.Time) *protocol.Refusal {
-	return protocol.Refuse(protocol.QueueFull, "no engine has capacity for the request in time").Again(again)
+func noCapacity(retryAt time.Time) *protocol.Refusal {
+	return protocol.Refuse(protocol.QueueFull, "no engine has capacity for the request in time").Again(retryAt)
 }
--- a/transport/forward/reply.go
+++ b/transport/forward/reply.go
@@ -83,6 +83,7 @@
 	x.recordAnswered(http.StatusOK)
 }
 
+// recordAnswered counts and logs a request with a complete response.
 func (x *exchange) recordAnswered(status int) {
 	f := x.forwarder
 	took := clock.Since(x.begun)
--- a/transport/forward/reroute.go
+++ b/transport/forward/reroute.go
@@ -72,11 +72,11 @@
 	attempt   *attempt
 }
 
-func (q *stallCheck) run() {
-	a := q.attempt
-	report, err := q.forwarder.queryReport(a.endpoint)
-	waits := err != nil || slices.ContainsFunc(report.Stalled, func(s protocol.StalledRequest) bool { return s.ID == a.id })
-	a.post(stallReported{attempt: a, stalled: waits})
+func (c *stallCheck) run() {
+	a := c.attempt
+	report, err := c.forwarder.queryReport(a.endpoint)
+	stalled := err != nil || slices.ContainsFunc(report.Stalled, func(s protocol.StalledRequest) bool { return s.ID == a.id })
+	a.post(stallReported{attempt: a, stalled: stalled})
 }
 
 // replaceLost makes the first engine of an attempt's path replace the lost stages, if that is
@@ -102,16 +102,16 @@
 // is to wait, so stages that have fallen silent are replaced too, as long as they are few. A retry
 // is better where it is possible: of the streams whose silent stages were replaced, 20 in 100
 // paused for over 250 ms; of those whose stages were known to be lost, 5 in 100.
-func (x *exchange) replaceSilent(a *attempt, quiet []*fleet.Runner, now time.Time) silenceAction {
+func (x *exchange) replaceSilent(a *attempt, runners []*fleet.Runner, now time.Time) silenceAction {
 	if lost := lostRunners(a, now); len(lost) > 0 {
-		quiet = lost
-	} else if len(quiet)*stagesPerSilent > a.path.Len() {
+		runners = lost
+	} else if len(runners)*stagesPerSilent > a.path.Len() {
 		return ""
 	}
-	if !x.mayReplace(a, quiet, now) {
+	if !x.mayReplace(a, runners, now) {
 		return ""
 	}
-	return x.changePath(a, x.changeQuery(a, quiet, now), now)
+	return x.changePath(a, x.changeQuery(a, runners, now), now)
 }
 
 // mayReplace reports whether stages of an attempt's path may be replaced: not the first stage,
@@ -134,9 +134,9 @@
 
 // changeQuery returns the input for the decision on a path change, without a path elsewhere.
 func (x *exchange) changeQuery(a *attempt, lost []*fleet.Runner, now time.Time) *reroute.Query {
-	written := x.events * max(1, x.service.Engine.EventTokens)
+	generated := x.events * max(1, x.service.Engine.EventTokens)
 	q := &reroute.Query{
-		Path: a.path, Lost: lost, Tokens: x.terms.PromptTokens + written, RemainingTokens: max(0, x.terms.AnswerTokens-written), Search: x.pathQuery(now),
+		Path: a.path, Lost: lost, Tokens: x.terms.PromptTokens + generated, RemainingTokens: max(0, x.terms.AnswerTokens-generated), Search: x.pathQuery(now),
 	}
 	q.Search.Avoid = append(slices.Clip(x.avoid), lost...)
 	return q
@@ -148,8 +148,8 @@
 	view := x.forwarder.Registry.View()
 	home := a.endpoint.Spec().Model
 	list := []*fleet.Model{view.Model(home)}
-	for _, center := range x.forwarder.Registry.EngineDataCenters(x.service.Name) {
-		if name := registry.ModelName(x.service.Name, center); name != home {
+	for _, dataCenter := range x.forwarder.Registry.EngineDataCenters(x.service.Name) {
+		if name := registry.ModelName(x.service.Name, dataCenter); name != home {
 			list = append(list, view.Model(name))
 		}
 	}
--- a/transport/forward/reroute_harness_test.go
+++ b/transport/forward/reroute_harness_test.go
@@ -147,8 +147,8 @@
 	if len(s.exchange.open) == 0 {
 		return // the order ended with its attempt
 	}
-	_, unanswered := a.(protocol.PathUnanswered)
-	s.unresolved = s.unresolved || unanswered
+	_, noAnswer := a.(protocol.PathUnanswered)
+	s.unresolved = s.unresolved || noAnswer
 	s.engine.answers <- a
 	for {
 		m := <-s.exchange.messages
--- a/transport/forward/reroute_test.go
+++ b/transport/forward/reroute_test.go
@@ -143,27 +143,27 @@
 // TestSilentStageIsReplacedWithoutAlternative checks that a silent stage is replaced only if the
 // request can't be sent elsewhere and most of the path is not silent.
 func TestSilentStageIsReplacedWithoutAlternative(t *testing.T) {
-	for _, c := range []struct {
-		mayRepeat     bool
-		quiet         []int
-		orders, sends int
+	for _, test := range []struct {
+		mayRepeat        bool
+		silentStages     []int
+		orders, attempts int
 	}{
-		{mayRepeat: false, quiet: []int{1}, orders: 1, sends: 1},
-		{mayRepeat: false, quiet: []int{0}, orders: 0, sends: 1},
-		{mayRepeat: false, quiet: []int{1, 2}, orders: 0, sends: 1},
-		{mayRepeat: true, quiet: []int{1}, orders: 0, sends: 2},
+		{mayRepeat: false, silentStages: []int{1}, orders: 1, attempts: 1},
+		{mayRepeat: false, silentStages: []int{0}, orders: 0, attempts: 1},
+		{mayRepeat: false, silentStages: []int{1, 2}, orders: 0, attempts: 1},
+		{mayRepeat: true, silentStages: []int{1}, orders: 0, attempts: 2},
 	} {
-		s := newPathChangeHarness(t, silentEngines(t), c.mayRepeat)
+		s := newPathChangeHarness(t, silentEngines(t), test.mayRepeat)
 		t.Cleanup(s.end)
 		a := s.exchange.open[0]
-		var quiet []*fleet.Runner
-		for _, stage := range c.quiet {
-			quiet = append(quiet, a.path.Runner(stage))
+		var silent []*fleet.Runner
+		for _, stage := range test.silentStages {
+			silent = append(silent, a.path.Runner(stage))
 		}
-		s.exchange.recoverAttempt(a, quiet, time.Now())
+		s.exchange.recoverAttempt(a, silent, time.Now())
 		s.recordOrder()
-		require.Equal(t, c.orders, s.changes, c)
-		require.Equal(t, c.sends, s.exchange.attempts, c)
+		require.Equal(t, test.orders, s.changes, test)
+		require.Equal(t, test.attempts, s.exchange.attempts, test)
 	}
 }
 
--- a/transport/forward/reservation.go
+++ b/transport/forward/reservation.go
@@ -44,7 +44,7 @@
 }
 
 // reserveWait waits until n more bytes can be reserved. It reports false if end is closed first.
-func (r *reservation) reserveWait(n int64, end <-chan struct{}) bool {
+func (r *reservation) reserveWait(n int64, done <-chan struct{}) bool {
 	if r.reserve(n) {
 		return true
 	}
@@ -56,7 +56,7 @@
 			if r.reserve(n) {
 				return true
 			}
-		case <-end:
+		case <-done:
 			return false
 		}
 	}
--- a/transport/forward/silence.go
+++ b/transport/forward/silence.go
@@ -77,13 +77,13 @@
 	if silent.waitsOnReusedConn() {
 		x.forwarder.pool.closeIdle(silent.endpoint.Name())
 	}
-	quiet := lostRunners(silent, now)
-	if len(quiet) > 0 {
-		x.recoverAttempt(silent, quiet, now)
+	lost := lostRunners(silent, now)
+	if len(lost) > 0 {
+		x.recoverAttempt(silent, lost, now)
 		return
 	}
 	if x.service.Engine != nil {
-		if slow := slowRunners(&silent.path, now); slowness(&silent.path, now) >= minSpeedup && now.Before(x.deadAt()) {
+		if slow := slowRunners(&silent.path, now); pathSlowdown(&silent.path, now) >= minSpeedup && now.Before(x.deadAt()) {
 			x.handleSlow(silent, slow, now)
 			return
 		}
@@ -117,25 +117,25 @@
 
 // recoverAttempt does what is possible for an attempt that waits for some runners: replace stages,
 // hedge, or wait.
-func (x *exchange) recoverAttempt(silent *attempt, quiet []*fleet.Runner, now time.Time) {
+func (x *exchange) recoverAttempt(silent *attempt, runners []*fleet.Runner, now time.Time) {
 	action := x.replaceLost(silent, now)
 	if action == "" {
-		action = x.hedge(silent, quiet, now)
+		action = x.hedge(silent, runners, now)
 	}
 	if action.noRetryPossible() {
-		action = cmp.Or(x.replaceSilent(silent, quiet, now), action)
+		action = cmp.Or(x.replaceSilent(silent, runners, now), action)
 	}
-	x.logSilence(silent, quiet, action, now)
+	x.logSilence(silent, runners, action, now)
 }
 
 // logSilence logs the action on a silence.
-func (x *exchange) logSilence(silent *attempt, quiet []*fleet.Runner, action silenceAction, now time.Time) {
+func (x *exchange) logSilence(silent *attempt, runners []*fleet.Runner, action silenceAction, now time.Time) {
 	if action == x.lastAction {
 		return // logs each change of the action, not each check
 	}
 	x.lastAction = action
 	x.forwarder.log(event.SilenceSuspected, x.requestAttr(), slog.Int("attempt", silent.number), slog.String("endpoint", silent.endpoint.Name()),
-		slog.Int64("silent_ms", now.Sub(x.timing.lastEvent).Milliseconds()), slog.Int("quiet", len(quiet)), slog.String("action", string(action)))
+		slog.Int64("silent_ms", now.Sub(x.timing.lastEvent).Milliseconds()), slog.Int("quiet", len(runners)), slog.String("action", string(action)))
 }
 
 // closeLostAttempts closes the open attempts that wait for a lost runner, except the last open one,
@@ -179,11 +179,11 @@
 
 // hedge starts a second attempt that avoids the silent runners, while the silent attempt stays
 // open. It returns the action taken.
-func (x *exchange) hedge(silent *attempt, quiet []*fleet.Runner, now time.Time) silenceAction {
+func (x *exchange) hedge(silent *attempt, runners []*fleet.Runner, now time.Time) silenceAction {
 	switch {
 	case len(x.open) >= maxOpenAttempts && !x.closeLostAttempts(now) && x.secondOnReusedConn(now) == nil:
 		return silenceHedged
-	case len(quiet) == 0 && !x.suspectsConn(silent, now):
+	case len(runners) == 0 && !x.suspectsConn(silent, now):
 		return silenceBusy
 	case !x.route.MayRepeat():
 		return silenceNotRepeatable
@@ -191,9 +191,9 @@
 		x.abandonLost(x.open[0], now)
 		return silenceQuarantined
 	}
-	before := x.avoid
-	x.avoid = append(x.avoid, quiet...)
-	if len(quiet) == 0 {
+	avoidBefore := x.avoid
+	x.avoid = append(x.avoid, runners...)
+	if len(runners) == 0 {
 		x.avoid = append(x.avoid, silent.endpoint)
 	}
 	p, found := x.pickPath(now)
@@ -207,15 +207,15 @@
 		action = silenceNoBudget
 	}
 	if action != silenceElsewhere {
-		x.avoid = before
+		x.avoid = avoidBefore
 		return action
 	}
 	x.forwarder.Counters.Retried(metric.Silence)
 	x.forwarder.Counters.Took(metric.Detection, now.Sub(x.timing.lastEvent))
 	x.closeUnresolved()
-	if deaf := x.secondOnReusedConn(now); deaf != nil {
-		x.forwarder.pool.closeIdle(deaf.endpoint.Name())
-		x.closeAttempt(deaf) // closed only now that another attempt replaces it
+	if second := x.secondOnReusedConn(now); second != nil {
+		x.forwarder.pool.closeIdle(second.endpoint.Name())
+		x.closeAttempt(second) // closed only now that another attempt replaces it
 	}
 	x.startAttempt(&p)
 	return action
--- a/transport/forward/slow_caller.go
+++ b/transport/forward/slow_caller.go
@@ -110,11 +110,11 @@
 // checkParked sends the request elsewhere once the caller has read everything. An earlier attempt
 // would waste a prefill on a caller that reads an event now and then.
 func (x *exchange) checkParked(d pressure.Decision, now time.Time) {
-	if _, ended := d.(pressure.Abort); ended {
+	if _, aborted := d.(pressure.Abort); aborted {
 		x.failForMemory()
 		return
 	}
-	if _, free := d.(pressure.Continue); !free || x.caller.Held() > 0 {
+	if _, canContinue := d.(pressure.Continue); !canContinue || x.caller.Held() > 0 {
 		return
 	}
 	a := x.parked
--- a/transport/forward/slow_path.go
+++ b/transport/forward/slow_path.go
@@ -43,20 +43,20 @@
 	return work + time.Duration(p.Len())*stageOverhead
 }
 
-// slowness returns how many times its usual time a path takes, by the known slowdown of its
+// pathSlowdown returns how many times its usual time a path takes, by the known slowdown of its
 // engines.
-func slowness(p *path.Path, now time.Time) float64 {
-	usual, known := 0.0, 0.0
+func pathSlowdown(p *path.Path, now time.Time) float64 {
+	nominal, actual := 0.0, 0.0
 	for i := range p.Len() {
 		r := p.Runner(i)
 		work := r.Spec().Step * float64(p.Span(i).Layers())
-		usual += work
-		known += work * r.ReportedSlowdown(now)
+		nominal += work
+		actual += work * r.ReportedSlowdown(now)
 	}
-	if usual <= 0 {
+	if nominal <= 0 {
 		return 1
 	}
-	return known / usual
+	return actual / nominal
 }
 
 // slowRunners returns the runners of a path that are known to be slow.
@@ -79,8 +79,8 @@
 	if !x.timing.started {
 		return now.Add(typicalFirstEvent).Before(x.route.Aim(x.begun))
 	}
-	aim := x.timing.pauseTarget
-	return aim <= 0 || x.timing.longestPause <= aim && now.Add(typicalFirstEvent).Before(x.timing.lastEvent.Add(aim))
+	target := x.timing.pauseTarget
+	return target <= 0 || x.timing.longestPause <= target && now.Add(typicalFirstEvent).Before(x.timing.lastEvent.Add(target))
 }
 
 // handleSlow handles an attempt that is overdue because runners of its path are slow. They are not
@@ -100,9 +100,9 @@
 // fasterPathExists reports whether a path without the slow runners is faster than that of an
 // attempt by minSpeedup.
 func (x *exchange) fasterPathExists(silent *attempt, slow []*fleet.Runner, now time.Time) bool {
-	before := x.avoid
+	avoidBefore := x.avoid
 	x.avoid = append(x.avoid[:len(x.avoid):len(x.avoid)], slow...)
 	p, found := x.pickPath(now)
-	x.avoid = before
-	return found && slowness(&p, now)*minSpeedup < slowness(&silent.path, now)
+	x.avoid = avoidBefore
+	return found && pathSlowdown(&p, now)*minSpeedup < pathSlowdown(&silent.path, now)
 }
--- a/transport/forward/slowdown.go
+++ b/transport/forward/slowdown.go
@@ -59,15 +59,15 @@
 
 // checkSlowdown compares the time that an event took with the time that its engines should take.
 func (x *exchange) checkSlowdown(a *attempt, pause time.Duration, now time.Time) {
-	usual := float64(expectedEventTime(&a.path, x.service))
+	expected := float64(expectedEventTime(&a.path, x.service))
 	switch {
-	case usual <= 0:
-	case float64(pause) <= onTimeFactor*usual:
+	case expected <= 0:
+	case float64(pause) <= onTimeFactor*expected:
 		x.lateEvents = 0
 		for i := range a.path.Len() {
 			a.path.Runner(i).OnTime(now)
 		}
-	case float64(pause) >= lateFactor*usual:
+	case float64(pause) >= lateFactor*expected:
 		if x.lateEvents == 0 {
 			x.lateSince = now.Add(-pause)
 		}
@@ -81,45 +81,45 @@
 // queryStages queries the slowdown of some engines of a path that has been late since a time. It
 // skips engines that have passed an event on time since then, on any path, and engines known to be
 // slow.
-func (p *slowdownMonitor) queryStages(late *path.Path, since, now time.Time) {
+func (m *slowdownMonitor) queryStages(late *path.Path, since, now time.Time) {
 	first := rand.IntN(max(1, late.Len()))
-	asks := 0
+	queries := 0
 	for i := range late.Len() {
 		r := late.Runner((first + i) % late.Len())
-		if r.OnTimeAt().After(since) || r.IsSlow(now) || !p.throttle.allow(r.Name(), slowdownQueryInterval, now) {
+		if r.OnTimeAt().After(since) || r.IsSlow(now) || !m.throttle.allow(r.Name(), slowdownQueryInterval, now) {
 			continue
 		}
-		if asks >= maxStageQueries || !p.takeToken(now) {
+		if queries >= maxStageQueries || !m.takeToken(now) {
 			return
 		}
-		asks++
-		go (&poll{forwarder: p.forwarder, runner: r}).run()
+		queries++
+		go (&poll{forwarder: m.forwarder, runner: r}).run()
 	}
 }
 
 // takeToken takes one query from the rate limit, and reports whether one was left.
-func (p *slowdownMonitor) takeToken(now time.Time) bool {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.tokens = min(queriesPerSecond, p.tokens+queriesPerSecond*now.Sub(p.refilledAt).Seconds())
-	p.refilledAt = now
-	if p.tokens < 1 {
+func (m *slowdownMonitor) takeToken(now time.Time) bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.tokens = min(queriesPerSecond, m.tokens+queriesPerSecond*now.Sub(m.refilledAt).Seconds())
+	m.refilledAt = now
+	if m.tokens < 1 {
 		return false
 	}
-	p.tokens--
+	m.tokens--
 	return true
 }
 
 // reportSlowdown reports to the other entries the slowdown that an engine returned when it was
 // queried.
-func (p *slowdownMonitor) reportSlowdown(r *fleet.Runner, report *protocol.EngineReport, asked time.Time) {
-	f := p.forwarder
+func (m *slowdownMonitor) reportSlowdown(r *fleet.Runner, report *protocol.EngineReport, queriedAt time.Time) {
+	f := m.forwarder
 	if report.Pace <= 0 || f.ReportSlowdown == nil {
 		return
 	}
 	f.ReportSlowdown(protocol.RelaySlow{
 		Endpoint: r.Name(), Incarnation: report.Incarnation, Observation: protocol.SlowTold, Pace: report.Pace,
-	}, asked.Add(-f.maxReportDelay()))
+	}, queriedAt.Add(-f.maxReportDelay()))
 }
 
 // maxReportDelay returns how old the content of an engine's report may be.
@@ -128,36 +128,36 @@
 	if table == nil {
 		return 0
 	}
-	most := 0.0
+	longest := 0.0
 	services := table.Services()
 	for i := range services {
 		if e := services[i].Engine; e != nil {
-			most = max(most, e.ReportDelayMS)
+			longest = max(longest, e.ReportDelayMS)
 		}
 	}
-	return time.Duration(most * float64(time.Millisecond))
+	return time.Duration(longest * float64(time.Millisecond))
 }
 
 // ApplySlownessReport applies what a slowness report changes, and reports whether that may matter
 // to the director.
-func (f *Forwarder) ApplySlownessReport(report slow.Report, v slow.Change) bool {
+func (f *Forwarder) ApplySlownessReport(report slow.Report, change slow.Change) bool {
 	r := f.Registry.View().Runner(report.Endpoint())
 	if r == nil {
 		return false
 	}
 	now := clock.Now()
 	f.Counters.Add(metric.SlowNews, 1)
-	switch v := v.(type) {
+	switch v := change.(type) {
 	case slow.Slow:
-		before := r.IsSlow(now)
+		wasSlow := r.IsSlow(now)
 		r.MarkSlow(v.Slowdown(), v.Since(), v.Until())
 		f.slowdowns.track(r.Name(), report, v.Until(), now)
-		if !before {
+		if !wasSlow {
 			f.log(event.EndpointSlow, slog.String("runner", r.Name()), slog.String("witness", report.Observer()),
 				slog.String("sign", report.Observation().String()), slog.Float64("pace", v.Slowdown()),
 				slog.Int64("age_ms", now.Sub(report.At()).Milliseconds()))
 		}
-		return !before
+		return !wasSlow
 	case slow.Recovered:
 		since := r.SlowSince(now)
 		if since.IsZero() {
@@ -175,63 +175,63 @@
 
 // track records that an endpoint is slow. Only the entry whose report was the last queries it
 // again, so that all entries together query an engine once.
-func (p *slowdownMonitor) track(endpoint string, report slow.Report, till, now time.Time) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	if p.slowUntil == nil {
-		p.slowUntil = make(map[string]time.Time)
-		p.nextQuery = make(map[string]time.Time)
+func (m *slowdownMonitor) track(endpoint string, report slow.Report, until, now time.Time) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if m.slowUntil == nil {
+		m.slowUntil = make(map[string]time.Time)
+		m.nextQuery = make(map[string]time.Time)
 	}
-	if _, known := p.slowUntil[endpoint]; !known {
-		p.forwarder.Counters.Add(metric.EndpointsSlow, 1)
+	if _, tracked := m.slowUntil[endpoint]; !tracked {
+		m.forwarder.Counters.Add(metric.EndpointsSlow, 1)
 	}
-	p.slowUntil[endpoint] = till
-	if report.Observer() != p.forwarder.Home.Name || report.Observation() != protocol.SlowTold {
-		delete(p.nextQuery, endpoint)
+	m.slowUntil[endpoint] = until
+	if report.Observer() != m.forwarder.Home.Name || report.Observation() != protocol.SlowTold {
+		delete(m.nextQuery, endpoint)
 		return
 	}
-	if _, asks := p.nextQuery[endpoint]; !asks {
-		p.nextQuery[endpoint] = now.Add(slowRecheckInterval)
+	if _, scheduled := m.nextQuery[endpoint]; !scheduled {
+		m.nextQuery[endpoint] = now.Add(slowRecheckInterval)
 	}
 }
 
 // untrack records that an endpoint is no longer slow.
-func (p *slowdownMonitor) untrack(endpoint string) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.untrackLocked(endpoint)
+func (m *slowdownMonitor) untrack(endpoint string) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.untrackLocked(endpoint)
 }
 
 // untrackLocked is untrack for a caller that holds the mutex.
-func (p *slowdownMonitor) untrackLocked(endpoint string) {
-	if _, known := p.slowUntil[endpoint]; known {
-		p.forwarder.Counters.Add(metric.EndpointsSlow, -1)
+func (m *slowdownMonitor) untrackLocked(endpoint string) {
+	if _, known := m.slowUntil[endpoint]; known {
+		m.forwarder.Counters.Add(metric.EndpointsSlow, -1)
 	}
-	delete(p.slowUntil, endpoint)
-	delete(p.nextQuery, endpoint)
+	delete(m.slowUntil, endpoint)
+	delete(m.nextQuery, endpoint)
 }
 
 // queryDue queries the slow engines that are due.
-func (p *slowdownMonitor) queryDue(now time.Time) {
-	for _, endpoint := range p.due(now) {
-		if r := p.forwarder.Registry.View().Runner(endpoint); r != nil {
-			go (&poll{forwarder: p.forwarder, runner: r}).run()
+func (m *slowdownMonitor) queryDue(now time.Time) {
+	for _, endpoint := range m.due(now) {
+		if r := m.forwarder.Registry.View().Runner(endpoint); r != nil {
+			go (&poll{forwarder: m.forwarder, runner: r}).run()
 		}
 	}
 }
 
 // due returns the slow engines to query again, and removes those whose report has expired.
-func (p *slowdownMonitor) due(now time.Time) []string {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
+func (m *slowdownMonitor) due(now time.Time) []string {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
 	var due []string
-	for endpoint, till := range p.slowUntil {
-		if !now.Before(till) {
-			p.untrackLocked(endpoint)
+	for endpoint, until := range m.slowUntil {
+		if !now.Before(until) {
+			m.untrackLocked(endpoint)
 			continue
 		}
-		if at, asks := p.nextQuery[endpoint]; asks && !now.Before(at) {
-			p.nextQuery[endpoint] = now.Add(slowRecheckInterval)
+		if at, scheduled := m.nextQuery[endpoint]; scheduled && !now.Before(at) {
+			m.nextQuery[endpoint] = now.Add(slowRecheckInterval)
 			due = append(due, endpoint)
 		}
 	}
--- a/transport/forward/slowdown_harness_test.go
+++ b/transport/forward/slowdown_harness_test.go
@@ -23,36 +23,36 @@
 
 // reporter reports for engines by address, and counts how often each was queried.
 type reporter struct {
-	mutex sync.Mutex
-	paces map[string]float64
-	asked map[string]int
+	mutex     sync.Mutex
+	slowdowns map[string]float64
+	queries   map[string]int
 }
 
 func (r *reporter) Report(_ context.Context, address string) (protocol.EngineReport, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.asked == nil {
-		r.asked = map[string]int{}
+	if r.queries == nil {
+		r.queries = map[string]int{}
 	}
-	r.asked[address]++
-	pace, known := r.paces[address]
+	r.queries[address]++
+	slowdown, known := r.slowdowns[address]
 	if !known {
-		pace = 1
+		slowdown = 1
 	}
-	return protocol.EngineReport{Pace: pace}, nil
+	return protocol.EngineReport{Pace: slowdown}, nil
 }
 
-func (r *reporter) total() int {
+func (r *reporter) totalQueries() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	n := 0
-	for _, asked := range r.asked {
-		n += asked
+	for _, count := range r.queries {
+		n += count
 	}
 	return n
 }
 
-// localRelay classifies the reports of a forwarder and returns the verdicts to it, as the relay
+// localRelay classifies the reports of a forwarder and returns the changes to it, as the relay
 // does between entries.
 type localRelay struct {
 	mutex      sync.Mutex
@@ -60,34 +60,34 @@
 	number     uint64
 }
 
-func (j *localRelay) deliver(f *Forwarder, news protocol.RelaySlow, at time.Time) {
-	j.mutex.Lock()
-	j.number++
-	if news.Observer == "" {
-		news.Observer, news.Number = f.Home.Name, j.number
+func (l *localRelay) deliver(f *Forwarder, report protocol.RelaySlow, at time.Time) {
+	l.mutex.Lock()
+	l.number++
+	if report.Observer == "" {
+		report.Observer, report.Number = f.Home.Name, l.number
 	}
-	r := slow.NewReport(news, at)
-	v := j.classifier.Apply(r, time.Now())
-	j.mutex.Unlock()
-	if _, nothing := v.(slow.NoChange); !nothing {
+	r := slow.NewReport(report, at)
+	v := l.classifier.Apply(r, time.Now())
+	l.mutex.Unlock()
+	if _, unchanged := v.(slow.NoChange); !unchanged {
 		f.ApplySlownessReport(r, v)
 	}
 }
 
 // applyOwnReports connects a forwarder to a localRelay.
 func applyOwnReports(f *Forwarder) {
-	j := &localRelay{}
+	relay := &localRelay{}
 	f.slowdowns.forwarder = f
-	f.ReportSlowdown = func(news protocol.RelaySlow, at time.Time) { j.deliver(f, news, at) }
+	f.ReportSlowdown = func(report protocol.RelaySlow, at time.Time) { relay.deliver(f, report, at) }
 }
 
 // markSlow applies a report by which a runner is slow by a factor of twelve.
 func markSlow(f *Forwarder, r *fleet.Runner) {
 	now := time.Now()
 	f.slowdowns.forwarder = f
-	var b slow.Tracker
+	var tracker slow.Tracker
 	report := slow.NewReport(protocol.RelaySlow{Endpoint: r.Name(), Observer: "another", Number: 1, Observation: protocol.SlowTold, Pace: 12}, now)
-	f.ApplySlownessReport(report, b.Apply(report, now))
+	f.ApplySlownessReport(report, tracker.Apply(report, now))
 }
 
 // newStagedForwarder returns a forwarder with an engine service of three stages, each held by the
@@ -97,10 +97,10 @@
 		Layers: 9, LayerMB: 100, TokenLayerMB: 0.1, UsualPrompt: 10, UsualAnswer: 10, StepMS: 9, ReadPerSecond: 1e6, EventTokens: 3,
 		Accelerators: []protocol.AcceleratorFacts{{Name: "t4", MemoryMB: 2000, StepFactor: 1, ReadFactor: 1}},
 	}}
-	asks := &reporter{paces: map[string]float64{}}
+	reports := &reporter{slowdowns: map[string]float64{}}
 	f := &Forwarder{
 		Home: fleet.Entry{Name: "one", DataCenter: "a"}, Registry: &registry.Registry{Entry: fleet.Entry{Name: "one", DataCenter: "a"}},
-		Routing: &routing.Store{}, Headers: plainHeaders{}, Counters: &metric.Set{}, Reporter: asks,
+		Routing: &routing.Store{}, Headers: plainHeaders{}, Counters: &metric.Set{}, Reporter: reports,
 	}
 	f.faultLocator.forwarder, f.poller.forwarder, f.slowdowns.forwarder = f, f, f
 	f.InitRetryBudget(RetryBudget{Share: 0.2, Slack: 1000, WindowEnd: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
@@ -119,7 +119,7 @@
 	p, found := x.pickPath(time.Now())
 	require.True(t, found)
 	x.startAttempt(&p)
-	return f, x, asks
+	return f, x, reports
 }
 
 // newStreamExchange returns an exchange of a stream whose target is 500 ms to the first event and
--- a/transport/forward/slowdown_test.go
+++ b/transport/forward/slowdown_test.go
@@ -16,15 +16,15 @@
 
 func TestLateEngineIsQueriedAndAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, x, asks := newStagedForwarder(t, 2)
+		f, x, reports := newStagedForwarder(t, 2)
 		applyOwnReports(f)
 		late := x.open[0].path.Runner(1)
-		asks.paces[late.Spec().Address] = 12
+		reports.slowdowns[late.Spec().Address] = 12
 		for range 5 {
 			sendEvent(x, typicalPause)
 		}
 		synctest.Wait()
-		require.Zero(t, asks.total(), "no queries while events are on time")
+		require.Zero(t, reports.totalQueries(), "no queries while events are on time")
 		for range 2 {
 			sendEvent(x, typicalPause+100*time.Millisecond)
 		}
@@ -45,7 +45,7 @@
 // on time since the path became late.
 func TestOnTimeEnginesAreNotQueried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, x, asks := newStagedForwarder(t, 1)
+		f, x, reports := newStagedForwarder(t, 1)
 		applyOwnReports(f)
 		sendEvent(x, typicalPause)
 		sendEvent(x, typicalPause+100*time.Millisecond)
@@ -53,8 +53,8 @@
 		cleared.OnTime(time.Now())
 		sendEvent(x, typicalPause+100*time.Millisecond)
 		synctest.Wait()
-		require.Zero(t, asks.asked[cleared.Spec().Address])
-		require.Equal(t, 2, asks.total())
+		require.Zero(t, reports.queries[cleared.Spec().Address])
+		require.Equal(t, 2, reports.totalQueries())
 	})
 }
 
@@ -62,13 +62,13 @@
 // late.
 func TestQueriesAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, x, asks := newStagedForwarder(t, 1)
+		f, x, reports := newStagedForwarder(t, 1)
 		applyOwnReports(f)
 		for range 100 {
 			sendEvent(x, 100*time.Millisecond)
 		}
 		synctest.Wait()
-		require.LessOrEqual(t, asks.total(), int(11*queriesPerSecond))
+		require.LessOrEqual(t, reports.totalQueries(), int(11*queriesPerSecond))
 	})
 }
 
@@ -76,30 +76,30 @@
 // until it is fast again, and that it then gets work again.
 func TestSlowEngineIsQueriedUntilFast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, x, asks := newStagedForwarder(t, 2)
+		f, x, reports := newStagedForwarder(t, 2)
 		applyOwnReports(f)
 		r := x.open[0].path.Runner(1)
-		asks.paces[r.Spec().Address] = 12
+		reports.slowdowns[r.Spec().Address] = 12
 		(&poll{forwarder: f, runner: r}).run()
 		require.True(t, r.IsSlow(time.Now()))
-		look := func(d time.Duration) {
-			for till := time.Now().Add(d); time.Now().Before(till); time.Sleep(pollCheckInterval) {
+		queryFor := func(d time.Duration) {
+			for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(pollCheckInterval) {
 				f.slowdowns.queryDue(time.Now())
 				synctest.Wait()
 			}
 		}
-		look(10 * time.Second)
+		queryFor(10 * time.Second)
 		require.True(t, r.IsSlow(time.Now()))
-		require.InDelta(t, 20, asks.total(), 3, "twice a second")
-		asks.mutex.Lock()
-		asks.paces[r.Spec().Address] = 1
-		asks.mutex.Unlock()
-		look(2 * slowRecheckInterval)
+		require.InDelta(t, 20, reports.totalQueries(), 3, "twice a second")
+		reports.mutex.Lock()
+		reports.slowdowns[r.Spec().Address] = 1
+		reports.mutex.Unlock()
+		queryFor(2 * slowRecheckInterval)
 		require.False(t, r.IsSlow(time.Now()))
 		require.Zero(t, f.Counters.Value(string(metric.EndpointsSlow)))
-		asked := asks.total()
-		look(5 * time.Second)
-		require.Equal(t, asked, asks.total(), "no queries once the engine is fast")
+		before := reports.totalQueries()
+		queryFor(5 * time.Second)
+		require.Equal(t, before, reports.totalQueries(), "no queries once the engine is fast")
 	})
 }
 
@@ -107,12 +107,12 @@
 // entry that reported it does.
 func TestOnlyReportingEntryQueriesAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, x, asks := newStagedForwarder(t, 2)
+		f, x, reports := newStagedForwarder(t, 2)
 		markSlow(f, x.open[0].path.Runner(1))
 		time.Sleep(slowRecheckInterval)
 		f.slowdowns.queryDue(time.Now())
 		synctest.Wait()
-		require.Zero(t, asks.total())
+		require.Zero(t, reports.totalQueries())
 		time.Sleep(slow.ReportTTL)
 		f.slowdowns.queryDue(time.Now())
 		require.Zero(t, f.Counters.Value(string(metric.EndpointsSlow)), "the report has expired")
--- a/transport/forward/startup.go
+++ b/transport/forward/startup.go
@@ -25,35 +25,35 @@
 }
 
 // start holds requests from now on.
-func (o *startupGate) start(now time.Time) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	o.deadline = now.Add(startupTimeout)
-	o.opened = make(chan struct{})
+func (g *startupGate) start(now time.Time) {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	g.deadline = now.Add(startupTimeout)
+	g.opened = make(chan struct{})
 }
 
 // open releases the requests that wait, and holds none from now on.
-func (o *startupGate) open() {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	if o.opened != nil {
-		close(o.opened)
-		o.opened = nil
+func (g *startupGate) open() {
+	g.mutex.Lock()
+	defer g.mutex.Unlock()
+	if g.opened != nil {
+		close(g.opened)
+		g.opened = nil
 	}
 }
 
 // wait returns once the gate is open, its deadline has passed or the caller has left.
-func (o *startupGate) wait(caller context.Context) {
-	o.mutex.Lock()
-	over, till := o.opened, o.deadline
-	o.mutex.Unlock()
-	if over == nil {
+func (g *startupGate) wait(caller context.Context) {
+	g.mutex.Lock()
+	opened, deadline := g.opened, g.deadline
+	g.mutex.Unlock()
+	if opened == nil {
 		return
 	}
-	t := time.NewTimer(clock.Until(till))
+	t := time.NewTimer(clock.Until(deadline))
 	defer t.Stop()
 	select {
-	case <-over:
+	case <-opened:
 	case <-t.C:
 	case <-caller.Done():
 	}
--- a/transport/forward/startup_test.go
+++ b/transport/forward/startup_test.go
@@ -16,27 +16,27 @@
 // Afterwards no caller waits.
 func TestStartupGateWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		waits := func(o *startupGate, caller context.Context) time.Duration {
+		waited := func(gate *startupGate, caller context.Context) time.Duration {
 			begun := time.Now()
-			o.wait(caller)
+			gate.wait(caller)
 			return time.Since(begun)
 		}
-		var o startupGate
-		require.Zero(t, waits(&o, t.Context()), "no wait before the start")
-		o.start(time.Now())
-		time.AfterFunc(130*time.Millisecond, o.open)
-		require.Equal(t, 130*time.Millisecond, waits(&o, t.Context()))
-		require.Zero(t, waits(&o, t.Context()), "the gate is open")
-		o.open()
+		var gate startupGate
+		require.Zero(t, waited(&gate, t.Context()), "no wait before the start")
+		gate.start(time.Now())
+		time.AfterFunc(130*time.Millisecond, gate.open)
+		require.Equal(t, 130*time.Millisecond, waited(&gate, t.Context()))
+		require.Zero(t, waited(&gate, t.Context()), "the gate is open")
+		gate.open()
 
-		o.start(time.Now())
+		gate.start(time.Now())
 		time.Sleep(100 * time.Millisecond)
-		require.Equal(t, startupTimeout-100*time.Millisecond, waits(&o, t.Context()))
-		require.Zero(t, waits(&o, t.Context()), "the deadline has passed")
+		require.Equal(t, startupTimeout-100*time.Millisecond, waited(&gate, t.Context()))
+		require.Zero(t, waited(&gate, t.Context()), "the deadline has passed")
 
-		o.start(time.Now())
+		gate.start(time.Now())
 		caller, leave := context.WithCancel(t.Context())
 		time.AfterFunc(50*time.Millisecond, leave)
-		require.Equal(t, 50*time.Millisecond, waits(&o, caller), "the caller has left")
+		require.Equal(t, 50*time.Millisecond, waited(&gate, caller), "the caller has left")
 	})
 }
--- a/transport/forward/suspension.go
+++ b/transport/forward/suspension.go
@@ -11,11 +11,11 @@
 // checkSuspension notifies open requests and OnResume after the VM was suspended: their timers
 // stood still with it.
 func (f *Forwarder) checkSuspension(now time.Time) {
-	slept := clock.Slept()
-	if slept == f.suspended {
+	suspended := clock.Slept()
+	if suspended == f.suspended {
 		return
 	}
-	f.suspended = slept
+	f.suspended = suspended
 	f.resumed.Tell()
 	if f.OnResume != nil {
 		f.OnResume(now)
@@ -26,11 +26,11 @@
 // suspended time. Silences don't: otherwise each request of the entry would be hedged at once, and
 // each engine reported as slow.
 func (x *exchange) checkSuspension(now time.Time) bool {
-	slept := clock.Slept()
-	if slept == x.suspended {
+	suspended := clock.Slept()
+	if suspended == x.suspended {
 		return false
 	}
-	x.suspended, x.resumedAt = slept, now
+	x.suspended, x.resumedAt = suspended, now
 	x.timing.resume(now)
 	return true
 }
--- a/transport/forward/throttle.go
+++ b/transport/forward/throttle.go
@@ -16,15 +16,15 @@
 
 // allow reports whether an endpoint was not queried for the given interval, and if so records a
 // query now.
-func (a *queryThrottle) allow(endpoint string, every time.Duration, now time.Time) bool {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	if a.last == nil {
-		a.last = make(map[string]time.Time)
+func (t *queryThrottle) allow(endpoint string, interval time.Duration, now time.Time) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.last == nil {
+		t.last = make(map[string]time.Time)
 	}
-	if now.Before(a.last[endpoint].Add(every)) {
+	if now.Before(t.last[endpoint].Add(interval)) {
 		return false
 	}
-	a.last[endpoint] = now
+	t.last[endpoint] = now
 	return true
 }
--- a/transport/forward/timing.go
+++ b/transport/forward/timing.go
@@ -42,70 +42,70 @@
 }
 
 // start starts the timing when a request is received.
-func (r *eventTiming) start(route *protocol.Route, s *protocol.RoutedService, now time.Time) {
-	r.lastEvent = now
-	r.firstEventLimit = time.Duration(firstEventShare * float64(route.Aim(now).Sub(now)))
-	r.overdue = now.Add(r.firstEventLimit)
+func (t *eventTiming) start(route *protocol.Route, s *protocol.RoutedService, now time.Time) {
+	t.lastEvent = now
+	t.firstEventLimit = time.Duration(firstEventShare * float64(route.Aim(now).Sub(now)))
+	t.overdue = now.Add(t.firstEventLimit)
 	if s.Engine != nil && route.PauseAimMS > 0 {
-		r.pauseTarget = time.Duration(route.PauseAimMS * float64(time.Millisecond))
+		t.pauseTarget = time.Duration(route.PauseAimMS * float64(time.Millisecond))
 	}
 }
 
 // recordEvent records an event.
-func (r *eventTiming) recordEvent(now time.Time) {
-	if r.started {
-		pause := now.Sub(r.lastEvent)
-		if r.meanPause == 0 {
-			r.meanPause = pause
+func (t *eventTiming) recordEvent(now time.Time) {
+	if t.started {
+		pause := now.Sub(t.lastEvent)
+		if t.meanPause == 0 {
+			t.meanPause = pause
 		}
-		r.longestPause = max(r.longestPause, pause)
-		r.meanPause += time.Duration(pauseSmoothing * float64(pause-r.meanPause))
+		t.longestPause = max(t.longestPause, pause)
+		t.meanPause += time.Duration(pauseSmoothing * float64(pause-t.meanPause))
 	} else {
-		r.started = true
-		r.firstEventAt = now
+		t.started = true
+		t.firstEventAt = now
 	}
-	r.lastEvent = now
-	r.overdue = now.Add(r.silenceLimit())
+	t.lastEvent = now
+	t.overdue = now.Add(t.silenceLimit())
 }
 
 // timeToFirstEvent returns how long after a time the first event was received, 0 if none was.
-func (r *eventTiming) timeToFirstEvent(begun time.Time) time.Duration {
-	if !r.started {
+func (t *eventTiming) timeToFirstEvent(begun time.Time) time.Duration {
+	if !t.started {
 		return 0
 	}
-	return r.firstEventAt.Sub(begun)
+	return t.firstEventAt.Sub(begun)
 }
 
 // silenceLimit returns the silence inside a stream from which it is overdue.
-func (r *eventTiming) silenceLimit() time.Duration {
-	b := max(minSilence, silenceFactor*r.meanPause)
-	if r.pauseTarget > 0 {
-		b = min(b, max(minSilence, r.pauseTarget/2, minSilenceFactor*r.meanPause))
+func (t *eventTiming) silenceLimit() time.Duration {
+	limit := max(minSilence, silenceFactor*t.meanPause)
+	if t.pauseTarget > 0 {
+		limit = min(limit, max(minSilence, t.pauseTarget/2, minSilenceFactor*t.meanPause))
 	}
-	return b
+	return limit
 }
 
 // restart records that the request was sent again.
-func (r *eventTiming) restart(now time.Time) {
-	r.overdue = now.Add(max(r.firstEventLimit/2, minSilence))
+func (t *eventTiming) restart(now time.Time) {
+	t.overdue = now.Add(max(t.firstEventLimit/2, minSilence))
 }
 
 // postpone delays the next check until a time, for a pause whose cause is known.
-func (r *eventTiming) postpone(till time.Time) {
-	if till.After(r.overdue) {
-		r.overdue = till
+func (t *eventTiming) postpone(until time.Time) {
+	if until.After(t.overdue) {
+		t.overdue = until
 	}
 }
 
 // resume records that the VM was suspended. What arrived in the meantime is about to be read, and
 // endpoints were not silent for that long.
-func (r *eventTiming) resume(now time.Time) {
-	r.lastEvent = now
-	r.postpone(now.Add(max(resumeGrace, r.silenceLimit())))
+func (t *eventTiming) resume(now time.Time) {
+	t.lastEvent = now
+	t.postpone(now.Add(max(resumeGrace, t.silenceLimit())))
 }
 
 // recheckLater delays the next check by silenceRecheckInterval.
-func (r *eventTiming) recheckLater(now time.Time) { r.overdue = now.Add(silenceRecheckInterval) }
+func (t *eventTiming) recheckLater(now time.Time) { t.overdue = now.Add(silenceRecheckInterval) }
 
 // overdueAt returns when the next event is overdue.
-func (r *eventTiming) overdueAt() time.Time { return r.overdue }
+func (t *eventTiming) overdueAt() time.Time { return t.overdue }
