--- a/transport/forward/failure_test.go
+++ b/transport/forward/failure_test.go
@@ -47,7 +47,7 @@
 		Accelerators: []protocol.AcceleratorFacts{{Name: "t4", MemoryMB: 2000, StepFactor: 1, ReadFactor: 1}},
 	}}
 	f := &Forwarder{
-		Home: fleet.Entry{Name: "one", DataCenter: "a"}, Registry: &registry.Registry{Entry: fleet.Entry{Name: "one", DataCenter: "a"}},
+		Entry: fleet.Entry{Name: "one", DataCenter: "a"}, Registry: &registry.Registry{Entry: fleet.Entry{Name: "one", DataCenter: "a"}},
 		Headers: plainHeaders{}, Counters: &metric.Set{},
 	}
 	f.faultLocator.forwarder = f
--- a/transport/forward/forwarder.go
+++ b/transport/forward/forwarder.go
@@ -43,7 +43,7 @@
 
 // Forwarder forwards requests to endpoints. Set the exported fields before Start.
 type Forwarder struct {
-	Home     fleet.Entry
+	Entry    fleet.Entry
 	Routing  *routing.Store
 	Registry *registry.Registry
 	Headers  HeaderCodec
--- a/transport/forward/idle_test.go
+++ b/transport/forward/idle_test.go
@@ -27,7 +27,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			home := fleet.Entry{Name: "one", DataCenter: "a"}
 			endpoints := &registry.Registry{Entry: home}
-			f := &Forwarder{Home: home, Registry: endpoints, Routing: &routing.Store{}, Headers: plainHeaders{}, Counters: &metric.Set{}}
+			f := &Forwarder{Entry: home, Registry: endpoints, Routing: &routing.Store{}, Headers: plainHeaders{}, Counters: &metric.Set{}}
 			table, err := routing.Build(protocol.Routing{Version: 1, Services: []protocol.RoutedService{{Name: "llm", Engine: &protocol.EngineFacts{Layers: 10}}}})
 			require.NoError(t, err)
 			require.True(t, f.Routing.Offer(table))
--- a/transport/forward/reroute_harness_test.go
+++ b/transport/forward/reroute_harness_test.go
@@ -82,7 +82,7 @@
 	}}
 	home := fleet.Entry{Name: "one", DataCenter: "a"}
 	s := &pathChangeHarness{t: t, engine: &firstEngine{orders: make(chan protocol.PathOrder, 10), answers: make(chan protocol.PathAnswer, 10)}}
-	f := &Forwarder{Home: home, Registry: &registry.Registry{Entry: home}, Headers: plainHeaders{}, Counters: &metric.Set{}, PathChanger: s.engine, Reporter: s.engine}
+	f := &Forwarder{Entry: home, Registry: &registry.Registry{Entry: home}, Headers: plainHeaders{}, Counters: &metric.Set{}, PathChanger: s.engine, Reporter: s.engine}
 	f.faultLocator.forwarder, f.poller.forwarder, f.slowdowns.forwarder = f, f, f // as Start does
 	f.InitRetryBudget(RetryBudget{Share: 0.2, Slack: 1000, WindowEnd: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
 	f.Registry.SetServices([]protocol.RoutedService{service})
--- a/transport/forward/slowdown.go
+++ b/transport/forward/slowdown.go
@@ -186,7 +186,7 @@
 		m.forwarder.Counters.Add(metric.EndpointsSlow, 1)
 	}
 	m.slowUntil[endpoint] = until
-	if report.Observer() != m.forwarder.Home.Name || report.Observation() != protocol.SlowTold {
+	if report.Observer() != m.forwarder.Entry.Name || report.Observation() != protocol.SlowTold {
 		delete(m.nextQuery, endpoint)
 		return
 	}
--- a/transport/forward/slowdown_harness_test.go
+++ b/transport/forward/slowdown_harness_test.go
@@ -64,7 +64,7 @@
 	l.mutex.Lock()
 	l.number++
 	if report.Observer == "" {
-		report.Observer, report.Number = f.Home.Name, l.number
+		report.Observer, report.Number = f.Entry.Name, l.number
 	}
 	r := slow.NewReport(report, at)
 	v := l.classifier.Apply(r, time.Now())
@@ -99,7 +99,7 @@
 	}}
 	reports := &reporter{slowdowns: map[string]float64{}}
 	f := &Forwarder{
-		Home: fleet.Entry{Name: "one", DataCenter: "a"}, Registry: &registry.Registry{Entry: fleet.Entry{Name: "one", DataCenter: "a"}},
+		Entry: fleet.Entry{Name: "one", DataCenter: "a"}, Registry: &registry.Registry{Entry: fleet.Entry{Name: "one", DataCenter: "a"}},
 		Routing: &routing.Store{}, Headers: plainHeaders{}, Counters: &metric.Set{}, Reporter: reports,
 	}
 	f.faultLocator.forwarder, f.poller.forwarder, f.slowdowns.forwarder = f, f, f
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -102,7 +102,7 @@
 	f.held.Counters, f.held.Logger = f.Counters, f.Logger
 	f.held.Limit(s.HeldBytes())
 	f.forwarder = forward.Forwarder{
-		Home: home, Routing: &f.routing, Registry: &f.roster, Headers: f.Dependencies.Headers, Reporter: f.Dependencies.Engines,
+		Entry: home, Routing: &f.routing, Registry: &f.roster, Headers: f.Dependencies.Headers, Reporter: f.Dependencies.Engines,
 		Counters: f.Counters, Logger: f.Logger,
 		KeysTrustedUntil: s.KeyTrust, ReportFailure: f.source.ReportLoss, ReportAddressOwner: f.source.ReportOwner, MemoryBudget: &f.held, ReportSlowdown: f.source.ReportSlowness,
 		Quarantine: f.source.Quarantine(), OnResume: f.woke,
