--- a/transport/forward/handle.go
+++ b/transport/forward/handle.go
@@ -95,7 +95,7 @@
 	x.closeAttempt(a)
 	switch {
 	case m.head.StatusCode == http.StatusMisdirectedRequest:
-		x.handleMisplaced(&m, now)
+		x.handleMisdirected(&m, now)
 		x.decideRetry(a, retry.NotRun, &m)
 	case m.terms.NotRun:
 		x.avoidRefusing(&m, now)
--- a/transport/forward/reroute.go
+++ b/transport/forward/reroute.go
@@ -146,10 +146,10 @@
 // center first.
 func (x *exchange) candidateModels(a *attempt) []*fleet.Model {
 	view := x.forwarder.Registry.View()
-	home := a.endpoint.Spec().Model
-	list := []*fleet.Model{view.Model(home)}
+	pathModel := a.endpoint.Spec().Model
+	list := []*fleet.Model{view.Model(pathModel)}
 	for _, dataCenter := range x.forwarder.Registry.EngineDataCenters(x.service.Name) {
-		if name := registry.ModelName(x.service.Name, dataCenter); name != home {
+		if name := registry.ModelName(x.service.Name, dataCenter); name != pathModel {
 			list = append(list, view.Model(name))
 		}
 	}
