--- a/transport/director/director.go
+++ b/transport/director/director.go
@@ -63,19 +63,19 @@
 
 // Director gives the orders of one entry. Set the exported fields before Start.
 type Director struct {
-	Self      string
-	LeaseKind string
-	Routing   *routing.Store
-	Roster    *registry.Registry
-	Engines   Engines
-	Objects   Objects
-	Entries   func() int  // how many entries may try alike
-	Following func() bool // whether this entry learns through a peer, nil for never
-	Followed  func() bool // whether others learn through this entry, nil for never
-	Counters  *metric.Set
-	Logger    *slog.Logger
-	// Misdirected is told that another process took an order to an endpoint, nil for nobody.
-	Misdirected func(endpoint string, by *Misdirected)
+	Self         string
+	LeaseKind    string
+	Routing      *routing.Store
+	Registry     *registry.Registry
+	Engines      Engines
+	Objects      Objects
+	EntryCount   func() int  // how many entries may try alike
+	Following    func() bool // whether this entry learns through a peer, nil for never
+	HasFollowers func() bool // whether others learn through this entry, nil for never
+	Counters     *metric.Set
+	Logger       *slog.Logger
+	// OnMisdirected is told that another process took an order to an endpoint, nil for nobody.
+	OnMisdirected func(endpoint string, by *Misdirected)
 
 	done     part.Done
 	lease    lease.Lease
@@ -120,9 +120,9 @@
 // Close ends it. The lease lapses by itself.
 func (d *Director) Close() { d.done.Close() }
 
-// Ordered returns what an endpoint was ordered to hold, by this entry or as the lease tells, as long as
+// OrderedLayers returns what an endpoint was ordered to hold, by this entry or as the lease tells, as long as
 // the effect has not been seen, and whether it was.
-func (d *Director) Ordered(endpoint string, now time.Time) (protocol.Span, bool) {
+func (d *Director) OrderedLayers(endpoint string, now time.Time) (protocol.Span, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	o, ok := d.ordered[endpoint]
@@ -148,7 +148,7 @@
 	if d.wasWoken() {
 		d.again = now
 	}
-	b := basis{table: d.Routing.Current(), endpoints: d.Roster.Revision()}
+	b := basis{table: d.Routing.Current(), endpoints: d.Registry.Revision()}
 	if b == d.basis && now.Before(d.again) {
 		d.release(now)
 		return
@@ -200,9 +200,9 @@
 	d.woken = true
 }
 
-// Restarted notes that an engine has started again: orders to its earlier life have no
+// RecordRestart notes that an engine has started again: orders to its earlier life have no
 // effect, and it takes new ones.
-func (d *Director) Restarted(endpoint string) {
+func (d *Director) RecordRestart(endpoint string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	delete(d.ordered, endpoint)
@@ -226,16 +226,16 @@
 // than its turn could come: while engines come and go each look works a plan out, and of
 // 300 entries 295 did so for nothing.
 func (d *Director) last() bool {
-	return d.following() && (d.Followed == nil || !d.Followed())
+	return d.following() && (d.HasFollowers == nil || !d.HasFollowers())
 }
 
 // spread returns a part of the time over which the entries' attempts are spread.
 func (d *Director) spread() time.Duration {
-	part := rand.N(stagger * time.Duration(max(1, d.Entries())))
+	part := rand.N(stagger * time.Duration(max(1, d.EntryCount())))
 	switch {
 	case !d.following():
 		return part
-	case d.Followed != nil && d.Followed():
+	case d.HasFollowers != nil && d.HasFollowers():
 		return part + followedRest
 	default:
 		return part + followerRest
--- a/transport/director/director_test.go
+++ b/transport/director/director_test.go
@@ -54,7 +54,7 @@
 		w := newWorld(3)
 		w.engines["e1"].silent = true
 		d := w.director(t, "d")
-		d.Roster.Replace([]protocol.Endpoint{
+		d.Registry.Replace([]protocol.Endpoint{
 			record("e0", protocol.Span{To: 6}), record("e1", protocol.Span{}), record("e2", protocol.Span{}),
 		}, time.Now())
 		d.Start()
@@ -110,13 +110,13 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := newWorld(3)
 			d := w.director(t, "d")
-			d.Roster.Replace([]protocol.Endpoint{
+			d.Registry.Replace([]protocol.Endpoint{
 				record("e0", protocol.Span{To: 6}), record("e1", protocol.Span{To: 6}),
 			}, time.Now())
 			d.Start()
 			time.Sleep(1500 * time.Millisecond)
 			if !lost {
-				d.Roster.Add(record("e2", protocol.Span{From: 6, To: 10}))
+				d.Registry.Add(record("e2", protocol.Span{From: 6, To: 10}))
 			}
 			time.Sleep(5 * time.Second)
 			d.Close()
@@ -136,7 +136,7 @@
 			for i := range 3 {
 				d := w.director(t, fmt.Sprint("d", i))
 				d.Following = func() bool { return following }
-				d.Roster.Replace([]protocol.Endpoint{
+				d.Registry.Replace([]protocol.Endpoint{
 					record("e0", protocol.Span{To: 6}), record("e1", protocol.Span{From: 5, To: 10}), record("e2", protocol.Span{From: 5, To: 6}),
 				}, time.Now())
 				all = append(all, d)
@@ -164,15 +164,15 @@
 			d := w.director(t, "one")
 			d.Following = func() bool { return follows }
 			whole := protocol.Span{From: 0, To: 5}
-			d.Roster.Add(record("e0", whole))
-			d.Roster.Add(record("e1", protocol.Span{From: 5, To: 10}))
+			d.Registry.Add(record("e0", whole))
+			d.Registry.Add(record("e1", protocol.Span{From: 5, To: 10}))
 			d.Start()
 			time.Sleep(50 * time.Millisecond) // changes come between looks
 			for i := range 100 {
 				time.Sleep(100 * time.Millisecond)
 				span := whole
 				span.To += i % 2
-				d.Roster.Add(record("e2", span))
+				d.Registry.Add(record("e2", span))
 			}
 			d.Close()
 			synctest.Wait()
@@ -191,8 +191,8 @@
 		w := newWorld(2)
 		w.engines["e1"].told = true
 		d := w.director(t, "one")
-		d.Roster.Add(record("e0", protocol.Span{From: 0, To: 5}))
-		d.Roster.Add(record("e1", protocol.Span{From: 5, To: 7})) // nobody has [7,10)
+		d.Registry.Add(record("e0", protocol.Span{From: 0, To: 5}))
+		d.Registry.Add(record("e1", protocol.Span{From: 5, To: 7})) // nobody has [7,10)
 		time.Sleep(time.Second)
 		d.Start()
 		time.Sleep(5 * time.Second)
@@ -213,12 +213,12 @@
 		w.engines["e1"].other = "next"
 		d := w.director(t, "one")
 		var told []string
-		d.Misdirected = func(endpoint string, by *director.Misdirected) {
-			told = append(told, endpoint+" "+by.Occupant)
-			d.Roster.OwnerAnswered(endpoint, by.Occupant, 0, time.Now())
+		d.OnMisdirected = func(endpoint string, by *director.Misdirected) {
+			told = append(told, endpoint+" "+by.Owner)
+			d.Registry.OwnerAnswered(endpoint, by.Owner, 0, time.Now())
 		}
-		d.Roster.Add(record("e0", protocol.Span{From: 0, To: 5}))
-		d.Roster.Add(record("e1", protocol.Span{}))
+		d.Registry.Add(record("e0", protocol.Span{From: 0, To: 5}))
+		d.Registry.Add(record("e1", protocol.Span{}))
 		d.Start()
 		time.Sleep(10 * time.Second)
 		d.Close()
@@ -234,15 +234,15 @@
 		w := newWorld(2)
 		w.engines["e1"].loads = time.Hour
 		d := w.director(t, "one")
-		d.Roster.Add(record("e0", protocol.Span{From: 0, To: 5}))
-		d.Roster.Add(record("e1", protocol.Span{}))
+		d.Registry.Add(record("e0", protocol.Span{From: 0, To: 5}))
+		d.Registry.Add(record("e1", protocol.Span{}))
 		d.Start()
 		time.Sleep(4 * time.Second) // the list of engines is whole by then
 		require.Equal(t, 1, w.orders())
 		w.mutex.Lock()
 		w.engines["e1"].orders = nil
 		w.mutex.Unlock()
-		d.Restarted("e1")
+		d.RecordRestart("e1")
 		d.Wake()
 		time.Sleep(time.Second)
 		require.Equal(t, 1, w.orders())
@@ -268,12 +268,12 @@
 			w.engines["e1"].told, w.engines["e1"].kind, w.engines["e1"].layers = true, c.kind, c.layers
 			w.engines["e1"].loads = time.Hour
 			d := w.director(t, "one")
-			d.Roster.Add(record("e0", protocol.Span{From: 0, To: 5}))
-			d.Roster.Add(record("e1", protocol.Span{From: 5, To: 10}))
+			d.Registry.Add(record("e0", protocol.Span{From: 0, To: 5}))
+			d.Registry.Add(record("e1", protocol.Span{From: 5, To: 10}))
 			d.Start()
 			time.Sleep(4 * time.Second) // the list of engines is whole by then
 			require.Zero(t, w.orders())
-			d.Roster.OwnerAnswered("e1", "next", 0, time.Now())
+			d.Registry.OwnerAnswered("e1", "next", 0, time.Now())
 			time.Sleep(time.Second)
 			d.Close()
 			synctest.Wait()
--- a/transport/director/lease_test.go
+++ b/transport/director/lease_test.go
@@ -109,7 +109,7 @@
 			for i := range 10 {
 				d := w.director(t, fmt.Sprint("d", i))
 				if told {
-					d.Heard(0, nil, time.Now())
+					d.ObserveLease(0, nil, time.Now())
 					w.hearing = append(w.hearing, d)
 				}
 				all = append(all, d)
@@ -143,7 +143,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			w := newWorld(2)
 			d := w.director(t, "d")
-			d.Roster.Replace([]protocol.Endpoint{
+			d.Registry.Replace([]protocol.Endpoint{
 				record("e0", protocol.Span{To: 6}), record("e1", protocol.Span{}),
 			}, time.Now())
 			value := `{"holder":"","epoch":3,"nonce":7}`
@@ -151,10 +151,10 @@
 				value = `{"holder":"","epoch":3,"nonce":7,"orders":[{"endpoint":"e1","from":4,"to":10,"left_ms":5000}]}`
 			}
 			w.object = protocol.Object{Version: 6, Value: []byte(value)}
-			d.Heard(5, []byte(`{"holder":"other","epoch":3,"nonce":6}`), time.Now())
+			d.ObserveLease(5, []byte(`{"holder":"other","epoch":3,"nonce":6}`), time.Now())
 			d.Start()
 			time.Sleep(200 * time.Millisecond)
-			d.Heard(6, []byte(value), time.Now())
+			d.ObserveLease(6, []byte(value), time.Now())
 			time.Sleep(4500 * time.Millisecond)
 			require.Equal(t, told, w.orders() == 0)
 			time.Sleep(4 * time.Second)
@@ -194,11 +194,11 @@
 		d := w.director(t, "d0")
 		d.Start()
 		time.Sleep(3 * time.Second)
-		span, ok := d.Ordered("e0", time.Now())
+		span, ok := d.OrderedLayers("e0", time.Now())
 		require.True(t, ok)
 		require.Equal(t, w.engines["e1"].orders[0].Layers, protocol.Span{From: 10 - span.To, To: 10 - span.From}, "each holds a half")
 		time.Sleep(20 * time.Second)
-		_, ok = d.Ordered("e0", time.Now())
+		_, ok = d.OrderedLayers("e0", time.Now())
 		require.False(t, ok)
 		d.Close()
 		synctest.Wait()
--- a/transport/director/moves.go
+++ b/transport/director/moves.go
@@ -45,13 +45,13 @@
 // that only improve a layout or without.
 func (d *Director) moves(now time.Time, improving bool) []move {
 	table := d.Routing.Current()
-	if table == nil || !d.Roster.HasList() {
+	if table == nil || !d.Registry.HasList() {
 		return nil
 	}
 	if d.knownAt.IsZero() {
 		d.knownAt = now
 	}
-	endpoints := d.Roster.Endpoints()
+	endpoints := d.Registry.Endpoints()
 	unrecorded := d.unrecorded(table.Services(), now)
 	d.forget(slices.Concat(endpoints, unrecorded), now)
 	var moves []move
@@ -76,7 +76,7 @@
 	if engines != 1 {
 		return nil
 	}
-	return d.Roster.Unrecorded(now)
+	return d.Registry.Unrecorded(now)
 }
 
 // movesOf returns the wanted moves of one service, but none of engines that rest.
@@ -87,7 +87,7 @@
 	for _, e := range unrecorded {
 		kinds[e.ID] = e.Accelerator
 	}
-	view := d.Roster.View()
+	view := d.Registry.View()
 	for _, e := range slices.Concat(endpoints, unrecorded) {
 		if e.Service != s.Name {
 			continue
--- a/transport/director/order.go
+++ b/transport/director/order.go
@@ -90,7 +90,7 @@
 // notes why not.
 func (g *giving) mayOrder(report *protocol.EngineReport) bool {
 	d := g.director
-	if d.Roster.Report(g.move.Engine(), report, clock.Now()) == registry.ReportDiffers {
+	if d.Registry.Report(g.move.Engine(), report, clock.Now()) == registry.ReportDiffers {
 		g.differs() // the plan rests on layers that it does not hold
 		return false
 	}
@@ -138,7 +138,7 @@
 // earlier process, and the next look plans for what this one holds.
 func (g *giving) differs() {
 	d := g.director
-	d.Restarted(g.move.Engine())
+	d.RecordRestart(g.move.Engine())
 	d.Wake()
 	event.OrderFailed.Log(d.Logger, slog.String("runner", g.move.Engine()),
 		slog.String("layers", g.move.Span().String()), slog.String("cause", "it is not as its record says"))
@@ -147,8 +147,8 @@
 // misdirected tells the director's owner if another process than the engine answered.
 func (g *giving) misdirected(err error) {
 	var other *Misdirected
-	if d := g.director; d.Misdirected != nil && errors.As(err, &other) {
-		d.Misdirected(g.move.Engine(), other)
+	if d := g.director; d.OnMisdirected != nil && errors.As(err, &other) {
+		d.OnMisdirected(g.move.Engine(), other)
 	}
 }
 
--- a/transport/director/record.go
+++ b/transport/director/record.go
@@ -39,9 +39,9 @@
 	at      time.Time
 }
 
-// Heard takes the lease as it was changed, version 0 for none. Who hears of each change
+// ObserveLease takes the lease as it was changed, version 0 for none. Who hears of each change
 // does not ask how the lease stands.
-func (d *Director) Heard(version uint64, value []byte, now time.Time) {
+func (d *Director) ObserveLease(version uint64, value []byte, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.heard = &heard{version: version, value: value, at: now}
@@ -77,7 +77,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, o := range r.Orders {
-		if o.Lifetime.Before(d.Roster.Incarnation(o.Endpoint)) {
+		if o.Lifetime.Before(d.Registry.Incarnation(o.Endpoint)) {
 			continue // that life is over
 		}
 		left := min(most, time.Duration(o.LeftMS)*time.Millisecond)
@@ -95,7 +95,7 @@
 	var all []orderRecord
 	for id, o := range d.ordered {
 		if left := o.till.Sub(now); left > 0 {
-			all = append(all, orderRecord{Endpoint: id, Lifetime: d.Roster.Incarnation(id), From: o.span.From, To: o.span.To, LeftMS: left.Milliseconds()})
+			all = append(all, orderRecord{Endpoint: id, Lifetime: d.Registry.Incarnation(id), From: o.span.From, To: o.span.To, LeftMS: left.Milliseconds()})
 		}
 	}
 	slices.SortFunc(all, func(a, b orderRecord) int { return strings.Compare(a.Endpoint, b.Endpoint) })
--- a/transport/director/world_test.go
+++ b/transport/director/world_test.go
@@ -74,7 +74,7 @@
 	}
 	w.object = protocol.Object{Version: known + 1, Value: value}
 	for _, d := range w.hearing {
-		d.Heard(known+1, value, time.Now())
+		d.ObserveLease(known+1, value, time.Now())
 	}
 	if w.lose {
 		return 0, platform.InDoubt(errors.New("lost"))
@@ -116,7 +116,7 @@
 	e := w.engines[o.Address]
 	switch {
 	case e.other != "":
-		return protocol.OrderRefused, &director.Misdirected{Address: o.Address, Occupant: e.other}
+		return protocol.OrderRefused, &director.Misdirected{Address: o.Address, Owner: e.other}
 	case e.loses > 0:
 		e.loses--
 		return protocol.OrderUnanswered, errors.New("lost")
@@ -179,17 +179,17 @@
 	table, err := routing.Build(protocol.Routing{Version: 1, Services: []protocol.RoutedService{{Name: "llm", Engine: facts}}})
 	require.NoError(t, err)
 	d := &director.Director{
-		Self: name, LeaseKind: "k", Routing: &routing.Store{}, Roster: &registry.Registry{Entry: fleet.Entry{Name: name, DataCenter: "a"}},
-		Engines: w, Objects: w, Entries: func() int { return 3 }, Counters: &metric.Set{},
+		Self: name, LeaseKind: "k", Routing: &routing.Store{}, Registry: &registry.Registry{Entry: fleet.Entry{Name: name, DataCenter: "a"}},
+		Engines: w, Objects: w, EntryCount: func() int { return 3 }, Counters: &metric.Set{},
 	}
 	d.Routing.Offer(table)
-	d.Roster.SetServices(table.Services())
+	d.Registry.SetServices(table.Services())
 	var list []protocol.Endpoint
 	for id := range w.engines {
 		list = append(list, record(id, protocol.Span{}))
 	}
-	d.Roster.Replace(list, time.Now())
-	w.rosters = append(w.rosters, d.Roster)
+	d.Registry.Replace(list, time.Now())
+	w.rosters = append(w.rosters, d.Registry)
 	return d
 }
 
--- a/transport/front/fleet.go
+++ b/transport/front/fleet.go
@@ -48,7 +48,7 @@
 // endpointStatus describes an endpoint, with what was measured of it if it can serve.
 func (f *Front) endpointStatus(e *protocol.Endpoint, r *fleet.Runner, now time.Time) protocol.EndpointStatus {
 	s := described(e)
-	if span, ok := f.director.Ordered(e.ID, now); ok {
+	if span, ok := f.director.OrderedLayers(e.ID, now); ok {
 		s.OrderedFrom, s.OrderedTo = span.From, span.To
 	}
 	if r != nil {
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -112,9 +112,9 @@
 	}
 	f.forwarder.InitRetryBudget(forward.RetryBudget{Share: s.RetryShare * shareKept, Slack: s.RetrySlack, WindowEnd: s.RetryWindow}, census.DefaultCount, clock.Now())
 	f.director = director.Director{
-		Self: s.Name, LeaseKind: ownKind, Routing: &f.routing, Roster: &f.roster, Engines: f.Dependencies.Engines,
-		Objects: f.Dependencies.Objects, Entries: f.watching, Following: f.source.Following, Followed: f.source.Followed, Counters: f.Counters, Logger: f.Logger,
-		Misdirected: f.misdirected,
+		Self: s.Name, LeaseKind: ownKind, Routing: &f.routing, Registry: &f.roster, Engines: f.Dependencies.Engines,
+		Objects: f.Dependencies.Objects, EntryCount: f.watching, Following: f.source.Following, HasFollowers: f.source.Followed, Counters: f.Counters, Logger: f.Logger,
+		OnMisdirected: f.misdirected,
 	}
 	f.source = relay.Source{
 		Platform: f.Dependencies.Objects,
--- a/transport/front/occupants.go
+++ b/transport/front/occupants.go
@@ -56,8 +56,8 @@
 // misdirected handles that another process took an order to an endpoint. If its answer does
 // not name it, its address is asked.
 func (f *Front) misdirected(endpoint string, by *director.Misdirected) {
-	if by.Occupant != "" {
-		f.source.ReportOwner(endpoint, by.Occupant, clock.Now())
+	if by.Owner != "" {
+		f.source.ReportOwner(endpoint, by.Owner, clock.Now())
 		return
 	}
 	if q, there := f.roster.ProbeOf(endpoint); there {
@@ -68,7 +68,7 @@
 // restarted notes that an endpoint started again under its ID. The revision is that of the
 // record that says so, 0 if the endpoint's report or a list does.
 func (f *Front) restarted(e protocol.Endpoint, revision uint64) {
-	f.director.Restarted(e.ID)
+	f.director.RecordRestart(e.ID)
 	if e.Incarnation.Known() {
 		f.source.Quarantine().RecordCrash(e.ID, e.Incarnation-1, clock.Now()) // the lives before
 	}
--- a/transport/front/own_sink.go
+++ b/transport/front/own_sink.go
@@ -20,11 +20,11 @@
 	s.front.refusals.listed(objects, now)
 	for _, o := range objects {
 		if o.Name == director.LeaseName {
-			s.front.director.Heard(o.Version, o.Value, now)
+			s.front.director.ObserveLease(o.Version, o.Value, now)
 			return
 		}
 	}
-	s.front.director.Heard(0, nil, now)
+	s.front.director.ObserveLease(0, nil, now)
 }
 
 // Changed takes a changed lease, which nobody removes, or a refusal.
@@ -33,7 +33,7 @@
 	case c.Object.Name != director.LeaseName:
 		s.front.refusals.changed(c, now)
 	case !c.Gone:
-		s.front.director.Heard(c.Object.Version, c.Object.Value, now)
+		s.front.director.ObserveLease(c.Object.Version, c.Object.Value, now)
 	}
 }
 
