--- a/transport/backlog/budget.go
+++ b/transport/backlog/budget.go
@@ -31,23 +31,23 @@
 	conns  map[*pressure.Account]*Conn // those that hold bytes
 }
 
-// Limit sets the budget in bytes.
-func (b *Budget) Limit(bytes int64) {
+// SetLimit sets the budget in bytes.
+func (b *Budget) SetLimit(bytes int64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.ledger.SetLimit(bytes)
 }
 
-// Near reports whether the entry is near the end of its budget.
-func (b *Budget) Near() bool {
+// NearLimit reports whether the entry is near the end of its budget.
+func (b *Budget) NearLimit() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.ledger.NearLimit()
 }
 
-// Body takes room for n bytes of a request, or gives back -n, and reports whether there is
+// ReserveBody takes room for n bytes of a request, or gives back -n, and reports whether there is
 // room.
-func (b *Budget) Body(n int64) bool {
+func (b *Budget) ReserveBody(n int64) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	ok := b.ledger.ReserveBody(n)
--- a/transport/backlog/conn.go
+++ b/transport/backlog/conn.go
@@ -34,9 +34,9 @@
 	lingerMost = 400 * time.Millisecond
 )
 
-// ErrEnded says that a caller's answer was broken off because the entry has no room to hold
+// ErrOverBudget says that a caller's answer was broken off because the entry has no room to hold
 // it any longer. More memory, or callers that read, are the remedy.
-var ErrEnded = errors.New("the entry's budget has no room for what the caller does not read: raise memory_mb or add entries")
+var ErrOverBudget = errors.New("the entry's budget has no room for what the caller does not read: raise memory_mb or add entries")
 
 // Conn is a caller's connection whose writes don't wait for the caller, as long as the
 // budget has room.
@@ -99,18 +99,18 @@
 	return c
 }
 
-// Serve sets whose answer is written next: the team, the rank (0 is the most urgent), and
+// Assign sets whose answer is written next: the team, the rank (0 is the most urgent), and
 // whether a broken stream may go on elsewhere.
-func (c *Conn) Serve(team string, rank int, resumable bool) {
+func (c *Conn) Assign(team string, rank int, resumable bool) {
 	c.team, c.rank, c.resumable = team, rank, resumable
 }
 
 // Held returns how many bytes wait for the caller.
 func (c *Conn) Held() int64 { return c.held.Load() }
 
-// Told returns a channel that signals, while bytes wait, that the caller took some of them
+// Progress returns a channel that signals, while bytes wait, that the caller took some of them
 // or that the connection failed.
-func (c *Conn) Told() <-chan struct{} { return c.told }
+func (c *Conn) Progress() <-chan struct{} { return c.told }
 
 // Err returns why the connection can't be written to any more, or nil.
 func (c *Conn) Err() error {
@@ -119,9 +119,9 @@
 	return c.failure
 }
 
-// Look decides how the stream goes on. After GoOn the answer stays the same until the room
+// Decide decides how the stream goes on. After GoOn the answer stays the same until the room
 // of the connection changes.
-func (c *Conn) Look(now time.Time) pressure.Decision {
+func (c *Conn) Decide(now time.Time) pressure.Decision {
 	if !c.moved.Swap(false) {
 		return pressure.Continue{}
 	}
@@ -132,8 +132,8 @@
 	return d
 }
 
-// Begun returns when the caller's first byte came, zero before.
-func (c *Conn) Begun() time.Time {
+// FirstByteAt returns when the caller's first byte came, zero before.
+func (c *Conn) FirstByteAt() time.Time {
 	if at := c.begun.Load(); at != 0 {
 		return time.Unix(0, at)
 	}
--- a/transport/backlog/conn_test.go
+++ b/transport/backlog/conn_test.go
@@ -26,13 +26,13 @@
 // sockets returns the two ends of a connection over real sockets, the entry's within the
 // budget.
 func sockets(t *testing.T, b *Budget) (entry *Conn, caller *net.TCPConn) {
-	l, err := Open("127.0.0.1:0")
+	l, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
 	raw, err := net.Dial("tcp", l.Addr().String())
 	require.NoError(t, err)
 	caller = raw.(*net.TCPConn)
-	n, err := b.Listen(l).Accept()
+	n, err := b.NewListener(l).Accept()
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = caller.Close(); _ = n.Close() })
 	return n.(*Conn), caller
@@ -135,7 +135,7 @@
 func TestTheSlowestIsEndedForRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &Budget{Counters: &metric.Set{}}
-		b.Limit(2*slowCost + 2*roomBytes)
+		b.SetLimit(2*slowCost + 2*roomBytes)
 		stuck, stuckCaller := pipe(b)
 		lively, livelyCaller := pipe(b)
 		third, thirdCaller := pipe(b)
@@ -154,8 +154,8 @@
 		_, err = third.Write(text(400))
 		require.NoError(t, err)
 		synctest.Wait()
-		require.ErrorIs(t, stuck.Err(), ErrEnded)
-		require.IsType(t, pressure.Abort{}, stuck.Look(time.Now()))
+		require.ErrorIs(t, stuck.Err(), ErrOverBudget)
+		require.IsType(t, pressure.Abort{}, stuck.Decide(time.Now()))
 		require.NoError(t, lively.Err())
 		require.EqualValues(t, 1, b.Counters.Value("pressure_ended"))
 	})
@@ -165,7 +165,7 @@
 func TestWithoutRoomAWriteWaitsForItsCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &Budget{}
-		b.Limit(slowCost + roomBytes)
+		b.SetLimit(slowCost + roomBytes)
 		entry, caller := pipe(b)
 		defer func() { _ = caller.Close() }()
 		const most = roomBytes - 100
@@ -211,7 +211,7 @@
 // run writes events until all are written or the connection ends.
 func (s *stream) run() {
 	for i := 0; i < s.events; {
-		switch s.conn.Look(time.Now()).(type) {
+		switch s.conn.Decide(time.Now()).(type) {
 		case pressure.Continue:
 			e := fmt.Appendf(nil, "id: %d\ndata: %0*d\n\n", i, 10+i%7*30, i)
 			if _, err := s.conn.Write(e); err != nil {
@@ -227,7 +227,7 @@
 		s.over = s.over || s.budget.Held() > streamLimit
 	}
 	for s.conn.Held() > 0 {
-		<-s.conn.Told()
+		<-s.conn.Progress()
 	}
 	s.whole = s.conn.Err() == nil
 }
@@ -260,11 +260,11 @@
 		events := rapid.IntRange(1, 100).Draw(r, "events")
 		synctest.Test(t, func(t *testing.T) {
 			b := &Budget{}
-			b.Limit(streamLimit)
+			b.SetLimit(streamLimit)
 			var streams []*stream
 			for _, p := range paces {
 				entry, caller := pipe(b)
-				entry.Serve(fmt.Sprint("team-", len(streams)%3), len(streams)%4, true)
+				entry.Assign(fmt.Sprint("team-", len(streams)%3), len(streams)%4, true)
 				s := &stream{budget: b, conn: entry, caller: caller, pace: p, events: events}
 				streams = append(streams, s)
 				go s.run()
@@ -283,7 +283,7 @@
 				if s.pace > 0 {
 					require.True(t, s.whole, "who reads is served whole")
 					require.Equal(t, s.sent.Bytes(), s.got.Bytes())
-					require.False(t, errors.Is(s.conn.Err(), ErrEnded))
+					require.False(t, errors.Is(s.conn.Err(), ErrOverBudget))
 				}
 			}
 			require.Zero(t, b.Held())
--- a/transport/backlog/held.go
+++ b/transport/backlog/held.go
@@ -178,7 +178,7 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.failure == nil {
-		c.failure = ErrEnded
+		c.failure = ErrOverBudget
 	}
 	c.waiting = nil
 	c.held.Store(0)
--- a/transport/backlog/listener.go
+++ b/transport/backlog/listener.go
@@ -15,17 +15,17 @@
 	budget *Budget
 }
 
-// Open listens at an address for callers, the system's part of what waits for them bounded.
+// Listen listens at an address for callers, the system's part of what waits for them bounded.
 // Accepted sockets have the bounds of the listening one.
-func Open(address string) (net.Listener, error) {
+func Listen(address string) (net.Listener, error) {
 	var c net.ListenConfig
 	c.Control = func(_, _ string, raw syscall.RawConn) error { return bound(raw, socketBytes, bodyBytes) }
 	return c.Listen(context.Background(), "tcp", address)
 }
 
-// BoundEngine bounds what the system keeps of an engine's answer that is left unread. It is
+// LimitEngineSocket bounds what the system keeps of an engine's answer that is left unread. It is
 // the Control of a dialer: once connected the other side knows a larger bound.
-func BoundEngine(_, _ string, raw syscall.RawConn) error { return bound(raw, 0, engineBytes) }
+func LimitEngineSocket(_, _ string, raw syscall.RawConn) error { return bound(raw, 0, engineBytes) }
 
 // bound sets how many bytes wait in a socket to be sent, and to be read; 0 leaves it to the
 // system.
@@ -42,8 +42,8 @@
 	return errors.Join(err, failed)
 }
 
-// Listen returns a listener whose connections hold bytes within the budget.
-func (b *Budget) Listen(l net.Listener) *Listener { return &Listener{Listener: l, budget: b} }
+// NewListener returns a listener whose connections hold bytes within the budget.
+func (b *Budget) NewListener(l net.Listener) *Listener { return &Listener{Listener: l, budget: b} }
 
 // Accept returns the next connection.
 func (l *Listener) Accept() (net.Conn, error) {
--- a/transport/forward/body_test.go
+++ b/transport/forward/body_test.go
@@ -43,7 +43,7 @@
 	require.NoError(t, err)
 	counters := &metric.Set{}
 	budget := &backlog.Budget{Counters: counters}
-	budget.Limit(512 << 10)
+	budget.SetLimit(512 << 10)
 	f := &Forwarder{Routing: &routing.Store{}, Registry: &registry.Registry{}, Headers: plainHeaders{}, Counters: counters, MemoryBudget: budget}
 	f.Routing.Offer(table)
 	f.Routing.Confirm(time.Now())
--- a/transport/forward/conn.go
+++ b/transport/forward/conn.go
@@ -57,7 +57,7 @@
 	if p.opened != nil {
 		p.opened()
 	}
-	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: backlog.BoundEngine}
+	d := net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: backlog.LimitEngineSocket}
 	raw, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
--- a/transport/forward/reservation.go
+++ b/transport/forward/reservation.go
@@ -36,7 +36,7 @@
 	if r.budget == nil || r.closed {
 		return true
 	}
-	if !r.budget.Body(n) {
+	if !r.budget.ReserveBody(n) {
 		return false
 	}
 	r.bytes += n
@@ -68,7 +68,7 @@
 	defer r.mutex.Unlock()
 	r.closed = true
 	if r.bytes != 0 {
-		r.budget.Body(-r.bytes)
+		r.budget.ReserveBody(-r.bytes)
 		r.bytes = 0
 	}
 }
--- a/transport/forward/slow_caller.go
+++ b/transport/forward/slow_caller.go
@@ -38,7 +38,7 @@
 	if x.caller == nil {
 		return nil
 	}
-	return x.caller.Told()
+	return x.caller.Progress()
 }
 
 // checkCaller reacts to whether the caller keeps up with its stream. Bytes that are buffered before
@@ -51,7 +51,7 @@
 		x.handleWriteError()
 		return
 	}
-	d := x.caller.Look(now)
+	d := x.caller.Decide(now)
 	if x.parked != nil {
 		x.checkParked(d, now)
 		return
@@ -126,7 +126,7 @@
 
 // handleWriteError ends a stream whose caller's connection can no longer be written to.
 func (x *exchange) handleWriteError() {
-	if x.caller != nil && errors.Is(x.caller.Err(), backlog.ErrEnded) {
+	if x.caller != nil && errors.Is(x.caller.Err(), backlog.ErrOverBudget) {
 		x.failForMemory()
 		return
 	}
@@ -166,7 +166,7 @@
 	x.flush()
 	for x.caller.Held() > 0 && x.caller.Err() == nil {
 		select {
-		case <-x.caller.Told():
+		case <-x.caller.Progress():
 		case <-x.request.Context().Done():
 			return false
 		}
@@ -181,9 +181,9 @@
 	switch {
 	case x.caller == nil:
 	case admitted:
-		x.caller.Serve(x.teamName(), x.urgency(), x.route.Resumable && x.route.MayRepeat())
+		x.caller.Assign(x.teamName(), x.urgency(), x.route.Resumable && x.route.MayRepeat())
 	default:
-		x.caller.Serve("", leastUrgent, true)
+		x.caller.Assign("", leastUrgent, true)
 	}
 }
 
--- a/transport/front/callers.go
+++ b/transport/front/callers.go
@@ -42,7 +42,7 @@
 
 // listen opens the address. Connections wait until serve.
 func (c *callers) listen(address string) error {
-	socket, err := backlog.Open(address)
+	socket, err := backlog.Listen(address)
 	if err != nil {
 		return err
 	}
@@ -61,7 +61,7 @@
 	go c.run()
 }
 
-func (c *callers) run() { _ = c.server.Serve(c.held.Listen(c.socket)) }
+func (c *callers) run() { _ = c.server.Serve(c.held.NewListener(c.socket)) }
 
 // changed follows which connections there are, and which rest.
 func (c *callers) changed(n net.Conn, s http.ConnState) {
@@ -130,7 +130,7 @@
 func (c *callers) silentTooLong(n net.Conn, l *protocol.CallerLimits, since, now time.Time) bool {
 	by := l.IdleBy(since)
 	if b, ok := n.(*backlog.Conn); ok {
-		if begun := b.Begun(); !begun.IsZero() {
+		if begun := b.FirstByteAt(); !begun.IsZero() {
 			return l.HeaderMS > 0 && now.After(l.HeaderBy(begun).Add(idleSlack))
 		}
 	}
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -100,7 +100,7 @@
 	f.roster.DataCenters = s.DataCenters
 	f.records = records{counters: f.Counters, logger: f.Logger}
 	f.held.Counters, f.held.Logger = f.Counters, f.Logger
-	f.held.Limit(s.HeldBytes())
+	f.held.SetLimit(s.HeldBytes())
 	f.forwarder = forward.Forwarder{
 		Entry: home, Routing: &f.routing, Registry: &f.roster, Headers: f.Dependencies.Headers, Reporter: f.Dependencies.Engines,
 		Counters: f.Counters, Logger: f.Logger,
@@ -268,7 +268,7 @@
 // entry does not stop, has room for what it holds, and keys can still be confirmed.
 // Where most entries have no room left, the balancer uses all of them, as before.
 func (f *Front) isReady(now time.Time) bool {
-	return !f.stopping.Load() && !f.held.Near() && f.routing.Current() != nil && f.roster.HasList() &&
+	return !f.stopping.Load() && !f.held.NearLimit() && f.routing.Current() != nil && f.roster.HasList() &&
 		now.Before(f.Settings.KeyTrust(f.routing.ConfirmedAt()))
 }
 
