--- a/transport/director/world_test.go
+++ b/transport/director/world_test.go
@@ -55,9 +55,9 @@
 	w.calls++
 	switch {
 	case w.down:
-		return protocol.Object{}, platform.Unreached(errors.New("down"))
+		return protocol.Object{}, platform.NewUnavailable(errors.New("down"))
 	case w.object.Version == 0:
-		return protocol.Object{}, platform.Missing("k", "n")
+		return protocol.Object{}, platform.NewNotFound("k", "n")
 	}
 	return w.object, nil
 }
@@ -68,16 +68,16 @@
 	w.calls++
 	switch {
 	case w.down:
-		return 0, platform.Unreached(errors.New("down"))
+		return 0, platform.NewUnavailable(errors.New("down"))
 	case known != w.object.Version:
-		return 0, platform.Raced(w.object.Version)
+		return 0, platform.NewConflict(w.object.Version)
 	}
 	w.object = protocol.Object{Version: known + 1, Value: value}
 	for _, d := range w.hearing {
 		d.ObserveLease(known+1, value, time.Now())
 	}
 	if w.lose {
-		return 0, platform.InDoubt(errors.New("lost"))
+		return 0, platform.NewUncertain(errors.New("lost"))
 	}
 	return known + 1, nil
 }
--- a/transport/front/register_test.go
+++ b/transport/front/register_test.go
@@ -33,7 +33,7 @@
 func (s *lateStore) call(change func() error) error {
 	if s.lag {
 		s.late = append(s.late, func() { _ = change() })
-		return platform.InDoubt(errors.New("no answer"))
+		return platform.NewUncertain(errors.New("no answer"))
 	}
 	return change()
 }
@@ -58,7 +58,7 @@
 	var revision uint64
 	err := s.call(func() error {
 		if held := s.objects[name].Version; held != known {
-			return platform.Raced(held)
+			return platform.NewConflict(held)
 		}
 		s.revision++
 		revision = s.revision
@@ -71,7 +71,7 @@
 func (s *lateStore) Delete(_ context.Context, _, name string, known uint64) error {
 	return s.call(func() error {
 		if held := s.objects[name].Version; held != known {
-			return platform.Raced(held)
+			return platform.NewConflict(held)
 		}
 		s.revision++
 		delete(s.objects, name)
@@ -104,7 +104,7 @@
 	if o, ok := s.objects[name]; ok {
 		return o, nil
 	}
-	return protocol.Object{}, platform.Missing(kind, name)
+	return protocol.Object{}, platform.NewNotFound(kind, name)
 }
 
 func (s *lateStore) GetLately(ctx context.Context, kind, name string) (protocol.Object, error) {
--- a/transport/platform/errors.go
+++ b/transport/platform/errors.go
@@ -2,25 +2,25 @@
 
 package platform
 
-// Forgotten says that the platform no longer has the changes since a revision.
-type Forgotten struct{}
+// Compacted says that the platform no longer has the changes since a revision.
+type Compacted struct{}
 
 // Error tells the remedy.
-func (*Forgotten) Error() string {
+func (*Compacted) Error() string {
 	return "the platform forgot the changes since that revision; list the objects and watch from there"
 }
 
-// Unreached returns the error of a call that had no effect.
-func Unreached(cause error) error { return &Unavailable{cause: cause} }
+// NewUnavailable returns the error of a call that had no effect.
+func NewUnavailable(cause error) error { return &Unavailable{cause: cause} }
 
-// InDoubt returns the error of a write that may have taken effect.
-func InDoubt(cause error) error { return &Uncertain{cause: cause} }
+// NewUncertain returns the error of a write that may have taken effect.
+func NewUncertain(cause error) error { return &Uncertain{cause: cause} }
 
-// Raced returns the error of a write that met another version, 0 for none.
-func Raced(held uint64) error { return &Conflict{held: held} }
+// NewConflict returns the error of a write that met another version, 0 for none.
+func NewConflict(held uint64) error { return &Conflict{held: held} }
 
-// Missing returns the error for an object that does not exist.
-func Missing(kind, name string) error { return &NotFound{kind: kind, name: name} }
+// NewNotFound returns the error for an object that does not exist.
+func NewNotFound(kind, name string) error { return &NotFound{kind: kind, name: name} }
 
 // NeverSent reports whether no connection was made, so that nothing can have
 // taken effect.
--- a/transport/relay/source.go
+++ b/transport/relay/source.go
@@ -261,7 +261,7 @@
 		changed := s.mirror.Changed()
 		run, ok := s.mirror.Since(kind, after)
 		if !ok || s.mirror.Revision(kind) == 0 {
-			return protocol.Changes{}, &platform.Forgotten{}
+			return protocol.Changes{}, &platform.Compacted{}
 		}
 		if run.To > after {
 			return protocol.Changes{Changes: run.Changes, At: run.To, Relayed: true}, nil
@@ -291,7 +291,7 @@
 	c, err := s.Platform.Watch(ctx, kind, after, wait)
 	s.note(ctx, err)
 	if err == nil && len(c.Changes) > 0 && !s.mirror.Apply(kind, mirror.Delta{After: after, To: c.At, Changes: c.Changes}) {
-		return protocol.Changes{}, &platform.Forgotten{}
+		return protocol.Changes{}, &platform.Compacted{}
 	}
 	return c, err
 }
@@ -299,7 +299,7 @@
 // note notes whether the platform answered. A call that was given up here says nothing
 // about it.
 func (s *Source) note(ctx context.Context, err error) {
-	var forgotten *platform.Forgotten
+	var forgotten *platform.Compacted
 	var missing *platform.NotFound
 	if err == nil || errors.As(err, &forgotten) || errors.As(err, &missing) || ctx.Err() != nil {
 		return
--- a/transport/relay/store_test.go
+++ b/transport/relay/store_test.go
@@ -94,7 +94,7 @@
 	cut   bool
 }
 
-var errCut = platform.Unreached(errors.New("cut off"))
+var errCut = platform.NewUnavailable(errors.New("cut off"))
 
 // cutOff makes every call of the entry fail from now on.
 func (o *outside) cutOff() {
@@ -151,7 +151,7 @@
 		}
 		s.mutex.Unlock()
 		if forgotten {
-			return protocol.Changes{}, &platform.Forgotten{}
+			return protocol.Changes{}, &platform.Compacted{}
 		}
 		if len(c.Changes) > 0 {
 			return c, nil
@@ -174,7 +174,7 @@
 	defer o.store.mutex.Unlock()
 	object, ok := o.store.objects[name]
 	if !ok {
-		return protocol.Object{}, platform.Missing(kind, name)
+		return protocol.Object{}, platform.NewNotFound(kind, name)
 	}
 	return object, nil
 }
--- a/transport/watch/watch.go
+++ b/transport/watch/watch.go
@@ -200,7 +200,7 @@
 	if w.done.Closed() {
 		return
 	}
-	var forgotten *platform.Forgotten
+	var forgotten *platform.Compacted
 	w.from = 0
 	if errors.As(err, &forgotten) || errors.Is(err, context.Canceled) {
 		return // the platform answered, or the call was given up here
--- a/transport/watch/watch_test.go
+++ b/transport/watch/watch_test.go
@@ -116,7 +116,7 @@
 }
 
 func TestAForgottenHistoryIsListedAtOnce(t *testing.T) {
-	src, snk := play(t, time.Second, list(7), step{err: &platform.Forgotten{}}, list(20))
+	src, snk := play(t, time.Second, list(7), step{err: &platform.Compacted{}}, list(20))
 	require.Equal(t, []uint64{0, 7, 0, 20}, src.asked[:4])
 	require.Equal(t, 2, snk.listed)
 	require.Zero(t, snk.failed, "the platform answered")
