--- a/transport/forward/admit.go
+++ b/transport/forward/admit.go
@@ -31,7 +31,7 @@
 	}
 	table := f.Routing.Current()
 	if table == nil || !f.Registry.HasList() {
-		return protocol.Refuse(protocol.NoConfiguration, "no routing table has been read yet").Again(x.begun.Add(unconfirmedRetryAfter))
+		return protocol.Refuse(protocol.NoConfiguration, "no routing table was read yet").Again(x.begun.Add(unconfirmedRetryAfter))
 	}
 	x.table = table
 	if limit := table.CallerLimits().HeaderBytes; limit > 0 && headBytes(x.request) > limit {
@@ -42,7 +42,7 @@
 	x.route = table.Match(x.request.Host, target)
 	if x.route == nil {
 		if unconfirmed {
-			return protocol.Refuse(protocol.PlatformDown, "the route is unknown, but the routing table may be outdated").Again(x.begun.Add(unconfirmedRetryAfter))
+			return protocol.Refuse(protocol.PlatformDown, "the route is unknown, but the table may be old").Again(x.begun.Add(unconfirmedRetryAfter))
 		}
 		return protocol.Refuse(protocol.UnknownService, "no route matches the host and path")
 	}
@@ -84,7 +84,7 @@
 	team := x.table.Team(x.terms.Key)
 	if team == nil {
 		if unconfirmed {
-			return protocol.Refuse(protocol.PlatformDown, "the key is unknown, but the routing table may be outdated").Again(x.begun.Add(unconfirmedRetryAfter))
+			return protocol.Refuse(protocol.PlatformDown, "the key is unknown, but the table may be old").Again(x.begun.Add(unconfirmedRetryAfter))
 		}
 		return protocol.Refuse(protocol.WrongKey, "the key is not known")
 	}
--- a/transport/forward/body.go
+++ b/transport/forward/body.go
@@ -49,13 +49,13 @@
 			_ = rc.SetReadDeadline(time.Time{}) // the server keeps reading to notice that the caller disconnects
 			return nil
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			return protocol.Refuse(protocol.RequestLate, "the body was not received in time")
+			return protocol.Refuse(protocol.RequestLate, "the body did not come in time")
 		case err != nil:
-			return protocol.Refuse(protocol.MalformedRequest, "the body was not received completely").Because(err)
+			return protocol.Refuse(protocol.MalformedRequest, "the body did not come whole").Because(err)
 		}
 		if len(body) == cap(body) {
 			if body = x.growBody(body, limit); body == nil {
-				return protocol.Refuse(protocol.TooManyOpen, "the entry holds too many bytes of request bodies").Again(clock.Now().Add(memoryRetryAfter))
+				return protocol.Refuse(protocol.TooManyOpen, "the entry holds too many bytes of requests").Again(clock.Now().Add(memoryRetryAfter))
 			}
 		}
 	}
--- a/transport/forward/decide.go
+++ b/transport/forward/decide.go
@@ -83,7 +83,7 @@
 	case retry.Expire:
 		x.fail(deadlinePassed())
 	default:
-		x.fail(protocol.Uncertain(protocol.StageFailed, "the endpoint aborted the response"))
+		x.fail(protocol.Uncertain(protocol.StageFailed, "the endpoint broke the answer off"))
 	}
 }
 
@@ -108,7 +108,7 @@
 
 // deadlinePassed is the refusal of a request whose deadline has passed. The request may have run.
 func deadlinePassed() *protocol.Refusal {
-	return protocol.Uncertain(protocol.DeadlinePassed, "the deadline of the request has passed")
+	return protocol.Uncertain(protocol.DeadlinePassed, "the time of the request is over")
 }
 
 // noPath is the refusal of a request that no path can serve.
--- a/transport/forward/queue.go
+++ b/transport/forward/queue.go
@@ -327,5 +327,5 @@
 
 // noCapacity is the refusal of a request for which the engines have no capacity in time.
 func noCapacity(retryAt time.Time) *protocol.Refusal {
-	return protocol.Refuse(protocol.QueueFull, "no engine has capacity for the request in time").Again(retryAt)
+	return protocol.Refuse(protocol.QueueFull, "no engines have room for the request in time").Again(retryAt)
 }
--- a/transport/forward/reply.go
+++ b/transport/forward/reply.go
@@ -73,7 +73,7 @@
 func (x *exchange) endStream() {
 	x.finished = true
 	if !x.headSent {
-		x.fail(protocol.Uncertain(protocol.StageFailed, "the stream ended without an event"))
+		x.fail(protocol.Uncertain(protocol.StageFailed, "the stream had no event"))
 		return
 	}
 	if !x.drain() {
--- a/transport/forward/slow_caller.go
+++ b/transport/forward/slow_caller.go
@@ -136,7 +136,7 @@
 
 // failForMemory aborts the response, because the budget gave its memory to others.
 func (x *exchange) failForMemory() {
-	x.fail(protocol.Uncertain(protocol.CallerGone, "the caller did not read its response, and its memory was needed"))
+	x.fail(protocol.Uncertain(protocol.CallerGone, "the caller did not read its answer, and its room was needed"))
 }
 
 // writeBody writes a whole response as fast as its caller reads, and reports whether the caller
