--- a/transport/watch/confirm.go
+++ b/transport/watch/confirm.go
@@ -11,35 +11,34 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// Reading is an object as the platform held it at a time. The zero value says that
-// nobody has written it yet.
+// Reading is an object as the platform held it at a time. The zero value says that the object does
+// not exist yet.
 type Reading struct {
 	object protocol.Object
 	at     time.Time
 }
 
-// NewReading returns the reading of an object.
+// NewReading returns the reading of an object at a time.
 func NewReading(o protocol.Object, at time.Time) Reading { return Reading{object: o, at: at} }
 
-// At returns a time at which the platform held the object so, zero if it has none.
+// At returns a time at which the platform held the object in this state, zero for the zero Reading.
 func (r Reading) At() time.Time { return r.at }
 
-// Reader reads objects, from the platform or from a peer that knows how fresh its
-// knowledge is.
+// Reader reads objects from the platform, or from a peer that knows how fresh its state is.
 type Reader interface {
 	Read(ctx context.Context, kind, name string) (Reading, error)
-	// Next returns when to read again after a reading at last.
+	// Next returns when to read again after the last read.
 	Next(last time.Time, failed bool) time.Time
-	// Following reports whether watchers hear through a peer.
+	// Following reports whether watchers receive their changes from a peer.
 	Following() bool
-	// Relinked returns a channel that closes when what Next says may have changed.
+	// Relinked returns a channel that is closed when the result of Next may have changed.
 	Relinked() <-chan struct{}
 }
 
-// Confirmer reads one object again and again, when its Source says, because a watch
-// that hears nothing can't tell how fresh that is. When a read fails, and when reads succeed again,
-// the watchers beside it begin anew, unless they hear through a peer: their calls
-// may hang in what broke.
+// Confirmer reads one object again and again, at the times that its Source gives, because a watch
+// without changes can't tell how fresh its state is. When a read fails, and when reads succeed
+// again, it restarts the Watchers, since their calls may hang on a broken connection. It does not
+// restart them while they receive their changes from a peer.
 type Confirmer struct {
 	Source   Reader
 	Kind     string
@@ -47,19 +46,19 @@
 	Sink     Sink
 	Watchers []*Watcher
 
-	done   part.Done
-	woken  part.Signal
-	failed bool
+	done       part.Done
+	wakeSignal part.Signal
+	lastFailed bool
 }
 
 // Start begins to read.
 func (c *Confirmer) Start() { go c.run() }
 
-// Wake makes it read at once, because the VM was suspended: its timer stood still, and what was
-// confirmed may have lapsed.
-func (c *Confirmer) Wake() { c.woken.Tell() }
+// Wake makes the Confirmer read at once. It is for a VM that was suspended: the timer stood still,
+// and the last confirmation may have expired.
+func (c *Confirmer) Wake() { c.wakeSignal.Tell() }
 
-// Close ends it.
+// Close stops the Confirmer.
 func (c *Confirmer) Close() { c.done.Close() }
 
 func (c *Confirmer) run() {
@@ -67,13 +66,13 @@
 	defer cancel()
 	last := clock.Now()
 	for {
-		relinked, woken := c.Source.Relinked(), c.woken.Awaited()
-		t := time.NewTimer(clock.Until(c.Source.Next(last, c.failed)))
+		relinked, wake := c.Source.Relinked(), c.wakeSignal.Awaited()
+		t := time.NewTimer(clock.Until(c.Source.Next(last, c.lastFailed)))
 		select {
 		case <-t.C:
 			c.read(ctx)
 			last = clock.Now()
-		case <-woken:
+		case <-wake:
 			c.read(ctx)
 			last = clock.Now()
 		case <-relinked:
@@ -92,21 +91,21 @@
 	if c.done.Closed() {
 		return
 	}
-	before := c.failed
-	c.failed = err != nil
+	failedBefore := c.lastFailed
+	c.lastFailed = err != nil
 	if err != nil {
 		c.Sink.Failed(err, clock.Now())
 	} else if !r.at.IsZero() {
 		c.Sink.Changed(protocol.Change{Object: r.object}, clock.Now())
 		c.Sink.Confirmed(r.at)
 	}
-	if c.failed != before && !c.Source.Following() {
-		c.restart()
+	if c.lastFailed != failedBefore && !c.Source.Following() {
+		c.restartWatchers()
 	}
 }
 
-// restart makes every watcher begin anew.
-func (c *Confirmer) restart() {
+// restartWatchers restarts every watcher.
+func (c *Confirmer) restartWatchers() {
 	for _, w := range c.Watchers {
 		w.Restart()
 	}
--- a/transport/watch/watch.go
+++ b/transport/watch/watch.go
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package watch follows the objects of one kind in the platform, and reads one of them
-// again and again to know how fresh that is.
+// Package watch keeps up with the objects of one kind in the platform, and reads one of them again
+// and again to know how fresh that state is.
 //
-// A Watcher lists them, then waits for changes from there on. When the platform
-// has forgotten the changes since, or did not answer for a while, it lists anew.
-// What it learns goes to a Sink, in order, from one goroutine:
+// A Watcher lists the objects, then waits for changes from that revision on. It lists again when
+// the platform's history no longer reaches back to its revision, and when the platform did not
+// answer for a while. It passes the results to a Sink, in order, from one goroutine:
 //
 //	w := &watch.Watcher{Source: store, Kind: "config", Sink: s}
 //	w.Start()
@@ -24,37 +24,37 @@
 )
 
 const (
-	// PollTimeout is how long one call waits for a change. Each call has its price; that a
-	// connection is dead is noticed sooner, by a Confirmer.
+	// PollTimeout is how long one call waits for a change. It is not shorter because each call has
+	// a cost, and because a Confirmer detects a dead connection sooner.
 	PollTimeout = 5 * time.Second
-	// hush is how long before its end a watch may have missed a change: the
-	// platform's watches hear nothing for up to a second before it forgets.
-	hush = time.Second
-	// gatherEach is how long a watch rests after news, for each entry that watches
-	// the platform itself; gatherLeast and gatherMost bound the rest. Endpoints come
-	// and change many at a time, each of them would end a call of every such entry,
-	// and the platform's rate does not grow with entries.
-	gatherEach  = 10 * time.Millisecond
-	gatherLeast = 80 * time.Millisecond
-	gatherMost  = 500 * time.Millisecond
-	// startingFor is how long after its start a watcher rests startingRests times as
-	// long after news: a whole fleet may be starting with it.
-	startingFor   = 8 * time.Second
-	startingRests = 4
-	// pauseFirst and pauseMost bound the rest after a failed call. A Confirmer that
-	// finds the platform back ends the rest.
-	pauseFirst = 100 * time.Millisecond
-	pauseMost  = 1600 * time.Millisecond
+	// blindWindow is how long before its end a watch may have missed a change: the platform's
+	// watches may deliver nothing for up to a second before the platform drops its history.
+	blindWindow = time.Second
+	// batchDelayPerEntry is how long a watcher waits after a change before its next call, for each
+	// entry that watches the platform itself, within minBatchDelay and maxBatchDelay. Endpoints
+	// appear and change many at a time. Without the delay each change would end a call of every
+	// such entry, and the platform's rate limit does not grow with the number of entries.
+	batchDelayPerEntry = 10 * time.Millisecond
+	minBatchDelay      = 80 * time.Millisecond
+	maxBatchDelay      = 500 * time.Millisecond
+	// startPeriod is how long after its start a watcher waits startDelayFactor times as long after
+	// a change, since the whole fleet may be starting with it.
+	startPeriod      = 8 * time.Second
+	startDelayFactor = 4
+	// initialRetryDelay and maxRetryDelay bound the wait after a failed call. A Confirmer ends that
+	// wait when it can reach the platform again.
+	initialRetryDelay = 100 * time.Millisecond
+	maxRetryDelay     = 1600 * time.Millisecond
 )
 
-// Source is the platform, or what stands between it and a watcher.
+// Source is the platform, or a layer between it and a watcher.
 type Source interface {
 	List(ctx context.Context, kind string) (protocol.Listing, error)
 	Watch(ctx context.Context, kind string, after uint64, wait time.Duration) (protocol.Changes, error)
 }
 
-// Sink takes what is learned. Confirmed is a time at which what was told up to
-// now was known to be all there is.
+// Sink receives the state. Confirmed is called with a time at which the state delivered so far was
+// complete.
 type Sink interface {
 	Listed(objects []protocol.Object, now time.Time)
 	Changed(c protocol.Change, now time.Time)
@@ -62,7 +62,7 @@
 	Failed(err error, now time.Time)
 }
 
-// Watcher follows one kind. Set the exported fields before Start.
+// Watcher watches one kind. Set the exported fields before Start.
 type Watcher struct {
 	Source Source
 	Kind   string
@@ -70,42 +70,41 @@
 	// EntryCount returns how many entries call the platform alike; nil counts as one.
 	EntryCount func() int
 
-	done      part.Done
-	from      uint64 // revision to watch from, 0 before a list
-	failures  int
-	startedBy time.Time // until when a fleet may be starting
-	mutex     sync.Mutex
-	cut       context.CancelFunc // ends the call that waits
-	wake      chan struct{}      // ends a rest
+	done       part.Done
+	revision   uint64 // revision to watch from, 0 before a list
+	failures   int
+	startUntil time.Time // end of the period in which the whole fleet may be starting
+	mutex      sync.Mutex
+	cancelCall context.CancelFunc // cancels the waiting call
+	wake       chan struct{}      // ends a pause
 }
 
-// Start begins to follow.
+// Start begins to watch.
 func (w *Watcher) Start() {
-	w.startedBy = clock.Now().Add(startingFor)
+	w.startUntil = clock.Now().Add(startPeriod)
 	w.wake = make(chan struct{}, 1)
 	go w.run()
 }
 
-// Close ends it.
+// Close stops the watcher.
 func (w *Watcher) Close() { w.done.Close() }
 
 func (w *Watcher) run() {
 	ctx, cancel := w.done.Context()
 	defer cancel()
 	for !w.done.Closed() {
-		if err := w.step(ctx); err != nil {
-			w.failed(err)
+		if err := w.call(ctx); err != nil {
+			w.handleError(err)
 		}
 	}
 }
 
-// Restart makes the watcher give up a call that waits and list anew, or end its
-// rest.
+// Restart makes the watcher cancel a waiting call and list again, or end its pause.
 func (w *Watcher) Restart() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.cut != nil {
-		w.cut()
+	if w.cancelCall != nil {
+		w.cancelCall()
 	}
 	select {
 	case w.wake <- struct{}{}:
@@ -113,37 +112,37 @@
 	}
 }
 
-// step makes one call, which Restart can end.
-func (w *Watcher) step(ctx context.Context) error {
+// call makes one call, which Restart can cancel.
+func (w *Watcher) call(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	w.mutex.Lock()
-	w.cut = cancel
+	w.cancelCall = cancel
 	w.mutex.Unlock()
-	if w.from == 0 {
+	if w.revision == 0 {
 		return w.list(ctx)
 	}
 	return w.watch(ctx)
 }
 
 func (w *Watcher) list(ctx context.Context) error {
-	asked := clock.Now()
+	askedAt := clock.Now()
 	l, err := w.Source.List(ctx, w.Kind)
 	if err != nil {
 		return err
 	}
-	w.from = max(1, l.At)
+	w.revision = max(1, l.At)
 	w.failures = 0
 	w.Sink.Listed(l.Objects, clock.Now())
 	if !l.Relayed {
-		w.Sink.Confirmed(asked)
+		w.Sink.Confirmed(askedAt)
 	}
 	return nil
 }
 
 func (w *Watcher) watch(ctx context.Context) error {
-	asked := clock.Now()
-	c, err := w.Source.Watch(ctx, w.Kind, w.from, PollTimeout)
+	askedAt := clock.Now()
+	c, err := w.Source.Watch(ctx, w.Kind, w.revision, PollTimeout)
 	if err != nil {
 		return err
 	}
@@ -154,68 +153,69 @@
 	}
 	switch {
 	case c.Relayed:
-		w.from = max(w.from, c.At)
+		w.revision = max(w.revision, c.At)
 	case len(c.Changes) > 0:
-		// Only news moves the place to go on from: a watch that heard nothing
-		// may have missed something, and its old place then is found forgotten.
-		w.from = max(w.from, c.At)
-		w.Sink.Confirmed(asked)
-		w.rest(w.gather(now))
+		// Only changes advance the revision: a watch without changes may have missed
+		// one, and the next call from its old revision then fails with Compacted.
+		w.revision = max(w.revision, c.At)
+		w.Sink.Confirmed(askedAt)
+		w.pause(w.batchDelay(now))
 	default:
-		w.heardNothing(asked, now)
+		w.confirmUnchanged(askedAt, now)
 	}
 	return nil
 }
 
-// heardNothing takes an answer without news. The platform may answer before the wait is over, and
-// what it tells ends with its answer: counted by the wait, keys would be trusted for a time to come
-// (3.99 s ahead after answers at once). One that comes much sooner is not asked for again at once.
-func (w *Watcher) heardNothing(asked, now time.Time) {
-	end := asked.Add(PollTimeout)
-	if now.Before(end) {
-		w.Sink.Confirmed(now.Add(-hush))
+// confirmUnchanged handles an answer without changes. The platform may answer before the wait is
+// over, and a confirmation must not be later than the answer: computed from the full wait, it was
+// up to 3.99 s ahead, and keys would have been trusted for too long. After an answer that came much
+// too early, the watcher pauses before the next call.
+func (w *Watcher) confirmUnchanged(askedAt, now time.Time) {
+	deadline := askedAt.Add(PollTimeout)
+	if now.Before(deadline) {
+		w.Sink.Confirmed(now.Add(-blindWindow))
 	} else {
-		w.Sink.Confirmed(end.Add(-hush))
+		w.Sink.Confirmed(deadline.Add(-blindWindow))
 	}
-	if end.Sub(now) > hush {
-		w.rest(w.gather(now))
+	if deadline.Sub(now) > blindWindow {
+		w.pause(w.batchDelay(now))
 	}
 }
 
-// gather returns how long to rest after news.
-func (w *Watcher) gather(now time.Time) time.Duration {
-	rest := gatherEach
+// batchDelay returns how long to wait after a change.
+func (w *Watcher) batchDelay(now time.Time) time.Duration {
+	delay := batchDelayPerEntry
 	if w.EntryCount != nil {
-		rest *= time.Duration(w.EntryCount())
+		delay *= time.Duration(w.EntryCount())
 	}
-	if now.Before(w.startedBy) {
-		rest *= startingRests
+	if now.Before(w.startUntil) {
+		delay *= startDelayFactor
 	}
-	return min(gatherMost, max(gatherLeast, rest))
+	return min(maxBatchDelay, max(minBatchDelay, delay))
 }
 
-// failed lists anew after a call without an answer: what happened meanwhile may
-// be more than the platform remembers.
-func (w *Watcher) failed(err error) {
+// handleError makes the watcher list again after a failed call, since the history may no longer
+// hold everything that changed in the meantime.
+func (w *Watcher) handleError(err error) {
 	if w.done.Closed() {
 		return
 	}
-	var forgotten *platform.Compacted
-	w.from = 0
-	if errors.As(err, &forgotten) || errors.Is(err, context.Canceled) {
-		return // the platform answered, or the call was given up here
+	var compacted *platform.Compacted
+	w.revision = 0
+	if errors.As(err, &compacted) || errors.Is(err, context.Canceled) {
+		return // the platform answered, or the call was canceled here
 	}
 	w.Sink.Failed(err, clock.Now())
-	rest := min(pauseMost, pauseFirst<<min(w.failures, 10))
+	delay := min(maxRetryDelay, initialRetryDelay<<min(w.failures, 10))
 	w.failures++
-	w.rest(rest)
+	w.pause(delay)
 }
 
-func (w *Watcher) rest(d time.Duration) {
+func (w *Watcher) pause(d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
-	case <-w.wake: // of a time before the rest
+	case <-w.wake: // discard a signal from before the pause
 	default:
 	}
 	select {
--- a/transport/watch/watch_test.go
+++ b/transport/watch/watch_test.go
@@ -17,39 +17,39 @@
 	"pinerun.example/pinerun/transport/watch"
 )
 
-// source answers by script: each call takes the next step; after the last one
-// watches hear nothing.
+// source returns the responses of a script in turn. After the last one, watches return no changes.
 type source struct {
-	mutex sync.Mutex
-	steps []step
-	asked []uint64 // the revisions watched from, 0 for a list
+	mutex    sync.Mutex
+	script   []response
+	requests []uint64 // the revisions watched from, 0 for a list
 }
 
-type step struct {
+// response is one answer of a source, after a delay.
+type response struct {
 	list    *protocol.Listing
 	changes *protocol.Changes
 	err     error
-	after   time.Duration
+	delay   time.Duration
 }
 
-func (s *source) next(from uint64) step {
+func (s *source) next(from uint64) response {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.asked = append(s.asked, from)
-	if len(s.steps) == 0 {
+	s.requests = append(s.requests, from)
+	if len(s.script) == 0 {
 		if from == 0 {
-			return list(7)
+			return listing(7)
 		}
-		return step{after: watch.PollTimeout, changes: &protocol.Changes{At: 999}}
+		return response{delay: watch.PollTimeout, changes: &protocol.Changes{At: 999}}
 	}
-	next := s.steps[0]
-	s.steps = s.steps[1:]
+	next := s.script[0]
+	s.script = s.script[1:]
 	return next
 }
 
 func (s *source) List(_ context.Context, _ string) (protocol.Listing, error) {
 	n := s.next(0)
-	time.Sleep(n.after)
+	time.Sleep(n.delay)
 	if n.err != nil {
 		return protocol.Listing{}, n.err
 	}
@@ -59,7 +59,7 @@
 func (s *source) Watch(ctx context.Context, _ string, from uint64, _ time.Duration) (protocol.Changes, error) {
 	n := s.next(from)
 	select {
-	case <-time.After(n.after):
+	case <-time.After(n.delay):
 	case <-ctx.Done():
 		return protocol.Changes{}, ctx.Err()
 	}
@@ -69,7 +69,7 @@
 	return *n.changes, nil
 }
 
-// sink keeps what it is told.
+// sink records its calls.
 type sink struct {
 	mutex     sync.Mutex
 	listed    int
@@ -89,13 +89,15 @@
 func (s *sink) Confirmed(at time.Time)  { s.locked(func() { s.confirmed = at }) }
 func (s *sink) Failed(error, time.Time) { s.locked(func() { s.failed++ }) }
 func (s *sink) locked(f func())         { s.mutex.Lock(); defer s.mutex.Unlock(); f() }
-func news(at uint64, name string) step {
-	return step{changes: &protocol.Changes{At: at, Changes: []protocol.Change{{Object: protocol.Object{Name: name}}}}}
+
+// changed returns the answer to a watch that has one change.
+func changed(at uint64, name string) response {
+	return response{changes: &protocol.Changes{At: at, Changes: []protocol.Change{{Object: protocol.Object{Name: name}}}}}
 }
 
-// play runs a watcher over a script for a time and returns what came of it.
-func play(t *testing.T, limit time.Duration, steps ...step) (*source, *sink) {
-	src, snk := &source{steps: steps}, &sink{}
+// runWatcher runs a watcher on a script for a time and returns its source and sink.
+func runWatcher(t *testing.T, limit time.Duration, script ...response) (*source, *sink) {
+	src, snk := &source{script: script}, &sink{}
 	synctest.Test(t, func(*testing.T) {
 		w := &watch.Watcher{Source: src, Kind: "k", Sink: snk}
 		w.Start()
@@ -106,70 +108,74 @@
 	return src, snk
 }
 
-func list(at uint64) step { return step{list: &protocol.Listing{At: at}} }
+// listing returns the answer to a list at a revision.
+func listing(at uint64) response { return response{list: &protocol.Listing{At: at}} }
 
-func TestAWatchGoesOnFromItsNewsOnly(t *testing.T) {
-	src, snk := play(t, 3*watch.PollTimeout, list(7), news(9, "a"))
+func TestOnlyChangesAdvanceRevision(t *testing.T) {
+	src, snk := runWatcher(t, 3*watch.PollTimeout, listing(7), changed(9, "a"))
 	require.Equal(t, []string{"a"}, snk.changed)
-	require.Equal(t, []uint64{0, 7, 9}, src.asked[:3])
-	require.Equal(t, uint64(9), src.asked[3], "a watch that heard nothing must not move on: it may have missed something")
+	require.Equal(t, []uint64{0, 7, 9}, src.requests[:3])
+	require.Equal(t, uint64(9), src.requests[3], "a watch without changes must not advance the revision: it may have missed one")
 }
 
-func TestAForgottenHistoryIsListedAtOnce(t *testing.T) {
-	src, snk := play(t, time.Second, list(7), step{err: &platform.Compacted{}}, list(20))
-	require.Equal(t, []uint64{0, 7, 0, 20}, src.asked[:4])
+func TestDroppedHistoryIsListedAtOnce(t *testing.T) {
+	src, snk := runWatcher(t, time.Second, listing(7), response{err: &platform.Compacted{}}, listing(20))
+	require.Equal(t, []uint64{0, 7, 0, 20}, src.requests[:4])
 	require.Equal(t, 2, snk.listed)
 	require.Zero(t, snk.failed, "the platform answered")
 }
 
-func TestALostCallIsToldAndListedAnew(t *testing.T) {
-	src, snk := play(t, 3*time.Second, list(7), step{err: errors.New("reset")}, step{err: errors.New("down")}, list(8))
-	require.Equal(t, []uint64{0, 7, 0, 0, 8}, src.asked[:5])
+func TestFailedCallIsReportedAndListedAgain(t *testing.T) {
+	src, snk := runWatcher(t, 3*time.Second, listing(7), response{err: errors.New("reset")}, response{err: errors.New("down")}, listing(8))
+	require.Equal(t, []uint64{0, 7, 0, 0, 8}, src.requests[:5])
 	require.Equal(t, 2, snk.failed)
 }
 
-func TestQuietWatchesConfirmNoMoreThanTheyCanKnow(t *testing.T) {
+func TestUnchangedWatchConfirmsUpToBlindWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		src, snk := &source{steps: []step{list(7)}}, &sink{}
+		src, snk := &source{script: []response{listing(7)}}, &sink{}
 		w := &watch.Watcher{Source: src, Kind: "k", Sink: snk}
 		w.Start()
 		time.Sleep(watch.PollTimeout + time.Millisecond)
 		synctest.Wait()
 		snk.locked(func() {
-			require.Equal(t, began.Add(watch.PollTimeout-time.Second), snk.confirmed, "its last second may have been deaf")
+			require.Equal(t, began.Add(watch.PollTimeout-time.Second), snk.confirmed, "a change in the last second may have been missed")
 		})
 		w.Close()
 		synctest.Wait()
 	})
 }
 
-// TestAWatchThatEndsEarlyConfirmsNothingToCome has the platform end each watch at once, with nothing to tell.
+// TestEarlyAnswerConfirmsNoFutureTime has the platform end each watch at once without changes.
 //
-// Nobody saw it: a key that was withdrawn would have been good for up to four seconds longer at an entry whose
-// watch was answered early before the platform was lost, and the entry would have asked without a rest.
-// Evidence: the confirmation was 3.99 s ahead, with 101 calls in a second of answers after 10 ms.
-func TestAWatchThatEndsEarlyConfirmsNothingToCome(t *testing.T) {
-	early := step{changes: &protocol.Changes{}, after: 10 * time.Millisecond}
-	steps := []step{list(7)}
+// It guards against confirmations in the future. One was 3.99 s ahead, and the watcher made 101
+// calls in a second of answers after 10 ms. A withdrawn key would have stayed valid for up to four
+// seconds longer at an entry whose watch was answered early just before the platform became
+// unreachable.
+func TestEarlyAnswerConfirmsNoFutureTime(t *testing.T) {
+	early := response{changes: &protocol.Changes{}, delay: 10 * time.Millisecond}
+	script := []response{listing(7)}
 	for range 200 {
-		steps = append(steps, early)
+		script = append(script, early)
 	}
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		src, snk := &source{steps: steps}, &sink{}
+		src, snk := &source{script: script}, &sink{}
 		w := &watch.Watcher{Source: src, Kind: "k", Sink: snk}
 		w.Start()
 		time.Sleep(time.Second)
 		synctest.Wait()
-		snk.locked(func() { require.False(t, snk.confirmed.After(began), "its last second may have been deaf") })
+		snk.locked(func() {
+			require.False(t, snk.confirmed.After(began), "a change in the last second may have been missed")
+		})
 		w.Close()
 		synctest.Wait()
-		require.LessOrEqual(t, len(src.asked), 15, "it rests between two calls")
+		require.LessOrEqual(t, len(src.requests), 15, "the watcher pauses between two calls")
 	})
 }
 
-// reader answers reads by script; after the last one reads succeed.
+// reader returns the errors of a script in turn. After the last one, reads succeed.
 type reader struct {
 	mutex     sync.Mutex
 	errs      []error
@@ -185,24 +191,24 @@
 	if r.unwritten {
 		return watch.Reading{}, nil
 	}
-	good := watch.NewReading(protocol.Object{Name: "o"}, time.Now())
+	current := watch.NewReading(protocol.Object{Name: "o"}, time.Now())
 	if len(r.errs) == 0 {
-		return good, nil
+		return current, nil
 	}
 	err := r.errs[0]
 	r.errs = r.errs[1:]
-	return good, err
+	return current, err
 }
 
 func (r *reader) Next(now time.Time, _ bool) time.Time { return now.Add(time.Second) }
 func (r *reader) Following() bool                      { return r.following }
 func (r *reader) Relinked() <-chan struct{}            { return nil }
 
-// confirm runs a confirmer over a script beside a watcher whose second call hangs.
-func confirm(t *testing.T, r *reader, limit time.Duration) *sink {
+// runConfirmer runs a confirmer on a script beside a watcher whose second call hangs.
+func runConfirmer(t *testing.T, r *reader, limit time.Duration) *sink {
 	snk := &sink{}
 	synctest.Test(t, func(*testing.T) {
-		src := &source{steps: []step{list(7), {after: time.Hour}}}
+		src := &source{script: []response{listing(7), {delay: time.Hour}}}
 		w := &watch.Watcher{Source: src, Kind: "k", Sink: snk}
 		c := &watch.Confirmer{Source: r, Kind: "k", Name: "o", Sink: snk, Watchers: []*watch.Watcher{w}}
 		w.Start()
@@ -221,49 +227,49 @@
 	return snk
 }
 
-func TestAFailedReadMakesTheWatchersBeginAnew(t *testing.T) {
-	snk := confirm(t, &reader{errs: []error{nil, errors.New("silent"), errors.New("silent")}}, 4*time.Second+time.Millisecond)
-	require.GreaterOrEqual(t, snk.listed, 2, "the call that hung was given up")
+func TestFailedReadRestartsWatchers(t *testing.T) {
+	snk := runConfirmer(t, &reader{errs: []error{nil, errors.New("timeout"), errors.New("timeout")}}, 4*time.Second+time.Millisecond)
+	require.GreaterOrEqual(t, snk.listed, 2, "the hanging call was canceled")
 	require.Equal(t, 2, snk.failed)
 }
 
-func TestWatchersThatHearThroughAPeerGoOnWhenAReadFails(t *testing.T) {
-	snk := confirm(t, &reader{following: true, errs: []error{nil, errors.New("silent")}}, 4*time.Second+time.Millisecond)
+func TestFailedReadKeepsRelayedWatchersRunning(t *testing.T) {
+	snk := runConfirmer(t, &reader{following: true, errs: []error{nil, errors.New("timeout")}}, 4*time.Second+time.Millisecond)
 	require.Equal(t, 1, snk.listed)
 	require.Equal(t, 1, snk.failed)
 }
 
-func TestAnObjectThatNobodyWroteIsNoOutage(t *testing.T) {
-	snk := confirm(t, &reader{unwritten: true}, 2*time.Second+time.Millisecond)
+func TestUnwrittenObjectIsNotAFailure(t *testing.T) {
+	snk := runConfirmer(t, &reader{unwritten: true}, 2*time.Second+time.Millisecond)
 	require.Zero(t, snk.failed)
 	require.Equal(t, 1, snk.listed)
-	require.Empty(t, snk.changed, "there is no object to take")
-	require.Equal(t, snk.listedAt, snk.confirmed, "the list confirmed what there is, and no reading did")
+	require.Empty(t, snk.changed, "there is no object to deliver")
+	require.Equal(t, snk.listedAt, snk.confirmed, "only the list confirmed the state")
 }
 
-func TestWhatAPeerPassedOnProvesNothingAboutThePlatform(t *testing.T) {
-	relayed := news(9, "a")
+func TestRelayedChangesConfirmNothing(t *testing.T) {
+	relayed := changed(9, "a")
 	relayed.changes.Relayed = true
-	quiet := step{changes: &protocol.Changes{At: 11, Relayed: true}, after: watch.PollTimeout}
-	src, snk := play(t, watch.PollTimeout+time.Second, list(7), relayed, quiet)
+	unchanged := response{changes: &protocol.Changes{At: 11, Relayed: true}, delay: watch.PollTimeout}
+	src, snk := runWatcher(t, watch.PollTimeout+time.Second, listing(7), relayed, unchanged)
 	require.Equal(t, []string{"a"}, snk.changed)
-	require.Equal(t, []uint64{0, 7, 9, 11}, src.asked[:4], "a peer tells the place to go on from")
-	require.Less(t, snk.confirmed.Sub(snk.listedAt), time.Second, "confirmed by the list alone")
+	require.Equal(t, []uint64{0, 7, 9, 11}, src.requests[:4], "relayed answers advance the revision")
+	require.Less(t, snk.confirmed.Sub(snk.listedAt), time.Second, "only the list confirmed the state")
 }
 
-func TestARestEndsWhenThePlatformIsBack(t *testing.T) {
+func TestRestartEndsPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		down := step{err: errors.New("down")}
-		src, snk := &source{steps: []step{down, down, down, down, down, down, down}}, &sink{}
+		down := response{err: errors.New("down")}
+		src, snk := &source{script: []response{down, down, down, down, down, down, down}}, &sink{}
 		w := &watch.Watcher{Source: src, Kind: "k", Sink: snk}
 		w.Start()
-		time.Sleep(4 * time.Second) // it rests longer each time
+		time.Sleep(4 * time.Second) // the pause gets longer each time
 		synctest.Wait()
-		asked := len(src.asked)
+		asked := len(src.requests)
 		require.LessOrEqual(t, asked, 7)
 		w.Restart()
 		synctest.Wait()
-		require.Greater(t, len(src.asked), asked)
+		require.Greater(t, len(src.requests), asked)
 		w.Close()
 		synctest.Wait()
 	})
