--- a/transport/entry/membership.go
+++ b/transport/entry/membership.go
@@ -134,7 +134,7 @@
 	if len(f.Work) > 0 {
 		e.quarantine.receive(f.Work, from)
 	}
-	e.follower.Frame(from, f)
+	e.follower.HandleFrame(from, f)
 	e.claims.HandleFrame(from, f)
 }
 
--- a/transport/follow/follow.go
+++ b/transport/follow/follow.go
@@ -245,8 +245,8 @@
 	f.Mesh.SendHeartbeats() // tell the version without waiting for the next second
 }
 
-// Frame takes what a peer says about configurations.
-func (f *Follower) Frame(from string, x *protocol.PeerFrame) {
+// HandleFrame takes what a peer says about configurations.
+func (f *Follower) HandleFrame(from string, x *protocol.PeerFrame) {
 	if x.Change != nil {
 		f.changed(from, x.Change)
 	}
--- a/transport/follow/follow_test.go
+++ b/transport/follow/follow_test.go
@@ -37,7 +37,7 @@
 	steps    []uint64
 }
 
-func (n *node) HandleFrame(from string, f *protocol.PeerFrame) { n.follower.Frame(from, f) }
+func (n *node) HandleFrame(from string, f *protocol.PeerFrame) { n.follower.HandleFrame(from, f) }
 func (n *node) Heartbeat() protocol.PeerHeartbeat {
 	return protocol.PeerHeartbeat{Version: n.follower.Version()}
 }
