--- a/transport/follow/follow.go
+++ b/transport/follow/follow.go
@@ -1,14 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package follow keeps an entry's configuration at the highest version that the
-// platform or any peer knows.
+// Package follow keeps an entry's configuration at the highest version that the platform or any
+// peer knows.
 //
-// In each data center two entries, the relays, watch the manifest in the
-// platform; the others get changes from them. An entry that hears no relay
-// watches by itself. Heartbeats carry the version, so a lost message is made
-// good a second later.
+// In each data center two entries, the relays, watch the manifest in the platform and send changes
+// to the others. An entry that does not hear from any peer watches the platform itself. Heartbeats
+// carry the version, so the peers recover from a lost message a second later.
 //
-//	f := &follow.Follower{Platform: p, Mesh: m, Counters: &c, InForce: use}
+//	f := &follow.Follower{Platform: p, Mesh: m, Counters: &c, OnVersion: use}
 //	f.Start()
 package follow
 
@@ -30,41 +29,41 @@
 )
 
 const (
-	// pause is how long to rest after the platform did not answer, and between
-	// two looks whether a relay is heard.
-	pause = 200 * time.Millisecond
-	// relayQuiet is how long an entry goes without a word of a peer before it
-	// watches the platform by itself.
-	relayQuiet = 2500 * time.Millisecond
+	// retryDelay is how long to wait after the platform did not answer, and between two checks
+	// whether a peer was heard.
+	retryDelay = 200 * time.Millisecond
+	// relayTimeout is how long an entry waits for a message of a peer before it watches the
+	// platform itself.
+	relayTimeout = 2500 * time.Millisecond
 )
 
-// Follower follows the configuration. Set the exported fields before Start.
+// Follower keeps the configuration up to date. Set the exported fields before Start.
 type Follower struct {
 	Platform  *platform.Client
 	Mesh      *peer.Mesh
 	Counters  *metric.Set
 	Logger    *slog.Logger
-	OnVersion func(*config.Config) // called once for each version, in order
+	OnVersion func(*config.Config) // called once for each version in force, in order
 
-	done     part.Done
-	mutex    sync.Mutex // guards what follows and the order of versions
-	store    config.Store
-	previous *config.Config
-	heardAt  time.Time // when a peer last sent its version
-	version  uint64    // platform version of the manifest last seen
-	reached  bool
-	started  time.Time
-	taking   sync.Mutex        // held while a manifest's parts are read
-	fetched  map[string][]byte // parts read for a manifest that is not whole yet
+	done            part.Done
+	mutex           sync.Mutex // guards the fields below and the order of versions
+	store           config.Store
+	previous        *config.Config
+	heardAt         time.Time // when a peer last sent its version
+	manifestVersion uint64    // platform version of the last manifest
+	platformReached bool
+	startedAt       time.Time
+	applyMutex      sync.Mutex        // held while a manifest's parts are fetched
+	fetchedParts    map[string][]byte // parts of a manifest that is not complete yet
 }
 
-// Start begins to follow.
+// Start begins to watch.
 func (f *Follower) Start() {
-	f.started = time.Now()
+	f.startedAt = time.Now()
 	go f.run()
 }
 
-// Close ends it.
+// Close stops the Follower.
 func (f *Follower) Close() { f.done.Close() }
 
 // Current returns the configuration in force, or nil before the first.
@@ -82,19 +81,19 @@
 	ctx, cancel := f.done.Context()
 	defer cancel()
 	for !f.done.Closed() {
-		if !f.mustWatch(time.Now()) {
-			f.rest()
+		if !f.shouldWatch(time.Now()) {
+			f.pause()
 			continue
 		}
 		if err := f.watch(ctx); err != nil {
-			f.failed(err)
-			f.rest()
+			f.markUnreached(err)
+			f.pause()
 		}
 	}
 }
 
-func (f *Follower) rest() {
-	t := time.NewTimer(pause)
+func (f *Follower) pause() {
+	t := time.NewTimer(retryDelay)
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -102,44 +101,44 @@
 	}
 }
 
-// mustWatch reports whether this entry asks the platform itself.
-func (f *Follower) mustWatch(now time.Time) bool {
+// shouldWatch reports whether this entry watches the platform itself.
+func (f *Follower) shouldWatch(now time.Time) bool {
 	if f.Mesh.IsRelay() {
 		return true
 	}
 	f.mutex.Lock()
-	heard := f.heardAt
+	heardAt := f.heardAt
 	f.mutex.Unlock()
-	if heard.Before(f.started) {
-		heard = f.started // a new entry gives the relays time to speak
+	if heardAt.Before(f.startedAt) {
+		heardAt = f.startedAt // a new entry gives its peers time to send
 	}
-	return now.Sub(heard) > relayQuiet
+	return now.Sub(heardAt) > relayTimeout
 }
 
-// watch waits for the manifest to change and takes it.
+// watch waits for the manifest to change and applies it.
 func (f *Follower) watch(ctx context.Context) error {
-	o, err := f.Platform.Watch(ctx, protocol.ObjectManifest, protocol.ManifestName, f.version)
+	o, err := f.Platform.Watch(ctx, protocol.ObjectManifest, protocol.ManifestName, f.manifestVersion)
 	if err != nil {
 		return err
 	}
-	f.answered()
-	if o.Version == f.version {
+	f.markReached()
+	if o.Version == f.manifestVersion {
 		return nil
 	}
 	var m protocol.Manifest
 	if err := json.Unmarshal(o.Value, &m); err != nil {
-		f.version = o.Version
-		f.ignored(err)
+		f.manifestVersion = o.Version
+		f.rejectConfig(err)
 		return nil
 	}
-	if err := f.take(ctx, m); err != nil {
+	if err := f.applyManifest(ctx, m); err != nil {
 		return err
 	}
-	f.version = o.Version
+	f.manifestVersion = o.Version
 	return nil
 }
 
-// Refresh reads the manifest now, in place of waiting for the watch.
+// Refresh reads and applies the manifest now, without waiting for the watch.
 func (f *Follower) Refresh(ctx context.Context) error {
 	o, err := f.Platform.Get(ctx, protocol.ObjectManifest, protocol.ManifestName)
 	if err != nil {
@@ -149,148 +148,152 @@
 	if err := json.Unmarshal(o.Value, &m); err != nil {
 		return err
 	}
-	return f.take(ctx, m)
+	return f.applyManifest(ctx, m)
 }
 
-func (f *Follower) answered() {
-	if !f.reached {
-		f.reached = true
+// markReached logs when the platform answers for the first time or again after an outage.
+func (f *Follower) markReached() {
+	if !f.platformReached {
+		f.platformReached = true
 		event.PlatformBack.Log(f.Logger)
 	}
 }
 
-func (f *Follower) failed(err error) {
+// markUnreached logs the first failed call of an outage.
+func (f *Follower) markUnreached(err error) {
 	var missing *platform.NotFound
-	if errors.As(err, &missing) || !f.reached || f.done.Closed() {
+	if errors.As(err, &missing) || !f.platformReached || f.done.Closed() {
 		return
 	}
-	f.reached = false
+	f.platformReached = false
 	event.PlatformUnreached.Log(f.Logger, slog.Any("cause", err))
 }
 
-// take fetches the parts that are not held and puts the manifest in force. What
-// was fetched before an error is kept for the next try.
-func (f *Follower) take(ctx context.Context, m protocol.Manifest) error {
-	f.taking.Lock()
-	defer f.taking.Unlock()
-	held := f.store.Current()
-	if held != nil && m.Version <= held.Version() {
+// applyManifest fetches the missing parts and puts the manifest in force. Parts that were fetched
+// before an error are kept for the next attempt.
+func (f *Follower) applyManifest(ctx context.Context, m protocol.Manifest) error {
+	f.applyMutex.Lock()
+	defer f.applyMutex.Unlock()
+	current := f.store.Current()
+	if current != nil && m.Version <= current.Version() {
 		return nil
 	}
-	if f.fetched == nil {
-		f.fetched = map[string][]byte{}
+	if f.fetchedParts == nil {
+		f.fetchedParts = map[string][]byte{}
 	}
 	contents := make(map[string][]byte, len(m.Parts))
 	for _, ref := range m.Parts {
-		content, err := f.part(ctx, held, ref.Hash)
+		content, err := f.fetchPart(ctx, current, ref.Hash)
 		if err != nil {
 			return err
 		}
 		contents[ref.Hash] = content
 	}
-	f.fetched = nil
+	f.fetchedParts = nil
 	c, err := config.Build(m, contents)
 	if err != nil {
-		f.ignored(err)
+		f.rejectConfig(err)
 		return nil
 	}
-	f.offer(c)
+	f.activate(c)
 	return nil
 }
 
-// part returns a part from what is in force, from an earlier try, or from the
-// platform; nil if the platform has none of that name.
-func (f *Follower) part(ctx context.Context, held *config.Config, hash string) ([]byte, error) {
-	if content := held.Content(hash); content != nil {
+// fetchPart returns a part from the configuration in force, from an earlier attempt or from the
+// platform; nil if the platform has no such part.
+func (f *Follower) fetchPart(ctx context.Context, current *config.Config, hash string) ([]byte, error) {
+	if content := current.Content(hash); content != nil {
 		return content, nil
 	}
-	if content, ok := f.fetched[hash]; ok {
+	if content, ok := f.fetchedParts[hash]; ok {
 		return content, nil
 	}
-	if newer := f.store.Current(); newer != held && newer.Content(hash) != nil {
-		return newer.Content(hash), nil // a peer was faster
+	if newer := f.store.Current(); newer != current && newer.Content(hash) != nil {
+		return newer.Content(hash), nil // a peer sent it meanwhile
 	}
 	o, err := f.Platform.Get(ctx, protocol.ObjectPart, hash)
 	var missing *platform.NotFound
 	if err != nil && !errors.As(err, &missing) {
 		return nil, err
 	}
-	f.fetched[hash] = o.Value
+	f.fetchedParts[hash] = o.Value
 	return o.Value, nil
 }
 
-func (f *Follower) ignored(err error) {
+// rejectConfig counts and logs a configuration that is ignored.
+func (f *Follower) rejectConfig(err error) {
 	f.Counters.Add(metric.ConfigIgnored, 1)
 	event.ConfigIgnored.Log(f.Logger, slog.Any("cause", err))
 }
 
-// offer puts a higher version in force and passes it on.
-func (f *Follower) offer(c *config.Config) {
+// activate puts a higher version in force and passes it on.
+func (f *Follower) activate(c *config.Config) {
 	f.mutex.Lock()
-	held := f.store.Current()
+	previous := f.store.Current()
 	if !f.store.Offer(c) {
 		f.mutex.Unlock()
 		return
 	}
-	f.previous = held
+	f.previous = previous
 	f.OnVersion(c)
 	f.mutex.Unlock()
 	f.Counters.Add(metric.ConfigAccepted, 1)
 	event.ConfigInForce.Log(f.Logger, slog.Uint64("version", c.Version()))
 	if f.Mesh.IsRelay() {
-		change := c.ChangeSince(held)
+		change := c.ChangeSince(previous)
 		f.Mesh.Broadcast(protocol.PeerFrame{Change: &change})
 		return
 	}
-	f.Mesh.SendHeartbeats() // tell the version without waiting for the next second
+	f.Mesh.SendHeartbeats() // send the version without waiting for the next heartbeat
 }
 
-// HandleFrame takes what a peer says about configurations.
-func (f *Follower) HandleFrame(from string, x *protocol.PeerFrame) {
-	if x.Change != nil {
-		f.changed(from, x.Change)
+// HandleFrame handles what a peer sends about configurations.
+func (f *Follower) HandleFrame(from string, frame *protocol.PeerFrame) {
+	if frame.Change != nil {
+		f.applyChange(from, frame.Change)
 	}
-	if x.Heartbeat != nil {
-		f.compare(from, x.Heartbeat.Version, x.Want)
+	if frame.Heartbeat != nil {
+		f.compareVersions(from, frame.Heartbeat.Version, frame.Want)
 	}
 }
 
-func (f *Follower) changed(from string, change *protocol.ConfigChange) {
-	held := f.store.Current()
-	if held != nil && change.Version <= held.Version() {
+func (f *Follower) applyChange(from string, change *protocol.ConfigChange) {
+	current := f.store.Current()
+	if current != nil && change.Version <= current.Version() {
 		return
 	}
-	c, err := held.Apply(*change)
-	var whole *config.BaseMismatchError
+	c, err := current.Apply(*change)
+	var baseMismatch *config.BaseMismatchError
 	switch {
-	case errors.As(err, &whole):
-		f.want(from)
+	case errors.As(err, &baseMismatch):
+		f.requestChange(from)
 	case err != nil:
-		f.ignored(err)
+		f.rejectConfig(err)
 	default:
-		f.offer(c)
+		f.activate(c)
 	}
 }
 
-func (f *Follower) want(from string) {
-	beat := protocol.PeerHeartbeat{Version: f.Version()}
-	f.Mesh.Send(from, protocol.PeerFrame{Want: true, Heartbeat: &beat})
+// requestChange asks a peer for the changes since the version in force.
+func (f *Follower) requestChange(from string) {
+	heartbeat := protocol.PeerHeartbeat{Version: f.Version()}
+	f.Mesh.Send(from, protocol.PeerFrame{Want: true, Heartbeat: &heartbeat})
 }
 
-// compare makes up for a lost change: it asks whoever is ahead, and answers
-// whoever asks.
-func (f *Follower) compare(from string, theirs uint64, wanted bool) {
+// compareVersions recovers from a lost change: it requests the change from a peer with a higher
+// version, and sends it to a peer with a lower one that requests it.
+func (f *Follower) compareVersions(from string, peerVersion uint64, wanted bool) {
 	f.mutex.Lock()
 	f.heardAt = time.Now()
 	c, previous := f.store.Current(), f.previous
 	f.mutex.Unlock()
-	ours := f.Version()
+	ownVersion := f.Version()
 	switch {
-	case theirs > ours:
-		f.want(from)
-	case wanted && theirs < ours:
+	case peerVersion > ownVersion:
+		f.requestChange(from)
+	case wanted && peerVersion < ownVersion:
 		var base *config.Config
-		if previous != nil && previous.Version() == theirs {
+		if previous != nil && previous.Version() == peerVersion {
 			base = previous
 		}
 		change := c.ChangeSince(base)
--- a/transport/follow/follow_test.go
+++ b/transport/follow/follow_test.go
@@ -26,15 +26,15 @@
 	"pinerun.example/pinerun/transport/platform"
 )
 
-// node is an entry's configuration parts: a mesh and a follower.
+// node is the part of an entry that handles configurations: a mesh and a follower.
 type node struct {
-	mesh     peer.Mesh
-	follower follow.Follower
-	counters metric.Set
-	server   *httptest.Server
-	mutex    sync.Mutex
-	seen     map[uint64]time.Time
-	steps    []uint64
+	mesh        peer.Mesh
+	follower    follow.Follower
+	counters    metric.Set
+	server      *httptest.Server
+	mutex       sync.Mutex
+	activatedAt map[uint64]time.Time
+	versions    []uint64
 }
 
 func (n *node) HandleFrame(from string, f *protocol.PeerFrame) { n.follower.HandleFrame(from, f) }
@@ -46,31 +46,32 @@
 func (n *node) inForce(c *config.Config) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.seen[c.Version()] = time.Now()
-	n.steps = append(n.steps, c.Version())
+	n.activatedAt[c.Version()] = time.Now()
+	n.versions = append(n.versions, c.Version())
 }
 
-func (n *node) when(version uint64) (time.Time, bool) {
+// activationTime returns when a version came into force, and whether it did.
+func (n *node) activationTime(version uint64) (time.Time, bool) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	at, ok := n.seen[version]
+	at, ok := n.activatedAt[version]
 	return at, ok
 }
 
-// rose reports whether each version in force was higher than the one before.
-func (n *node) rose() bool {
+// isMonotonic reports whether the versions in force never decreased.
+func (n *node) isMonotonic() bool {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	return slices.IsSorted(n.steps)
+	return slices.IsSorted(n.versions)
 }
 
-// cluster is a platform and many nodes.
+// cluster is a platform and its nodes.
 type cluster struct {
 	platform standin.Platform
 	client   platform.Client
 	nodes    []*node
 	members  []protocol.Member
-	manifest uint64 // its version in the platform
+	manifest uint64 // platform version of the manifest
 	teams    map[string]protocol.PartRef
 	version  uint64
 }
@@ -78,16 +79,17 @@
 func newCluster(t testing.TB, teams int) *cluster {
 	c := &cluster{teams: map[string]protocol.PartRef{}}
 	require.NoError(t, c.platform.Listen("127.0.0.1:0"))
-	c.platform.Unlimited = true // writing the first parts is not what is measured
+	c.platform.Unlimited = true // writing the first parts is not part of the measurement
 	c.client.Base = "http://" + c.platform.Address()
 	for i := range teams {
 		c.putTeam(t, fmt.Sprint("team-", i), 1)
 	}
-	c.accept(t)
+	c.publish(t)
 	c.platform.Unlimited = false
 	return c
 }
 
+// putTeam writes the part of a team, for the next manifest.
 func (c *cluster) putTeam(t testing.TB, name string, share float64) {
 	team := protocol.Team{Name: name, KeyHashes: []string{protocol.HashKey(name)}, Share: share, Open: 1}
 	content, err := json.Marshal(team)
@@ -98,7 +100,8 @@
 	c.teams[name] = protocol.PartRef{Kind: protocol.TeamPart, Name: name, Hash: hash}
 }
 
-func (c *cluster) accept(t testing.TB) {
+// publish writes a manifest with the next version.
+func (c *cluster) publish(t testing.TB) {
 	c.version++
 	m := protocol.Manifest{Version: c.version}
 	for _, ref := range c.teams {
@@ -110,15 +113,15 @@
 	require.NoError(t, err)
 }
 
-// add starts a node. Nodes know each other from the start, as the platform's
-// list of entries would tell them.
-func (c *cluster) add(i, centers, loseOneIn int) *node {
-	n := &node{seen: map[uint64]time.Time{}}
+// add creates a node. All nodes know each other from the start, as they would from the platform's
+// list of entries.
+func (c *cluster) add(i, dataCenters, loseOneIn int) *node {
+	n := &node{activatedAt: map[uint64]time.Time{}}
 	routes := http.NewServeMux()
 	routes.Handle(peer.Path, &n.mesh)
 	n.server = httptest.NewServer(routes)
 	n.mesh.Self = protocol.Member{
-		Name: fmt.Sprint("entry-", i), DataCenter: fmt.Sprint("dc-", i%centers),
+		Name: fmt.Sprint("entry-", i), DataCenter: fmt.Sprint("dc-", i%dataCenters),
 		Address: n.server.Listener.Addr().String(), Incarnation: 1,
 	}
 	n.mesh.Key, n.mesh.Handler, n.mesh.Counters = "a key that all nodes share", n, &n.counters
@@ -159,9 +162,9 @@
 	}
 }
 
-// TestEveryNodeFollowsAndNoneStepsBack changes the configuration many times
-// while one message in five is lost.
-func TestEveryNodeFollowsAndNoneStepsBack(t *testing.T) {
+// TestNodesConvergeAndVersionsNeverDecrease changes the configuration many times while one message
+// in five is lost.
+func TestNodesConvergeAndVersionsNeverDecrease(t *testing.T) {
 	c := newCluster(t, 20)
 	defer c.close()
 	for i := range 15 {
@@ -170,20 +173,20 @@
 	c.start()
 	for i := range 10 {
 		c.putTeam(t, fmt.Sprint("team-", i), float64(i+2))
-		c.accept(t)
+		c.publish(t)
 	}
 	c.await(t, c.version)
 	for _, n := range c.nodes {
-		require.True(t, n.rose())
+		require.True(t, n.isMonotonic())
 		team, ok := n.follower.Current().TeamByKey("team-9")
 		require.True(t, ok)
 		require.InDelta(t, 11, team.Share, 0)
 	}
 }
 
-// TestANewNodeStartsFromPeersWhileThePlatformIsDown also checks that it does
-// not fall back when the platform returns.
-func TestANewNodeStartsFromPeersWhileThePlatformIsDown(t *testing.T) {
+// TestNewNodeStartsFromPeersInOutage starts a node during an outage of the platform. The node gets
+// the configuration from its peers, and does not return to an older version after the outage.
+func TestNewNodeStartsFromPeersInOutage(t *testing.T) {
 	c := newCluster(t, 3)
 	defer c.close()
 	c.add(0, 1, 0)
@@ -197,14 +200,14 @@
 	c.await(t, c.version)
 	c.platform.Fail(standin.Faults{})
 	c.putTeam(t, "late", 1)
-	c.accept(t)
+	c.publish(t)
 	c.await(t, c.version)
-	require.True(t, n.rose())
+	require.True(t, n.isMonotonic())
 }
 
-// TestABrokenConfigurationIsLeftAside: a manifest with a missing part, one with
-// a wrong hash and one that is no JSON must not replace what is in force.
-func TestABrokenConfigurationIsLeftAside(t *testing.T) {
+// TestInvalidConfigurationIsIgnored checks that a manifest with a missing part, one with a wrong
+// hash and one that is not JSON do not replace the configuration in force.
+func TestInvalidConfigurationIsIgnored(t *testing.T) {
 	c := newCluster(t, 2)
 	defer c.close()
 	n := c.add(0, 1, 0)
@@ -222,13 +225,12 @@
 		require.Equal(t, uint64(1), n.follower.Version())
 	}
 	c.version = 4
-	c.accept(t)
+	c.publish(t)
 	c.await(t, 5)
 }
 
-// BenchmarkSpread measures how long an accepted change takes to be in force at
-// every entry of nine data centers with 700 teams, one message in a hundred
-// lost, and what that costs.
+// BenchmarkSpread measures how long an accepted change takes to be in force at every entry of nine
+// data centers with 700 teams, with one message in a hundred lost, and what that costs.
 func BenchmarkSpread(b *testing.B) {
 	for _, entries := range []int{8, 40, 120, 380} {
 		b.Run(fmt.Sprint("entries=", entries), func(b *testing.B) {
@@ -239,16 +241,16 @@
 			}
 			c.start()
 			c.await(b, 1)
-			time.Sleep(3 * time.Second) // links settle
+			time.Sleep(3 * time.Second) // until the links are stable
 			reads, bytes := c.platform.Calls().Reads, c.peerBytes()
 			var spread []float64
 			for b.Loop() {
 				c.putTeam(b, "team-0", float64(c.version+1))
-				c.accept(b)
+				c.publish(b)
 				at := time.Now()
 				c.await(b, c.version)
 				for _, n := range c.nodes {
-					seen, _ := n.when(c.version)
+					seen, _ := n.activationTime(c.version)
 					spread = append(spread, max(0, seen.Sub(at).Seconds()*1000))
 				}
 			}
