--- a/transport/relay/server.go
+++ b/transport/relay/server.go
@@ -46,7 +46,7 @@
 	s.Source.selector.awaitStart(q.Context()) // the key that was used before a restart may become known
 	want := keyPrefix + s.Source.key()
 	if subtle.ConstantTimeCompare([]byte(q.Header.Get(keyHeader)), []byte(want)) != 1 {
-		http.Error(w, "not the key of this entry's record; read the record again", http.StatusUnauthorized)
+		http.Error(w, "not the key of this entry's record; read the record anew", http.StatusUnauthorized)
 		return
 	}
 	socket, err := websocket.Accept(w, q, nil)
