--- a/transport/front/callers.go
+++ b/transport/front/callers.go
@@ -14,34 +14,33 @@
 )
 
 const (
-	// idleSlack is how much longer than the limit a caller's connection may rest:
-	// a request that crosses the close would have to be sent again.
+	// idleSlack is added to the idle limit of a caller's connection: a request that crosses the
+	// close would have to be sent again.
 	idleSlack = 500 * time.Millisecond
-	// headerMost bounds how slowly a request's head may come, whatever the limit
-	// in force says.
-	headerMost = 30 * time.Second
-	// headerBytesMost bounds a request's head before a table is in force.
-	headerBytesMost = 64 << 10
+	// maxHeaderTimeout bounds how long a request's header may take, whatever the limit in force is.
+	maxHeaderTimeout = 30 * time.Second
+	// maxHeaderBytes bounds a request's header before a table is in force.
+	maxHeaderBytes = 64 << 10
 )
 
-// callers serves the callers' connections. How long one may rest is the limit in
-// force when it rests, so it can't be a setting of the library's server.
-type callers struct {
-	server   http.Server
-	socket   net.Listener
-	limits   func() protocol.CallerLimits
-	held     *backlog.Budget
-	most     int // connections, 0 for any number
-	counters *metric.Set
+// callerServer serves the callers' connections. The idle limit is the one in force while a
+// connection is idle, so it can't be a setting of http.Server.
+type callerServer struct {
+	server         http.Server
+	socket         net.Listener
+	limits         func() protocol.CallerLimits
+	memoryBudget   *backlog.Budget
+	maxConnections int // 0 for any number
+	counters       *metric.Set
 
-	mutex   sync.Mutex
-	open    int                    // connections
-	resting map[net.Conn]time.Time // since when, between two requests
-	silent  map[net.Conn]time.Time // since when, without a whole head so far
+	mutex          sync.Mutex
+	open           int                    // connections
+	idle           map[net.Conn]time.Time // since when, between two requests
+	awaitingHeader map[net.Conn]time.Time // since when, without a complete header
 }
 
-// listen opens the address. Connections wait until serve.
-func (c *callers) listen(address string) error {
+// listen opens the address. Connections wait until serve is called.
+func (c *callerServer) listen(address string) error {
 	socket, err := backlog.Listen(address)
 	if err != nil {
 		return err
@@ -51,94 +50,94 @@
 }
 
 // serve begins to serve callers.
-func (c *callers) serve(h http.Handler) {
-	c.resting = make(map[net.Conn]time.Time)
-	c.silent = make(map[net.Conn]time.Time)
+func (c *callerServer) serve(h http.Handler) {
+	c.idle = make(map[net.Conn]time.Time)
+	c.awaitingHeader = make(map[net.Conn]time.Time)
 	c.server = http.Server{
-		Handler: h, ReadHeaderTimeout: headerMost, MaxHeaderBytes: headerBytesMost, ConnState: c.changed,
+		Handler: h, ReadHeaderTimeout: maxHeaderTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: c.connStateChanged,
 		ConnContext: backlog.NewContext, DisableGeneralOptionsHandler: true,
 	}
 	go c.run()
 }
 
-func (c *callers) run() { _ = c.server.Serve(c.held.NewListener(c.socket)) }
+func (c *callerServer) run() { _ = c.server.Serve(c.memoryBudget.NewListener(c.socket)) }
 
-// changed follows which connections there are, and which rest.
-func (c *callers) changed(n net.Conn, s http.ConnState) {
+// connStateChanged keeps track of the open and the idle connections.
+func (c *callerServer) connStateChanged(n net.Conn, state http.ConnState) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	delete(c.resting, n)
-	delete(c.silent, n)
-	switch s {
+	delete(c.idle, n)
+	delete(c.awaitingHeader, n)
+	switch state {
 	case http.StateNew:
 		c.open++
-		c.silent[n] = time.Now()
-		c.makeRoom(n)
+		c.awaitingHeader[n] = time.Now()
+		c.closeExcess(n)
 	case http.StateIdle:
-		c.resting[n] = time.Now()
+		c.idle[n] = time.Now()
 	case http.StateClosed, http.StateHijacked:
 		c.open--
 	}
 }
 
-// makeRoom closes a connection when there are too many: the one that has been without a
-// request for longest, or the newest when all have one. The mutex is held.
-func (c *callers) makeRoom(newest net.Conn) {
-	if c.most == 0 || c.open <= c.most {
+// closeExcess closes a connection if there are too many: the one that has been without a request
+// for longest, or the newest if all have one. The mutex is held.
+func (c *callerServer) closeExcess(newest net.Conn) {
+	if c.maxConnections == 0 || c.open <= c.maxConnections {
 		return
 	}
-	first, at := newest, c.silent[newest]
-	for _, waiting := range []map[net.Conn]time.Time{c.silent, c.resting} {
-		for n, since := range waiting {
-			if since.Before(at) {
-				first, at = n, since
+	oldest, oldestSince := newest, c.awaitingHeader[newest]
+	for _, conns := range []map[net.Conn]time.Time{c.awaitingHeader, c.idle} {
+		for n, since := range conns {
+			if since.Before(oldestSince) {
+				oldest, oldestSince = n, since
 			}
 		}
 	}
-	c.end(first)
+	c.closeConn(oldest)
 }
 
-// end closes a connection that has no request open. The mutex is held.
-func (c *callers) end(n net.Conn) {
+// closeConn closes a connection that has no request open. The mutex is held.
+func (c *callerServer) closeConn(n net.Conn) {
 	_ = n.Close()
-	delete(c.resting, n)
-	delete(c.silent, n)
+	delete(c.idle, n)
+	delete(c.awaitingHeader, n)
 	c.counters.Add(metric.ConnectionsClosed, 1)
 }
 
-// sweep closes connections that have rested for longer than the limit in force, and those
-// that have not sent a whole head in time: thousands that send nothing, or a head without
-// end, would use up the connections that callers with requests need.
-func (c *callers) sweep(now time.Time) {
+// sweep closes connections that have been idle for longer than the limit in force, and those that
+// have not sent a complete header in time. Thousands of connections that send nothing, or an
+// endless header, would otherwise use up the connections that callers with requests need.
+func (c *callerServer) sweep(now time.Time) {
 	limits := c.limits()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for n, since := range c.resting {
+	for n, since := range c.idle {
 		if limits.IdleMS > 0 && now.After(limits.IdleBy(since).Add(idleSlack)) {
-			c.end(n)
+			c.closeConn(n)
 		}
 	}
-	for n, since := range c.silent {
-		if c.silentTooLong(n, &limits, since, now) {
-			c.end(n)
+	for n, since := range c.awaitingHeader {
+		if c.headerOverdue(n, &limits, since, now) {
+			c.closeConn(n)
 		}
 	}
 }
 
-// silentTooLong reports whether a connection has brought no whole head for too long. One
-// that has brought nothing at all rests, as between two requests.
-func (c *callers) silentTooLong(n net.Conn, l *protocol.CallerLimits, since, now time.Time) bool {
-	by := l.IdleBy(since)
+// headerOverdue reports whether a connection has sent no complete header for too long. A connection
+// that has sent nothing at all is idle, as between two requests.
+func (c *callerServer) headerOverdue(n net.Conn, l *protocol.CallerLimits, since, now time.Time) bool {
+	idleDeadline := l.IdleBy(since)
 	if b, ok := n.(*backlog.Conn); ok {
-		if begun := b.FirstByteAt(); !begun.IsZero() {
-			return l.HeaderMS > 0 && now.After(l.HeaderBy(begun).Add(idleSlack))
+		if headerStart := b.FirstByteAt(); !headerStart.IsZero() {
+			return l.HeaderMS > 0 && now.After(l.HeaderBy(headerStart).Add(idleSlack))
 		}
 	}
-	return l.IdleMS > 0 && now.After(by.Add(idleSlack))
+	return l.IdleMS > 0 && now.After(idleDeadline.Add(idleSlack))
 }
 
-// close ends every connection at once.
-func (c *callers) close() {
+// close closes every connection at once.
+func (c *callerServer) close() {
 	if c.socket != nil {
 		_ = c.server.Close()
 		_ = c.socket.Close()
--- a/transport/front/outside.go
+++ b/transport/front/dependencies.go
@@ -11,7 +11,7 @@
 	"pinerun.example/pinerun/transport/watch"
 )
 
-// Dependencies is everything that a front meets, behind one platform's names.
+// Dependencies is everything that a front uses of one platform.
 type Dependencies struct {
 	Objects      Objects
 	Engines      Engines
@@ -26,21 +26,23 @@
 type Objects interface {
 	watch.Source
 	director.Objects
+	// ListLately returns the objects of a kind as the platform held them some seconds ago.
 	ListLately(ctx context.Context, kind string) (protocol.Listing, error)
 	// PageLately returns the first page of ListLately that follows a name.
 	PageLately(ctx context.Context, kind, after string) (protocol.Page, error)
 	// GetLately returns an object as the platform held it some seconds ago.
 	GetLately(ctx context.Context, kind, name string) (protocol.Object, error)
+	// Delete removes an object if its version is the known one.
 	Delete(ctx context.Context, kind, name string, known uint64) error
 }
 
-// Engines is the way to model engines.
+// Engines is the client of the model engines.
 type Engines interface {
 	forward.Reporter
 	forward.PathChanger
 	director.Engines
-	// Identify asks which endpoint has an address, at the path of its service for that, and
-	// returns "" if what answers does not tell.
+	// Identify asks the process at an address for the name of its endpoint, at the health path of
+	// the service. It returns "" if the response does not name one.
 	Identify(ctx context.Context, address, path string) (string, error)
 }
 
--- a/transport/front/doc.go
+++ b/transport/front/doc.go
@@ -1,15 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package front is the whole of an entry that forwards to endpoints which answer
-// HTTP themselves.
+// Package front implements an entry that forwards requests to endpoints that answer HTTP
+// themselves.
 //
-// A Front puts the parts together: it follows the operator's routing table and
-// the endpoints' records in the platform, forwards callers' requests, takes part
-// in giving engines their layers, and answers the balancer. What the outside
-// calls things is behind the interfaces of Outside; package platform fills them
-// in:
+// A Front assembles the components of the entry. It follows the operator's routing table and the
+// endpoint records in the platform, forwards callers' requests, takes part in assigning layers to
+// engines, and answers the load balancer. Everything specific to one platform is behind the
+// interfaces of Dependencies, which package platform implements:
 //
-//	f := &front.Front{Settings: s, Outside: outside, Logger: logger}
+//	f := &front.Front{Settings: s, Dependencies: dependencies, Logger: logger}
 //	if err := f.Start(); err != nil { ... }
 //	<-terminated
 //	f.Stop(time.Now())
--- a/transport/front/endpoint_sink.go
+++ b/transport/front/endpoint_sink.go
@@ -11,14 +11,14 @@
 	"pinerun.example/pinerun/state/registry"
 )
 
-// endpointSink keeps the roster of endpoints.
+// endpointSink applies the endpoint records to the endpoint registry.
 type endpointSink struct{ front *Front }
 
-// Listed takes a whole list of endpoints.
+// Listed applies a complete list of endpoints.
 func (s *endpointSink) Listed(objects []protocol.Object, now time.Time) {
 	f := s.front
 	f.platformAnswered()
-	f.records.keepListed(objects)
+	f.records.retainListed(objects)
 	list := make([]protocol.Endpoint, 0, len(objects))
 	for _, o := range objects {
 		e, ok := s.decode(o)
@@ -26,23 +26,23 @@
 			continue
 		}
 		list = append(list, e)
-		if !f.roster.Has(e.ID) {
-			s.joined(e, o.Version)
+		if !f.endpoints.Has(e.ID) {
+			s.logJoined(e, o.Version)
 		}
 	}
-	for _, e := range f.roster.Replace(list, now) {
+	for _, e := range f.endpoints.Replace(list, now) {
 		event.EndpointGone.Log(f.Logger, slog.String("endpoint", e.ID), slog.String("reason", "not in the list"))
 	}
-	f.learned()
+	f.endStartupWaitIfReady()
 }
 
-// Changed takes one endpoint that came, changed or went.
+// Changed applies the change or removal of one endpoint record.
 func (s *endpointSink) Changed(c protocol.Change, now time.Time) {
 	f := s.front
 	if c.Gone {
-		f.records.gone(c.Object.Name)
-		f.source.Quarantine().RecordCrash(c.Object.Name, f.roster.Incarnation(c.Object.Name), now)
-		if f.roster.Remove(c.Object.Name, now) {
+		f.records.forget(c.Object.Name)
+		f.source.Quarantine().RecordCrash(c.Object.Name, f.endpoints.Incarnation(c.Object.Name), now)
+		if f.endpoints.Remove(c.Object.Name, now) {
 			event.EndpointGone.Log(f.Logger, slog.String("endpoint", c.Object.Name), slog.String("reason", "record gone"),
 				slog.Uint64("revision", c.Object.Version))
 		}
@@ -52,12 +52,12 @@
 	if !ok {
 		return
 	}
-	switch f.roster.Update(e, now) {
+	switch f.endpoints.Update(e, now) {
 	case registry.Joined:
-		s.joined(e, c.Object.Version)
+		s.logJoined(e, c.Object.Version)
 		return
 	case registry.Restarted:
-		f.restarted(e, c.Object.Version)
+		f.recordRestart(e, c.Object.Version)
 		return
 	case registry.Stale:
 		return
@@ -70,30 +70,30 @@
 		slog.Uint64("revision", c.Object.Version))
 }
 
-// joined tells of an endpoint that was unknown.
-func (s *endpointSink) joined(e protocol.Endpoint, revision uint64) {
+// logJoined logs an endpoint that was unknown.
+func (s *endpointSink) logJoined(e protocol.Endpoint, revision uint64) {
 	event.EndpointJoined.Log(s.front.Logger, slog.String("endpoint", e.ID), slog.String("service", e.Service),
 		slog.String("address", e.Address), slog.String("data_center", e.DataCenter), slog.String("accelerator", e.Accelerator),
 		slog.String("layers", e.Layers.String()), slog.Bool("leaving", e.Leaving), slog.Uint64("revision", revision))
 }
 
-// Confirmed has no use for endpoints: each record tells its own state.
+// Confirmed does nothing: each endpoint record carries its own state.
 func (s *endpointSink) Confirmed(time.Time) {}
 
 // Failed notes that the platform did not answer.
 func (s *endpointSink) Failed(err error, now time.Time) { s.front.watchFailed("endpoints", err, now) }
 
-// decode reads a record. If it is unusable, the endpoint whose record it replaced goes out
-// of use.
+// decode decodes a record. If the record is unusable, the endpoint that it described before is
+// discarded.
 func (s *endpointSink) decode(o protocol.Object) (protocol.Endpoint, bool) {
 	f := s.front
 	e, err := f.Dependencies.Decoder.Endpoint(o)
 	if err == nil {
-		f.records.sound(o)
+		f.records.clearDecodeFault(o)
 		return e, true
 	}
-	f.records.unusable(o, err)
-	if f.roster.Discard(o.Name) {
+	f.records.setDecodeFault(o, err)
+	if f.endpoints.Discard(o.Name) {
 		event.EndpointGone.Log(f.Logger, slog.String("endpoint", o.Name), slog.String("reason", "record unusable"),
 			slog.Uint64("revision", o.Version))
 	}
--- a/transport/front/fleet.go
+++ b/transport/front/fleet.go
@@ -11,23 +11,23 @@
 	"pinerun.example/pinerun/state/fleet"
 )
 
-// fleetStatus returns what this entry believes of the endpoints.
+// fleetStatus returns the state of the endpoints as this entry knows it.
 func (f *Front) fleetStatus(now time.Time) protocol.FleetStatus {
 	s := protocol.FleetStatus{Entry: f.Settings.Name, DataCenter: f.Settings.DataCenter}
 	if t := f.routing.Current(); t != nil {
 		s.Routing = t.Version()
 	}
-	view := f.roster.View()
-	for _, e := range f.roster.Endpoints() {
+	view := f.endpoints.View()
+	for _, e := range f.endpoints.Endpoints() {
 		s.Endpoints = append(s.Endpoints, f.endpointStatus(&e, view.Runner(e.ID), now))
 	}
-	for _, m := range f.roster.Unusable() {
-		e := m.Endpoint()
-		d := described(&e)
-		d.State, d.Reason = protocol.EndpointMisfit, m.Fault()
+	for _, u := range f.endpoints.Unusable() {
+		e := u.Endpoint()
+		d := statusFromRecord(&e)
+		d.State, d.Reason = protocol.EndpointMisfit, u.Fault()
 		s.Endpoints = append(s.Endpoints, d)
 	}
-	for _, n := range f.roster.SupersededRecords() {
+	for _, n := range f.endpoints.SupersededRecords() {
 		s.Endpoints = append(s.Endpoints, protocol.EndpointStatus{
 			ID: n.Endpoint(), Address: n.Address(), Occupant: n.Owner(), State: protocol.EndpointSuperseded,
 		})
@@ -37,17 +37,17 @@
 	return s
 }
 
-// described returns the status of an endpoint as its record describes it.
-func described(e *protocol.Endpoint) protocol.EndpointStatus {
+// statusFromRecord returns the status of an endpoint as its record describes it.
+func statusFromRecord(e *protocol.Endpoint) protocol.EndpointStatus {
 	return protocol.EndpointStatus{
 		ID: e.ID, Service: e.Service, DataCenter: e.DataCenter, Address: e.Address, Accelerator: e.Accelerator,
 		From: e.Layers.From, To: e.Layers.To, StartedMS: int64(e.Incarnation), State: protocol.EndpointServes,
 	}
 }
 
-// endpointStatus describes an endpoint, with what was measured of it if it can serve.
+// endpointStatus returns the status of an endpoint, with the measured load if it can serve.
 func (f *Front) endpointStatus(e *protocol.Endpoint, r *fleet.Runner, now time.Time) protocol.EndpointStatus {
-	s := described(e)
+	s := statusFromRecord(e)
 	if span, ok := f.director.OrderedLayers(e.ID, now); ok {
 		s.OrderedFrom, s.OrderedTo = span.From, span.To
 	}
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -29,17 +29,17 @@
 )
 
 const (
-	// shareKept is the part of the retry share that an entry uses itself, since
-	// the platform counts requests where they were sent, not where they came in.
-	shareKept = 0.95
-	// ownKind is the kind of the product's own objects in the platform that every entry
-	// follows: leases, and the work that is refused. One kind costs one watch.
-	ownKind = "pinerun-leases"
-	// sweepEvery is how often records that vanished are looked through.
-	sweepEvery = 250 * time.Millisecond
-	// judgeEvery is how often records are judged by the table in force, for which everything
-	// that follows from the endpoints' changes is worked out.
-	judgeEvery = time.Second
+	// ownRetryShare is the fraction of the configured retry share that an entry uses itself. The
+	// platform counts requests where they were sent, not where they came in.
+	ownRetryShare = 0.95
+	// coordinationKind is the kind of the coordination objects in the platform that every entry
+	// follows: leases and refusals of work. They share one kind so that they need one watch.
+	coordinationKind = "pinerun-leases"
+	// sweepInterval is how often the records of endpoints that vanished are checked.
+	sweepInterval = 250 * time.Millisecond
+	// recordCheckInterval is how often records are checked against the table in force. A check
+	// needs the view that is derived from the changes of the endpoints.
+	recordCheckInterval = time.Second
 )
 
 // Front is one entry. Set the exported fields before Start.
@@ -49,30 +49,30 @@
 	Counters     *metric.Set
 	Logger       *slog.Logger
 
-	done      part.Done
-	routing   routing.Store
-	roster    registry.Registry
-	records   records
-	forwarder forward.Forwarder
-	director  director.Director
-	source    relay.Source
-	watchers  []*watch.Watcher
-	confirmer watch.Confirmer
-	register  register
-	refusals  refusals
-	callers   callers
-	held      backlog.Budget
-	ready     listener
-	metrics   listener
-	peers     listener
-	stopping  atomic.Bool
-	reached   atomic.Bool // the platform answered last
+	done              part.Done
+	routing           routing.Store
+	endpoints         registry.Registry
+	records           recordFaults
+	forwarder         forward.Forwarder
+	director          director.Director
+	source            relay.Source
+	watchers          []*watch.Watcher
+	confirmer         watch.Confirmer
+	registration      registration
+	refusals          refusals
+	callers           callerServer
+	memoryBudget      backlog.Budget
+	readiness         auxServer
+	metrics           auxServer
+	peers             auxServer
+	stopping          atomic.Bool
+	platformReachable atomic.Bool // whether the last call to the platform was answered
 }
 
-// Start begins to serve.
+// Start opens the addresses and begins to serve.
 func (f *Front) Start() error {
 	f.assemble()
-	f.forwarder.Start() // before the first caller: from now on requests wait for the entry to open
+	f.forwarder.Start() // before the first caller, so that requests wait until the entry is ready
 	if err := f.listen(); err != nil {
 		f.forwarder.Close()
 		f.closeAddresses()
@@ -81,7 +81,7 @@
 	f.director.Start()
 	f.watch()
 	f.serve()
-	go f.register.run()
+	go f.registration.run()
 	go f.refusals.run()
 	go f.run()
 	s := &f.Settings
@@ -90,50 +90,50 @@
 	return nil
 }
 
-// assemble puts the parts together that are started later. What one learns goes to the others at
-// once, so all know their front before the first starts.
+// assemble connects the components, which are started later. A component passes on at once what it
+// learns, so each of them needs its Front set before the first one starts.
 func (f *Front) assemble() {
 	s := &f.Settings
-	f.register.front, f.refusals.front = f, f
-	home := fleet.Entry{Name: s.Name, DataCenter: s.DataCenter}
-	f.roster.Entry = home
-	f.roster.DataCenters = s.DataCenters
-	f.records = records{counters: f.Counters, logger: f.Logger}
-	f.held.Counters, f.held.Logger = f.Counters, f.Logger
-	f.held.SetLimit(s.HeldBytes())
+	f.registration.front, f.refusals.front = f, f
+	local := fleet.Entry{Name: s.Name, DataCenter: s.DataCenter}
+	f.endpoints.Entry = local
+	f.endpoints.DataCenters = s.DataCenters
+	f.records = recordFaults{counters: f.Counters, logger: f.Logger}
+	f.memoryBudget.Counters, f.memoryBudget.Logger = f.Counters, f.Logger
+	f.memoryBudget.SetLimit(s.HeldBytes())
 	f.forwarder = forward.Forwarder{
-		Entry: home, Routing: &f.routing, Registry: &f.roster, Headers: f.Dependencies.Headers, Reporter: f.Dependencies.Engines,
+		Entry: local, Routing: &f.routing, Registry: &f.endpoints, Headers: f.Dependencies.Headers, Reporter: f.Dependencies.Engines,
 		Counters: f.Counters, Logger: f.Logger,
-		KeysTrustedUntil: s.KeyTrust, ReportFailure: f.source.ReportLoss, ReportAddressOwner: f.source.ReportOwner, MemoryBudget: &f.held, ReportSlowdown: f.source.ReportSlowness,
-		Quarantine: f.source.Quarantine(), OnResume: f.woke,
+		KeysTrustedUntil: s.KeyTrust, ReportFailure: f.source.ReportLoss, ReportAddressOwner: f.source.ReportOwner, MemoryBudget: &f.memoryBudget, ReportSlowdown: f.source.ReportSlowness,
+		Quarantine: f.source.Quarantine(), OnResume: f.handleResume,
 	}
 	if s.ChangePaths {
 		f.forwarder.PathChanger = f.Dependencies.Engines
 	}
-	f.forwarder.InitRetryBudget(forward.RetryBudget{Share: s.RetryShare * shareKept, Slack: s.RetrySlack, WindowEnd: s.RetryWindow}, census.DefaultCount, clock.Now())
+	f.forwarder.InitRetryBudget(forward.RetryBudget{Share: s.RetryShare * ownRetryShare, Slack: s.RetrySlack, WindowEnd: s.RetryWindow}, census.DefaultCount, clock.Now())
 	f.director = director.Director{
-		Self: s.Name, LeaseKind: ownKind, Routing: &f.routing, Registry: &f.roster, Engines: f.Dependencies.Engines,
-		Objects: f.Dependencies.Objects, EntryCount: f.watching, Following: f.source.Following, HasFollowers: f.source.Followed, Counters: f.Counters, Logger: f.Logger,
-		OnMisdirected: f.misdirected,
+		Self: s.Name, LeaseKind: coordinationKind, Routing: &f.routing, Registry: &f.endpoints, Engines: f.Dependencies.Engines,
+		Objects: f.Dependencies.Objects, EntryCount: f.watcherCount, Following: f.source.Following, HasFollowers: f.source.Followed, Counters: f.Counters, Logger: f.Logger,
+		OnMisdirected: f.handleMisdirected,
 	}
 	f.source = relay.Source{
 		Platform: f.Dependencies.Objects,
 		Self:     protocol.EntryRecord{Name: s.Name, DataCenter: s.DataCenter, MemoryMB: s.MemoryMB},
-		Kinds:    []string{f.Dependencies.RoutingKind, f.Dependencies.EndpointKind, entryKind, ownKind}, ConfirmedKind: f.Dependencies.RoutingKind, ConfirmedName: f.Dependencies.RoutingName,
-		Counters: f.Counters, Logger: f.Logger, OnPlatformFailure: f.roster.MarkOutage,
-		EndpointCount: f.roster.Count, OnLossChange: f.judged, Incarnation: f.roster.Incarnation, OnSlownessChange: f.paced,
+		Kinds:    []string{f.Dependencies.RoutingKind, f.Dependencies.EndpointKind, entryKind, coordinationKind}, ConfirmedKind: f.Dependencies.RoutingKind, ConfirmedName: f.Dependencies.RoutingName,
+		Counters: f.Counters, Logger: f.Logger, OnPlatformFailure: f.endpoints.MarkOutage,
+		EndpointCount: f.endpoints.Count, OnLossChange: f.applyLossChange, Incarnation: f.endpoints.Incarnation, OnSlownessChange: f.applySlownessChange,
 	}
 }
 
-// judged takes what a report of an endpoint changes.
-func (f *Front) judged(r loss.Report, v loss.Change) {
+// applyLossChange applies what a loss report changes.
+func (f *Front) applyLossChange(r loss.Report, v loss.Change) {
 	if f.forwarder.ApplyFailureReport(r, v) {
 		f.director.Wake()
 	}
 }
 
-// paced takes what a report of an endpoint's pace changes.
-func (f *Front) paced(r slow.Report, v slow.Change) {
+// applySlownessChange applies what a slowness report changes.
+func (f *Front) applySlownessChange(r slow.Report, v slow.Change) {
 	if f.forwarder.ApplySlownessReport(r, v) {
 		f.director.Wake()
 	}
@@ -143,9 +143,9 @@
 func (f *Front) watch() {
 	tables := &routingSink{front: f}
 	f.watchers = []*watch.Watcher{
-		{Source: &f.source, Kind: f.Dependencies.RoutingKind, Sink: tables, EntryCount: f.watching},
-		{Source: &f.source, Kind: f.Dependencies.EndpointKind, Sink: &endpointSink{front: f}, EntryCount: f.watching},
-		{Source: &f.source, Kind: ownKind, Sink: &ownSink{front: f}, EntryCount: f.watching},
+		{Source: &f.source, Kind: f.Dependencies.RoutingKind, Sink: tables, EntryCount: f.watcherCount},
+		{Source: &f.source, Kind: f.Dependencies.EndpointKind, Sink: &endpointSink{front: f}, EntryCount: f.watcherCount},
+		{Source: &f.source, Kind: coordinationKind, Sink: &coordinationSink{front: f}, EntryCount: f.watcherCount},
 	}
 	f.confirmer = watch.Confirmer{
 		Source: &f.source, Kind: f.Dependencies.RoutingKind, Name: f.Dependencies.RoutingName,
@@ -158,28 +158,30 @@
 	f.confirmer.Start()
 }
 
-// watching returns how many entries watch the platform, or what they were told, as this
-// one does: the one that all others follow, the first of each data center, or all.
-func (f *Front) watching() int {
-	switch n := f.register.centers.Load(); {
+// watcherCount returns how many entries watch the platform, or a peer's copy of it, in the same way
+// as this entry. That is 1 for the entry that all others follow, the number of data centers for an
+// entry that follows another and is followed, and the number of all entries otherwise.
+func (f *Front) watcherCount() int {
+	switch dataCenters := f.registration.dataCenters.Load(); {
 	case !f.source.Followed():
 		return f.forwarder.EntryCount()
 	case !f.source.Following():
 		return 1
 	default:
-		return max(1, int(n))
+		return max(1, int(dataCenters))
 	}
 }
 
-// listen opens the addresses for callers, the balancer, metrics and peers, and writes down which
-// they are. Nobody is served there yet: an entry that comes back at its old addresses is asked by
-// peers at once, and one that was served before was compared with the empty key.
+// listen opens the addresses for callers, the load balancer, metrics and peers, and stores the
+// actual addresses in the settings. It serves no connection yet: peers connect at once to an entry
+// that restarts at its old addresses, and a peer that was served too early was compared with the
+// empty key.
 func (f *Front) listen() error {
 	l := &f.Settings.Listen
 	if err := f.callers.listen(l.Callers); err != nil {
 		return err
 	}
-	if err := f.ready.open(l.Readiness); err != nil {
+	if err := f.readiness.open(l.Readiness); err != nil {
 		return err
 	}
 	if err := f.metrics.open(l.Metrics); err != nil {
@@ -188,16 +190,17 @@
 	if err := f.listenToPeers(); err != nil {
 		return err
 	}
-	// Port 0 asks for any free one; who started the front reads here which it is.
+	// Port 0 selects any free port. The caller that started the front reads here which one it is.
 	l.Callers = f.callers.socket.Addr().String()
-	l.Readiness = f.ready.socket.Addr().String()
+	l.Readiness = f.readiness.socket.Addr().String()
 	l.Metrics = f.metrics.socket.Addr().String()
 	f.source.Self.Callers = l.Callers
 	return nil
 }
 
-// listenToPeers opens the address for peers, if the settings name one. The key that
-// they have to show is drawn unless the platform has one of an earlier life.
+// listenToPeers opens the address for peers, if the settings name one, and generates the key that
+// peers have to present. A key that the platform holds from an earlier incarnation of this entry
+// replaces it.
 func (f *Front) listenToPeers() error {
 	l := &f.Settings.Listen
 	if l.Peers == "" {
@@ -215,21 +218,21 @@
 // serve begins to serve at all addresses.
 func (f *Front) serve() {
 	f.callers.limits = f.callerLimits
-	f.callers.held = &f.held
-	f.callers.most = f.Settings.Connections()
+	f.callers.memoryBudget = &f.memoryBudget
+	f.callers.maxConnections = f.Settings.Connections()
 	f.callers.counters = f.Counters
 	f.callers.serve(&f.forwarder)
-	f.ready.serve(f.readinessHandler())
+	f.readiness.serve(f.readinessHandler())
 	f.metrics.serve(f.metricsHandler())
 	mux := http.NewServeMux()
 	mux.Handle(relay.Path, &relay.Server{Source: &f.source})
 	f.peers.serve(mux)
 }
 
-// closeAddresses ends every connection and gives the addresses back.
+// closeAddresses closes every connection and releases the addresses.
 func (f *Front) closeAddresses() {
 	f.callers.close()
-	f.ready.close()
+	f.readiness.close()
 	f.metrics.close()
 	f.peers.close()
 }
@@ -243,20 +246,20 @@
 }
 
 func (f *Front) run() {
-	t := time.NewTicker(sweepEvery)
-	defer t.Stop()
-	judges := time.NewTicker(judgeEvery)
-	defer judges.Stop()
+	sweeps := time.NewTicker(sweepInterval)
+	defer sweeps.Stop()
+	checks := time.NewTicker(recordCheckInterval)
+	defer checks.Stop()
 	for {
 		select {
-		case <-judges.C:
-			f.records.judge(&f.roster)
-		case <-t.C:
+		case <-checks.C:
+			f.records.checkAgainstTable(&f.endpoints)
+		case <-sweeps.C:
 			now := clock.Now()
-			for _, e := range f.roster.Sweep(now) {
+			for _, e := range f.endpoints.Sweep(now) {
 				event.EndpointGone.Log(f.Logger, slog.String("endpoint", e.ID), slog.String("reason", "did not come back after the platform did"))
 			}
-			f.lookAtRecords(now)
+			f.checkRecords(now)
 			f.callers.sweep(time.Now())
 		case <-f.done.Done():
 			return
@@ -264,47 +267,48 @@
 	}
 }
 
-// isReady reports whether new callers should come here: everything is known, the
-// entry does not stop, has room for what it holds, and keys can still be confirmed.
-// Where most entries have no room left, the balancer uses all of them, as before.
+// isReady reports whether new callers should connect to this entry: it has a table and the list of
+// endpoints, it is not stopping, its memory budget has capacity left, and keys can still be
+// confirmed. If most entries have no capacity left, the load balancer uses all of them.
 func (f *Front) isReady(now time.Time) bool {
-	return !f.stopping.Load() && !f.held.NearLimit() && f.routing.Current() != nil && f.roster.HasList() &&
+	return !f.stopping.Load() && !f.memoryBudget.NearLimit() && f.routing.Current() != nil && f.endpoints.HasList() &&
 		now.Before(f.Settings.KeyTrust(f.routing.ConfirmedAt()))
 }
 
-// learned notes that a table, endpoints, refusals or a confirmation of the keys came: with all of them,
-// requests are served. Without the refusals work that ends endpoints ran at an entry that had
-// just started. A table comes some ms before its confirmation; 535 callers of 83 entries
-// that were started at once were refused in between, since their keys could not be confirmed
-// (logs of 54 s).
-func (f *Front) learned() {
+// endStartupWaitIfReady lets requests be served once the table, the endpoints, the refusals and the
+// confirmation of the keys are there. Without the refusals, an entry that had just started ran work
+// that crashes endpoints. A table arrives some milliseconds before its confirmation: in between,
+// 535 callers of 83 entries that started at once were refused because their keys could not be
+// confirmed (logs of 54 s).
+func (f *Front) endStartupWaitIfReady() {
 	t := f.routing.Current()
-	if t == nil || !f.roster.HasList() || !f.refusals.areRead() || t.RequiresKey() && f.routing.ConfirmedAt().IsZero() {
+	if t == nil || !f.endpoints.HasList() || !f.refusals.areLoaded() || t.RequiresKey() && f.routing.ConfirmedAt().IsZero() {
 		return
 	}
 	f.forwarder.EndStartupWait()
 }
 
-// watchFailed notes that the platform did not answer a watcher or a confirmer. Endpoints'
-// records lapse meanwhile, whatever was asked for, and the watch of endpoints may rest for
-// longer than those are believed in afterwards.
+// watchFailed notes that the platform did not answer a watcher or a confirmer, whichever kind it
+// asked for. Endpoint records lapse meanwhile, and the watch of endpoints may pause for longer than
+// the records count afterwards.
 func (f *Front) watchFailed(what string, err error, now time.Time) {
-	f.roster.MarkOutage(now)
+	f.endpoints.MarkOutage(now)
 	f.platformFailed(what, err)
 }
 
-// platformFailed tells once that the platform does not answer.
+// platformFailed counts a failed call to the platform and logs the first one of an outage. It also
+// ends the startup wait, because what is needed to serve may not arrive soon.
 func (f *Front) platformFailed(what string, err error) {
 	f.Counters.Add(metric.PlatformFaults, 1)
-	f.forwarder.EndStartupWait() // what is needed to serve may not come soon
-	if f.reached.Swap(false) {
+	f.forwarder.EndStartupWait()
+	if f.platformReachable.Swap(false) {
 		event.PlatformUnreached.Log(f.Logger, slog.String("for", what), slog.String("cause", err.Error()))
 	}
 }
 
-// platformAnswered tells once that the platform answers again.
+// platformAnswered logs the end of an outage of the platform.
 func (f *Front) platformAnswered() {
-	if !f.reached.Swap(true) {
+	if !f.platformReachable.Swap(true) {
 		event.PlatformBack.Log(f.Logger)
 	}
 }
--- a/transport/front/gauges.go
+++ b/transport/front/gauges.go
@@ -11,88 +11,88 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// place is the endpoints of one service in one data center.
-type place struct {
+// groupKey identifies the endpoints of one service in one data center.
+type groupKey struct {
 	service, dataCenter string
 }
 
-// standing is how those endpoints stand.
-type standing struct {
-	place  place
-	states []stateCount
-	open   int64   // layer passes of this entry's requests under way there
-	filled float64 // sum of the parts of room that are taken where new work goes
-	serve  int     // endpoints that new work goes to
+// endpointGroup holds the totals of those endpoints.
+type endpointGroup struct {
+	key            groupKey
+	states         []stateCount
+	open           int64   // layer passes of this entry's requests under way there
+	utilizationSum float64 // summed over the endpoints that new work goes to
+	serving        int     // number of endpoints that new work goes to
 }
 
-// stateCount is how many endpoints are in a state.
+// stateCount is the number of endpoints in a state.
 type stateCount struct {
 	state protocol.EndpointState
-	n     int
+	count int
 }
 
-// standings sums a status up, in order of service and data center.
-func standings(s *protocol.FleetStatus) []standing {
-	var all []standing
+// groupEndpoints sums up a status by service and data center, in that order.
+func groupEndpoints(s *protocol.FleetStatus) []endpointGroup {
+	var all []endpointGroup
 	for i := range s.Endpoints {
 		e := &s.Endpoints[i]
-		p := place{service: e.Service, dataCenter: e.DataCenter}
-		at := slices.IndexFunc(all, func(d standing) bool { return d.place == p })
+		key := groupKey{service: e.Service, dataCenter: e.DataCenter}
+		at := slices.IndexFunc(all, func(g endpointGroup) bool { return g.key == key })
 		if at < 0 {
 			at = len(all)
-			all = append(all, standing{place: p})
+			all = append(all, endpointGroup{key: key})
 		}
 		all[at].add(e)
 	}
-	slices.SortFunc(all, func(a, b standing) int {
-		return cmp.Or(cmp.Compare(a.place.service, b.place.service), cmp.Compare(a.place.dataCenter, b.place.dataCenter))
+	slices.SortFunc(all, func(a, b endpointGroup) int {
+		return cmp.Or(cmp.Compare(a.key.service, b.key.service), cmp.Compare(a.key.dataCenter, b.key.dataCenter))
 	})
 	return all
 }
 
-func (d *standing) add(e *protocol.EndpointStatus) {
-	at := slices.IndexFunc(d.states, func(c stateCount) bool { return c.state == e.State })
+func (g *endpointGroup) add(e *protocol.EndpointStatus) {
+	at := slices.IndexFunc(g.states, func(c stateCount) bool { return c.state == e.State })
 	if at < 0 {
-		at = len(d.states)
-		d.states = append(d.states, stateCount{state: e.State})
+		at = len(g.states)
+		g.states = append(g.states, stateCount{state: e.State})
 	}
-	d.states[at].n++
-	d.open += e.Open
+	g.states[at].count++
+	g.open += e.Open
 	if e.State == protocol.EndpointServes || e.State == protocol.EndpointSlow {
-		d.serve++
-		d.filled += e.Fill
+		g.serving++
+		g.utilizationSum += e.Fill
 	}
 }
 
-// writeGauges writes how things stand now as lines that common scrapers read.
+// writeGauges writes the current state in the text format of Prometheus.
 func writeGauges(w io.Writer, s protocol.FleetStatus) error {
-	g := gauges{to: w}
-	for _, d := range standings(&s) {
-		labels := fmt.Sprintf("service=%q,data_center=%q", d.place.service, d.place.dataCenter)
-		for _, c := range d.states {
-			g.write("endpoints", fmt.Sprintf("%s,state=%q", labels, c.state), float64(c.n))
+	gauges := gaugeWriter{out: w}
+	for _, group := range groupEndpoints(&s) {
+		labels := fmt.Sprintf("service=%q,data_center=%q", group.key.service, group.key.dataCenter)
+		for _, c := range group.states {
+			gauges.write("endpoints", fmt.Sprintf("%s,state=%q", labels, c.state), float64(c.count))
 		}
-		g.write("open_passes", labels, float64(d.open))
-		if d.serve > 0 {
-			g.write("room_taken", labels, d.filled/float64(d.serve))
+		gauges.write("open_passes", labels, float64(group.open))
+		if group.serving > 0 {
+			gauges.write("room_taken", labels, group.utilizationSum/float64(group.serving))
 		}
 	}
-	for _, a := range s.Waiting {
-		labels := fmt.Sprintf("service=%q,priority=\"%d\",team=%q", a.Service, a.Priority, a.Team)
-		g.write("waiting", labels, float64(a.Requests))
-		g.write("waiting_oldest_seconds", labels, float64(a.OldestMS)/1000)
+	for _, queue := range s.Waiting {
+		labels := fmt.Sprintf("service=%q,priority=\"%d\",team=%q", queue.Service, queue.Priority, queue.Team)
+		gauges.write("waiting", labels, float64(queue.Requests))
+		gauges.write("waiting_oldest_seconds", labels, float64(queue.OldestMS)/1000)
 	}
-	return g.failed
+	return gauges.err
 }
 
-// gauges writes lines until one fails.
-type gauges struct {
-	to     io.Writer
-	failed error
+// gaugeWriter writes lines until a write fails.
+type gaugeWriter struct {
+	out io.Writer
+	err error
 }
 
-func (g *gauges) write(name, labels string, value float64) {
-	if g.failed == nil {
-		_, g.failed = fmt.Fprintf(g.to, "pinerun_%s{%s} %g\n", name, labels, value)
+func (g *gaugeWriter) write(name, labels string, value float64) {
+	if g.err == nil {
+		_, g.err = fmt.Fprintf(g.out, "pinerun_%s{%s} %g\n", name, labels, value)
 	}
 }
--- a/transport/front/gauges_test.go
+++ b/transport/front/gauges_test.go
@@ -11,7 +11,9 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-func TestHowThingsStandIsWrittenByDataCenterAndTeam(t *testing.T) {
+// TestGaugesAreGroupedByDataCenterAndTeam checks the text of all gauges for endpoints of two data
+// centers and one queue.
+func TestGaugesAreGroupedByDataCenterAndTeam(t *testing.T) {
 	s := protocol.FleetStatus{
 		Endpoints: []protocol.EndpointStatus{
 			{Service: "llm", DataCenter: "b", State: protocol.EndpointServes, Fill: 0.25, Open: 8},
--- a/transport/front/side.go
+++ b/transport/front/handlers.go
@@ -10,7 +10,7 @@
 	"pinerun.example/pinerun/internal/clock"
 )
 
-// readinessHandler answers the balancer.
+// readinessHandler answers the load balancer.
 func (f *Front) readinessHandler() http.Handler {
 	e := echo.New()
 	e.GET("/ready", func(c echo.Context) error {
@@ -22,8 +22,8 @@
 	return e
 }
 
-// metricsHandler serves the counters, the latencies and how things stand as text, and what is believed of the
-// endpoints as JSON.
+// metricsHandler serves the counters, latencies and gauges as text, and the state of the endpoints
+// as JSON.
 func (f *Front) metricsHandler() http.Handler {
 	e := echo.New()
 	e.GET("/metrics", func(c echo.Context) error {
--- a/transport/front/refusals.go
+++ b/transport/front/refusals.go
@@ -22,193 +22,196 @@
 )
 
 const (
-	// refusedPrefix begins the names of refusals in the platform; the fingerprint follows.
+	// refusedPrefix begins the names of refusals in the platform; the fingerprint of the work
+	// follows.
 	refusedPrefix = "refused-"
-	// refusalsLook is how often refusals are looked for while any work is suspected. A request that
-	// ends endpoints comes again after a second or two.
-	refusalsLook = 50 * time.Millisecond
-	// keepSpread is over how long for each entry the writes of a refusal are spread: all learn
-	// of it at once, and one has to write it.
-	keepSpread = 50 * time.Millisecond
-	// keepAgain is when to try a write again that the platform did not answer, at the soonest.
-	keepAgain = time.Second
-	// keepLimit bounds one call.
-	keepLimit = 2 * time.Second
-	// refusalsMost bounds the refusals in the platform that are known here, some 500 bytes
-	// each. Work beyond it is still refused as long as an entry lives that knows of it.
-	refusalsMost = 1024
+	// refusalsPollInterval is how often refusals are processed while any work is suspected. A
+	// request that crashes endpoints comes again after a second or two.
+	refusalsPollInterval = 50 * time.Millisecond
+	// writeSpread is the time, multiplied by the number of entries, over which the writes of a
+	// refusal are spread: all entries learn of it at once, and one has to write it.
+	writeSpread = 50 * time.Millisecond
+	// writeRetryDelay is the least delay before a write is retried that the platform did not
+	// answer.
+	writeRetryDelay = time.Second
+	// refusalCallTimeout bounds one call.
+	refusalCallTimeout = 2 * time.Second
+	// maxRefusals bounds the refusals in the platform that this entry keeps, some 500 bytes each.
+	// Work beyond it is refused only as long as an entry runs that detected it.
+	maxRefusals = 1024
 )
 
-// refusals keeps the work that is refused in the platform, so that it outlasts all entries, and
-// learns what others keep there. An operator who removes one lets the work run again.
+// refusals stores the work that is refused in the platform, so that a refusal outlasts all entries,
+// and applies what other entries store there. An operator who removes a refusal lets the work run
+// again.
 type refusals struct {
 	front *Front
 
-	done    part.Done
-	learned part.Signal // told when the platform has told of a refusal
-	mutex   sync.Mutex
-	read    bool // the platform's list came, so that work that is refused is known
-	kept    map[protocol.Fingerprint]keptRefusal
-	write   map[protocol.Fingerprint]*keeping
+	done     part.Done
+	received part.Signal // signaled when the platform has reported a refusal
+	mutex    sync.Mutex
+	loaded   bool // the platform's list was applied
+	stored   map[protocol.Fingerprint]storedRefusal
+	pending  map[protocol.Fingerprint]*pendingWrite
 }
 
-// keptRefusal is a refusal as the platform holds it.
-type keptRefusal struct {
-	version uint64
-	counted bool // it had evidence and had not lapsed
+// storedRefusal is a refusal as the platform holds it.
+type storedRefusal struct {
+	version   uint64
+	wasActive bool // it had evidence and had not lapsed when it was applied
 }
 
-// keeping is a refusal that has to be written.
-type keeping struct {
+// pendingWrite is a refusal that has to be written.
+type pendingWrite struct {
 	refusal quarantine.Refusal
-	at      time.Time
+	writeAt time.Time
 }
 
 func (r *refusals) run() {
 	q := r.front.source.Quarantine()
-	t := time.NewTicker(refusalsLook)
+	t := time.NewTicker(refusalsPollInterval)
 	defer t.Stop()
 	for {
-		met, learned := q.Changed(), r.learned.Awaited()
+		changed, received := q.Changed(), r.received.Awaited()
 		ticks := t.C
-		if q.Empty() && !r.any() {
-			ticks = nil // there is nothing to look for
+		if q.Empty() && !r.hasWork() {
+			ticks = nil // there is nothing to process
 		} else {
-			r.look(clock.Now())
+			r.process(clock.Now())
 		}
 		select {
 		case <-ticks:
-		case <-met:
-		case <-learned:
+		case <-changed:
+		case <-received:
 		case <-r.done.Done():
 			return
 		}
 	}
 }
 
-// look tells of work that is refused from now on, and writes and removes what is due.
-func (r *refusals) look(now time.Time) {
+// process applies new refusals of work, and writes and removes what is due.
+func (r *refusals) process(now time.Time) {
 	q := r.front.source.Quarantine()
-	newly := q.NewRefusals(now, time.Now())
-	for i := range newly {
-		r.front.forwarder.ApplyRefusal(&newly[i])
-		r.plan(newly[i], now)
+	refusals := q.NewRefusals(now, time.Now())
+	for i := range refusals {
+		r.front.forwarder.ApplyRefusal(&refusals[i])
+		r.scheduleWrite(refusals[i], now)
 	}
-	for _, k := range r.due(now) {
-		r.keep(k)
+	for _, w := range r.dueWrites(now) {
+		r.writeRefusal(w)
 	}
 	if !r.front.source.Following() {
-		r.tidy()
+		r.removeOneInactive()
 	}
 }
 
-// any reports whether there is anything to write or to remove.
-func (r *refusals) any() bool {
+// hasWork reports whether there may be anything to write or to remove.
+func (r *refusals) hasWork() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return len(r.kept)+len(r.write) > 0
+	return len(r.stored)+len(r.pending) > 0
 }
 
-// plan sets when to write a refusal, unless another entry has by then.
-func (r *refusals) plan(n quarantine.Refusal, now time.Time) {
-	spread := r.spread()
+// scheduleWrite sets when to write a refusal, unless another entry has written it by then.
+func (r *refusals) scheduleWrite(refusal quarantine.Refusal, now time.Time) {
+	spread := r.spreadOverEntries()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.write == nil {
-		r.write = make(map[protocol.Fingerprint]*keeping)
+	if r.pending == nil {
+		r.pending = make(map[protocol.Fingerprint]*pendingWrite)
 	}
-	r.write[n.Work()] = &keeping{refusal: n, at: now.Add(rand.N(spread))}
+	r.pending[refusal.Work()] = &pendingWrite{refusal: refusal, writeAt: now.Add(rand.N(spread))}
 }
 
-// spread returns over how long all entries spread what one of them has to do.
-func (r *refusals) spread() time.Duration {
-	return keepSpread * time.Duration(r.front.forwarder.EntryCount())
+// spreadOverEntries returns the time over which all entries spread what one of them has to do.
+func (r *refusals) spreadOverEntries() time.Duration {
+	return writeSpread * time.Duration(r.front.forwarder.EntryCount())
 }
 
-// due returns what has to be written now.
-func (r *refusals) due(now time.Time) []*keeping {
+// dueWrites returns the writes that are due.
+func (r *refusals) dueWrites(now time.Time) []*pendingWrite {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var all []*keeping
-	for _, k := range r.write {
-		if !now.Before(k.at) {
-			all = append(all, k)
+	var all []*pendingWrite
+	for _, w := range r.pending {
+		if !now.Before(w.writeAt) {
+			all = append(all, w)
 		}
 	}
 	return all
 }
 
-// keep writes a refusal.
-func (r *refusals) keep(k *keeping) {
-	work := k.refusal.Work()
-	left := clock.Until(k.refusal.Until())
-	value, err := json.Marshal(protocol.RefusedWork{Crashes: k.refusal.Crashes(), UntilMS: time.Now().Add(left).UnixMilli()})
+// writeRefusal writes a refusal to the platform.
+func (r *refusals) writeRefusal(w *pendingWrite) {
+	work := w.refusal.Work()
+	remaining := clock.Until(w.refusal.Until())
+	value, err := json.Marshal(protocol.RefusedWork{Crashes: w.refusal.Crashes(), UntilMS: time.Now().Add(remaining).UnixMilli()})
 	if err != nil {
 		event.RefusalIgnored.Log(r.front.Logger, slog.String("fingerprint", work.String()), slog.String("cause", err.Error()))
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), keepLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), refusalCallTimeout)
 	defer cancel()
-	_, err = r.front.Dependencies.Objects.Put(ctx, ownKind, refusedPrefix+work.String(), r.version(work), value)
-	var raced *platform.Conflict
+	_, err = r.front.Dependencies.Objects.Put(ctx, coordinationKind, refusedPrefix+work.String(), r.storedVersion(work), value)
+	var conflict *platform.Conflict
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if err == nil || errors.As(err, &raced) {
-		delete(r.write, work) // written, by this entry or another one; the watch tells
+	if err == nil || errors.As(err, &conflict) {
+		delete(r.pending, work) // this or another entry wrote it; the watch reports it
 		return
 	}
 	r.front.platformFailed("refusals", err)
-	k.at = clock.Now().Add(keepAgain + rand.N(r.spread()))
+	w.writeAt = clock.Now().Add(writeRetryDelay + rand.N(r.spreadOverEntries()))
 }
 
-func (r *refusals) version(work protocol.Fingerprint) uint64 {
+func (r *refusals) storedVersion(work protocol.Fingerprint) uint64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.kept[work].version
+	return r.stored[work].version
 }
 
-// listed takes all refusals that the platform holds. What is not among them any more was
-// removed.
-func (r *refusals) listed(objects []protocol.Object, now time.Time) {
-	there := make(map[protocol.Fingerprint]bool)
+// applyList applies the list of all refusals in the platform. A known refusal that the list lacks
+// was removed.
+func (r *refusals) applyList(objects []protocol.Object, now time.Time) {
+	listed := make(map[protocol.Fingerprint]bool)
 	for _, o := range objects {
-		if work, ok := refusedWork(o.Name); ok {
-			there[work] = true
-			r.take(work, o, now)
+		if work, ok := workFromName(o.Name); ok {
+			listed[work] = true
+			r.applyRefusal(work, o, now)
 		}
 	}
-	for _, work := range r.known() {
-		if !there[work] {
-			r.removed(work, now)
+	for _, work := range r.storedWork() {
+		if !listed[work] {
+			r.applyRemoval(work, now)
 		}
 	}
 	r.mutex.Lock()
-	r.read = true
+	r.loaded = true
 	r.mutex.Unlock()
-	r.front.learned()
+	r.front.endStartupWaitIfReady()
 }
 
-// areRead reports whether the platform's refusals are known here.
-func (r *refusals) areRead() bool {
+// areLoaded reports whether the platform's list of refusals was applied.
+func (r *refusals) areLoaded() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.read
+	return r.loaded
 }
 
-// changed takes a refusal that came, changed or went.
-func (r *refusals) changed(c protocol.Change, now time.Time) {
-	work, ok := refusedWork(c.Object.Name)
+// applyChange applies a refusal that was added, changed or removed.
+func (r *refusals) applyChange(c protocol.Change, now time.Time) {
+	work, ok := workFromName(c.Object.Name)
 	switch {
 	case !ok:
 	case c.Gone:
-		r.removed(work, now)
+		r.applyRemoval(work, now)
 	default:
-		r.take(work, c.Object, now)
+		r.applyRefusal(work, c.Object, now)
 	}
 }
 
-// refusedWork returns the work that an object's name speaks of.
-func refusedWork(name string) (protocol.Fingerprint, bool) {
+// workFromName returns the work that the name of an object refers to.
+func workFromName(name string) (protocol.Fingerprint, bool) {
 	text, ok := strings.CutPrefix(name, refusedPrefix)
 	if !ok {
 		return protocol.Fingerprint{}, false
@@ -216,8 +219,8 @@
 	return protocol.ParseFingerprint(text)
 }
 
-// take takes a refusal from the platform. It may be of any writer.
-func (r *refusals) take(work protocol.Fingerprint, o protocol.Object, now time.Time) {
+// applyRefusal applies a refusal from the platform. Any writer may have written it.
+func (r *refusals) applyRefusal(work protocol.Fingerprint, o protocol.Object, now time.Time) {
 	var refused protocol.RefusedWork
 	err := json.Unmarshal(o.Value, &refused)
 	if err != nil {
@@ -226,72 +229,74 @@
 		return
 	}
 	r.mutex.Lock()
-	if r.kept == nil {
-		r.kept = make(map[protocol.Fingerprint]keptRefusal)
+	if r.stored == nil {
+		r.stored = make(map[protocol.Fingerprint]storedRefusal)
 	}
-	if _, there := r.kept[work]; !there && len(r.kept) >= refusalsMost {
+	if _, known := r.stored[work]; !known && len(r.stored) >= maxRefusals {
 		r.mutex.Unlock()
 		return
 	}
-	counts := r.front.source.Quarantine().RestoreRefusal(work, &refused, now, time.Now())
-	r.kept[work] = keptRefusal{version: o.Version, counted: counts || r.kept[work].counted}
-	delete(r.write, work)
+	active := r.front.source.Quarantine().RestoreRefusal(work, &refused, now, time.Now())
+	r.stored[work] = storedRefusal{version: o.Version, wasActive: active || r.stored[work].wasActive}
+	delete(r.pending, work)
 	r.mutex.Unlock()
-	r.learned.Tell()
-	if counts {
+	r.received.Tell()
+	if active {
 		r.front.forwarder.RecheckRefusals()
 	}
 }
 
-// removed takes it that an operator released some work, or an entry what had lapsed.
-func (r *refusals) removed(work protocol.Fingerprint, now time.Time) {
+// applyRemoval applies that an operator released some work, or that an entry removed a lapsed
+// refusal.
+func (r *refusals) applyRemoval(work protocol.Fingerprint, now time.Time) {
 	r.mutex.Lock()
-	delete(r.kept, work)
-	delete(r.write, work)
+	delete(r.stored, work)
+	delete(r.pending, work)
 	r.mutex.Unlock()
 	if r.front.source.Quarantine().Release(work, now) {
 		event.WorkReleased.Log(r.front.Logger, slog.String("fingerprint", work.String()))
 	}
 }
 
-// known returns the work whose refusals the platform is known to hold.
-func (r *refusals) known() []protocol.Fingerprint {
+// storedWork returns the work whose refusals the platform is known to hold.
+func (r *refusals) storedWork() []protocol.Fingerprint {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	var all []protocol.Fingerprint
-	for work := range r.kept {
+	for work := range r.stored {
 		all = append(all, work)
 	}
 	return all
 }
 
-// tidy removes a refusal that counts no more, because the work ran well since or nobody tried it
-// for long after it lapsed. Only an entry that follows no other does, and one at each look: each
-// is a call.
-func (r *refusals) tidy() {
+// removeOneInactive removes one refusal that is no longer active, because the work has run well
+// since or was not tried for long after the refusal lapsed. Only an entry that follows no other
+// does so, and for one refusal at a time, since each removal is a call.
+func (r *refusals) removeOneInactive() {
 	r.mutex.Lock()
-	counts := r.front.source.Quarantine().StoredRefusals() // asked before, it lacked a refusal that came meanwhile
-	var old protocol.Fingerprint
-	for work, k := range r.kept {
-		if k.counted && !slices.Contains(counts, work) {
-			old = work
+	// Reading the active refusals before taking the mutex missed a refusal that arrived in between.
+	active := r.front.source.Quarantine().StoredRefusals()
+	var inactive protocol.Fingerprint
+	for work, refusal := range r.stored {
+		if refusal.wasActive && !slices.Contains(active, work) {
+			inactive = work
 		}
 	}
-	version := r.kept[old].version
+	version := r.stored[inactive].version
 	r.mutex.Unlock()
-	if !old.IsZero() {
-		r.remove(old, version)
+	if !inactive.IsZero() {
+		r.deleteRefusal(inactive, version)
 	}
 }
 
-func (r *refusals) remove(work protocol.Fingerprint, version uint64) {
-	ctx, cancel := context.WithTimeout(context.Background(), keepLimit)
+func (r *refusals) deleteRefusal(work protocol.Fingerprint, version uint64) {
+	ctx, cancel := context.WithTimeout(context.Background(), refusalCallTimeout)
 	defer cancel()
-	err := r.front.Dependencies.Objects.Delete(ctx, ownKind, refusedPrefix+work.String(), version)
+	err := r.front.Dependencies.Objects.Delete(ctx, coordinationKind, refusedPrefix+work.String(), version)
 	if err != nil {
 		r.front.platformFailed("refusals", err)
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	delete(r.kept, work) // if it is still there, the next list tells
+	delete(r.stored, work) // if the platform still holds it, the next list reports it
 }
--- /dev/null
+++ b/transport/front/registration.go
@@ -0,0 +1,202 @@
+// SPDX-License-Identifier: Apache-2.0
+
+package front
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"log/slog"
+	"sync/atomic"
+	"time"
+
+	"pinerun.example/pinerun/coordination/census"
+	"pinerun.example/pinerun/coordination/relay"
+	"pinerun.example/pinerun/internal/event"
+	"pinerun.example/pinerun/internal/part"
+	"pinerun.example/pinerun/protocol"
+	"pinerun.example/pinerun/transport/platform"
+)
+
+const (
+	// entryKind is the kind of the records that entries keep of themselves.
+	entryKind = "pinerun-entries"
+	// registrationTimeout bounds the calls of one step.
+	registrationTimeout = 5 * time.Second
+	// registrationRetryDelay is the delay after a failed call, and the longest delay between two
+	// reads at startup: a whole fleet may start during an outage.
+	registrationRetryDelay = 2 * time.Second
+	// sharedReadInterval is how often an entry that others follow reads the records for all of
+	// them, and how often an entry that follows a peer checks what the peer reported.
+	sharedReadInterval = 2 * time.Second
+)
+
+// registration keeps this entry's record and counts the records of all entries. Of the entries that
+// follow one another, one reads the records and reports them to the others.
+type registration struct {
+	front *Front
+
+	done        part.Done
+	census      census.Counter
+	version     uint64 // of the own record, 0 if unknown
+	heartbeat   uint64
+	renewAt     time.Time
+	reads       int // at startup
+	failures    int // consecutive failed reads at startup
+	search      peerSearch
+	seedEntries seedEntries
+	started     bool // startup is over: the own record was seen, or a peer reports all records
+	nextRead    time.Time
+	revision    uint64 // of the records that were counted last
+	entryCount  int
+	dataCenters atomic.Int64 // number of data centers that have entries
+}
+
+func (r *registration) run() {
+	for !r.done.Closed() {
+		next := r.step(time.Now())
+		// A peer that the entry begins to follow reports what startup reads.
+		var relinked <-chan struct{}
+		if !r.started {
+			relinked = r.front.source.Relinked()
+		}
+		t := time.NewTimer(time.Until(next))
+		select {
+		case <-t.C:
+		case <-relinked:
+		case <-r.done.Done():
+		}
+		t.Stop()
+	}
+}
+
+// step does what is due, and returns when to run the next step.
+func (r *registration) step(now time.Time) time.Time {
+	ctx, cancel := context.WithTimeout(context.Background(), registrationTimeout)
+	defer cancel()
+	if !r.started {
+		return r.start(ctx, now)
+	}
+	if !now.Before(r.renewAt) {
+		if err := r.renew(ctx); err != nil {
+			return now.Add(registrationRetryDelay)
+		}
+	}
+	if !now.Before(r.nextRead) {
+		r.nextRead = r.readAll(ctx, now)
+	}
+	return earlier(r.nextRead, r.renewAt)
+}
+
+func earlier(a, b time.Time) time.Time {
+	if a.Before(b) {
+		return a
+	}
+	return b
+}
+
+// readAll reads all records, or takes those that a peer reported, and returns when to read again.
+func (r *registration) readAll(ctx context.Context, now time.Time) time.Time {
+	source := &r.front.source
+	if source.Following() {
+		if revision := source.Revision(entryKind); revision != r.revision {
+			list, _ := source.Objects(entryKind)
+			r.applyList(ctx, list)
+		}
+		r.updateCount(now)
+		return now.Add(sharedReadInterval)
+	}
+	list, err := r.front.Dependencies.Objects.ListLately(ctx, entryKind)
+	if err != nil {
+		r.front.platformFailed("entries", err)
+		return now.Add(registrationRetryDelay)
+	}
+	source.ApplyList(entryKind, list)
+	r.applyList(ctx, list)
+	if source.Followed() {
+		return now.Add(sharedReadInterval)
+	}
+	return now.Add(census.ReadInterval)
+}
+
+// applyList applies a list of all records: it counts them and reports their entries. Unless a peer
+// does so, it also removes the records that are no longer renewed.
+func (r *registration) applyList(ctx context.Context, list protocol.Listing) {
+	now := time.Now()
+	r.revision = list.At
+	r.census.Observe(list.Objects, now)
+	r.updateCount(now)
+	records := r.learnEntries(list.Objects, true)
+	if r.front.source.Following() {
+		return
+	}
+	r.writeSeedEntries(ctx, relay.SeedEntries(records))
+	for _, old := range r.census.Stale(now) {
+		if err := r.front.Dependencies.Objects.Delete(ctx, entryKind, old.Name(), old.Version()); err != nil {
+			r.front.platformFailed("entries", err)
+		}
+	}
+}
+
+// updateCount sets the number of entries that share the limits.
+func (r *registration) updateCount(now time.Time) {
+	n := r.census.Count(now)
+	if n == r.entryCount {
+		return
+	}
+	r.entryCount = n
+	r.front.forwarder.SetEntryCount(n)
+	event.EntriesCounted.Log(r.front.Logger, slog.Int("entries", n), slog.Uint64("revision", r.revision))
+}
+
+// learnEntries reports to the source which entries it can follow, counts their data centers, and
+// returns their records.
+func (r *registration) learnEntries(objects []protocol.Object, all bool) []protocol.EntryRecord {
+	records := make([]protocol.EntryRecord, 0, len(objects))
+	dataCenters := make(map[string]bool)
+	for _, o := range objects {
+		record, err := decodeRecord(o)
+		if err != nil {
+			event.EntryIgnored.Log(r.front.Logger, slog.String("peer", o.Name), slog.String("cause", err.Error()))
+			continue
+		}
+		records = append(records, record)
+		dataCenters[record.DataCenter] = true
+	}
+	r.dataCenters.Store(int64(len(dataCenters)))
+	r.front.source.Learn(records, all)
+	return records
+}
+
+// decodeRecord returns the record of an entry.
+func decodeRecord(o protocol.Object) (protocol.EntryRecord, error) {
+	record := protocol.EntryRecord{Name: o.Name}
+	err := json.Unmarshal(o.Value, &record)
+	return record, err
+}
+
+// renew writes the own record, and sets when to do so again. A write whose response was lost may or
+// may not have taken effect; the next write detects that by the version and overwrites it.
+func (r *registration) renew(ctx context.Context) error {
+	f := r.front
+	r.heartbeat++
+	record := f.source.Record()
+	record.Heartbeat = r.heartbeat
+	value, err := json.Marshal(record)
+	if err != nil {
+		return err
+	}
+	version, err := f.Dependencies.Objects.Put(ctx, entryKind, f.Settings.Name, r.version, value)
+	var conflict *platform.Conflict
+	if errors.As(err, &conflict) {
+		r.version = conflict.Held()
+		version, err = f.Dependencies.Objects.Put(ctx, entryKind, f.Settings.Name, r.version, value)
+	}
+	if err != nil {
+		f.platformFailed("entries", err)
+		return err
+	}
+	r.version = version
+	r.renewAt = time.Now().Add(census.RenewInterval)
+	return nil
+}
--- a/transport/front/register_test.go
+++ b/transport/front/registration_test.go
@@ -18,28 +18,28 @@
 	"pinerun.example/pinerun/transport/platform"
 )
 
-// lateStore is a store whose calls may take effect after their answer was given up.
+// lateStore is a store whose calls may take effect after the caller gave up on them.
 type lateStore struct {
-	objects  map[string]protocol.Object
-	revision uint64
-	lag      bool     // calls are not answered and take effect when they land
-	late     []func() // in the order in which they were made
-	firsts   protocol.Object
+	objects     map[string]protocol.Object
+	revision    uint64
+	delayed     bool     // calls are not answered and take effect in applyLate
+	late        []func() // in the order in which the calls were made
+	seedEntries protocol.Object
 }
 
 func newLateStore() *lateStore { return &lateStore{objects: make(map[string]protocol.Object)} }
 
-// call makes a change under a condition, or puts it off.
+// call makes a conditional change, or delays it.
 func (s *lateStore) call(change func() error) error {
-	if s.lag {
+	if s.delayed {
 		s.late = append(s.late, func() { _ = change() })
 		return platform.NewUncertain(errors.New("no answer"))
 	}
 	return change()
 }
 
-// land lets every late change take effect, the last made first if so asked.
-func (s *lateStore) land(lastFirst bool) {
+// applyLate applies every delayed change, in reverse order if lastFirst is set.
+func (s *lateStore) applyLate(lastFirst bool) {
 	late := s.late
 	s.late = nil
 	if lastFirst {
@@ -51,9 +51,9 @@
 }
 
 func (s *lateStore) Put(_ context.Context, kind, name string, known uint64, value []byte) (uint64, error) {
-	if kind == firstsKind {
-		s.firsts = protocol.Object{Kind: kind, Name: name, Version: s.firsts.Version + 1, Value: value}
-		return s.firsts.Version, nil
+	if kind == seedEntriesKind {
+		s.seedEntries = protocol.Object{Kind: kind, Name: name, Version: s.seedEntries.Version + 1, Value: value}
+		return s.seedEntries.Version, nil
 	}
 	var revision uint64
 	err := s.call(func() error {
@@ -98,8 +98,8 @@
 }
 
 func (s *lateStore) Get(_ context.Context, kind, name string) (protocol.Object, error) {
-	if kind == firstsKind && s.firsts.Version > 0 {
-		return s.firsts, nil
+	if kind == seedEntriesKind && s.seedEntries.Version > 0 {
+		return s.seedEntries, nil
 	}
 	if o, ok := s.objects[name]; ok {
 		return o, nil
@@ -115,8 +115,8 @@
 	return protocol.Changes{}, nil
 }
 
-// beatOf returns the beat of an entry's record, 0 if there is none.
-func (s *lateStore) beatOf(t *testing.T, name string) uint64 {
+// heartbeatOf returns the heartbeat of an entry's record, 0 if there is none.
+func (s *lateStore) heartbeatOf(t *testing.T, name string) uint64 {
 	var r protocol.EntryRecord
 	if o, ok := s.objects[name]; ok {
 		require.NoError(t, json.Unmarshal(o.Value, &r))
@@ -124,103 +124,103 @@
 	return r.Heartbeat
 }
 
-func newRegister(store *lateStore, name string) *register {
+func newRegistration(store *lateStore, name string) *registration {
 	f := &Front{Settings: settings.Front{Name: name}, Dependencies: Dependencies{Objects: store}, Counters: &metric.Set{}}
 	f.source.Self = protocol.EntryRecord{Name: name, DataCenter: "a"}
 	f.source.Platform = store
-	return &register{front: f}
+	return &registration{front: f}
 }
 
-// TestALateWriteOfTheOwnRecordUndoesNoLaterOne lets the first and later writes of an
-// entry's record take effect after others of it, in either order.
-func TestALateWriteOfTheOwnRecordUndoesNoLaterOne(t *testing.T) {
+// TestLateRecordWriteDoesNotUndoLaterOne delays the first and later writes of an entry's record so
+// that they take effect after other writes of it, in either order.
+func TestLateRecordWriteDoesNotUndoLaterOne(t *testing.T) {
 	for _, lastFirst := range []bool{false, true} {
-		for _, written := range []int{0, 1} {
+		for _, writes := range []int{0, 1} {
 			store := newLateStore()
-			r := newRegister(store, "me")
-			for range written {
+			r := newRegistration(store, "me")
+			for range writes {
 				require.NoError(t, r.renew(t.Context()))
 			}
-			store.lag = true
+			store.delayed = true
 			require.Error(t, r.renew(t.Context()))
 			require.Error(t, r.renew(t.Context()))
-			store.lag = false
+			store.delayed = false
 			require.NoError(t, r.renew(t.Context()))
-			last := store.beatOf(t, "me")
-			require.EqualValues(t, written+3, last)
-			store.land(lastFirst)
-			require.Equal(t, last, store.beatOf(t, "me"))
+			last := store.heartbeatOf(t, "me")
+			require.EqualValues(t, writes+3, last)
+			store.applyLate(lastFirst)
+			require.Equal(t, last, store.heartbeatOf(t, "me"))
 			require.NoError(t, r.renew(t.Context()))
-			require.Equal(t, last+1, store.beatOf(t, "me"))
+			require.Equal(t, last+1, store.heartbeatOf(t, "me"))
 		}
 	}
 }
 
-// TestAWriteThatLandsBetweenTwoIsWrittenOver lets a write take effect before the next one.
-func TestAWriteThatLandsBetweenTwoIsWrittenOver(t *testing.T) {
+// TestRenewalOverwritesLateWrite lets a delayed write take effect before the next one.
+func TestRenewalOverwritesLateWrite(t *testing.T) {
 	store := newLateStore()
-	r := newRegister(store, "me")
-	store.lag = true
+	r := newRegistration(store, "me")
+	store.delayed = true
 	require.Error(t, r.renew(t.Context()))
-	store.lag = false
-	store.land(false)
+	store.delayed = false
+	store.applyLate(false)
 	require.NoError(t, r.renew(t.Context()))
-	require.EqualValues(t, 2, store.beatOf(t, "me"))
+	require.EqualValues(t, 2, store.heartbeatOf(t, "me"))
 }
 
-// TestALateRemovalSparesARecordThatWasRenewed lets an entry remove a record that it has
-// seen unchanged for long. The removal takes effect after the owner was heard of again.
-func TestALateRemovalSparesARecordThatWasRenewed(t *testing.T) {
+// TestLateRemovalKeepsRenewedRecord has an entry remove a record that it has seen unchanged for
+// long. The removal takes effect after the owner of the record has renewed it.
+func TestLateRemovalKeepsRenewedRecord(t *testing.T) {
 	store := newLateStore()
-	owner := newRegister(store, "owner")
+	owner := newRegistration(store, "owner")
 	require.NoError(t, owner.renew(t.Context()))
 	require.NoError(t, owner.renew(t.Context()))
-	other := newRegister(store, "other")
+	other := newRegistration(store, "other")
 	list, err := store.List(t.Context(), entryKind)
 	require.NoError(t, err)
 	long := time.Now().Add(-time.Hour)
 	other.census.Observe(list.Objects, long)
-	store.lag = true
-	other.take(t.Context(), list)
+	store.delayed = true
+	other.applyList(t.Context(), list)
 	require.Len(t, store.late, 1)
-	store.lag = false
+	store.delayed = false
 	require.NoError(t, owner.renew(t.Context()))
-	store.land(false)
-	require.EqualValues(t, 3, store.beatOf(t, "owner"))
+	store.applyLate(false)
+	require.EqualValues(t, 3, store.heartbeatOf(t, "owner"))
 }
 
-// TestALateRegistrationAfterARemovalIsWrittenAnew lets a record be removed while a write
-// of it is under way: the condition fails, and the next renewal creates it.
-func TestALateRegistrationAfterARemovalIsWrittenAnew(t *testing.T) {
+// TestRenewalRecreatesRemovedRecord removes a record while a write of it is under way: the
+// condition of the write fails, and the next renewal creates the record again.
+func TestRenewalRecreatesRemovedRecord(t *testing.T) {
 	store := newLateStore()
-	r := newRegister(store, "me")
+	r := newRegistration(store, "me")
 	require.NoError(t, r.renew(t.Context()))
-	store.lag = true
+	store.delayed = true
 	require.Error(t, r.renew(t.Context()))
-	store.lag = false
+	store.delayed = false
 	require.NoError(t, store.Delete(t.Context(), entryKind, "me", store.objects["me"].Version))
-	store.land(false)
-	require.Empty(t, store.objects, "a renewal brings no record back that was removed")
+	store.applyLate(false)
+	require.Empty(t, store.objects, "a late renewal must not bring back a removed record")
 	require.NoError(t, r.renew(t.Context()))
-	require.EqualValues(t, 3, store.beatOf(t, "me"))
+	require.EqualValues(t, 3, store.heartbeatOf(t, "me"))
 }
 
-// TestRecordsOfEntriesOfAnotherFormTakeNoOtherWithThem has another writer leave things
-// among the entries' records, and in place of the own one.
-func TestRecordsOfEntriesOfAnotherFormTakeNoOtherWithThem(t *testing.T) {
+// TestMalformedEntryRecordsDoNotAffectOthers has another writer leave malformed values among the
+// entries' records, and in place of the own record.
+func TestMalformedEntryRecordsDoNotAffectOthers(t *testing.T) {
 	store := newLateStore()
-	require.NoError(t, newRegister(store, "sound").renew(t.Context()))
+	require.NoError(t, newRegistration(store, "sound").renew(t.Context()))
 	for name, value := range map[string]string{"foreign": `"x"`, "typed": `{"beat":"seven"}`, "me": "\xff"} {
 		_, err := store.Put(t.Context(), entryKind, name, 0, []byte(value))
 		require.NoError(t, err)
 	}
-	r := newRegister(store, "me")
+	r := newRegistration(store, "me")
 	now := time.Now()
-	for range firstLooks {
-		now = r.begin(t.Context(), now)
+	for range maxStartupReads {
+		now = r.start(t.Context(), now)
 	}
-	require.True(t, r.settled)
-	require.NotZero(t, store.beatOf(t, "me"), "the own record is written anew")
-	require.EqualValues(t, 1, r.centers.Load())
-	require.Equal(t, 4, r.census.Count(time.Now()), "what can't be read counts: the share of the bound errs on the small side")
+	require.True(t, r.started)
+	require.NotZero(t, store.heartbeatOf(t, "me"), "the own record is written again")
+	require.EqualValues(t, 1, r.dataCenters.Load())
+	require.Equal(t, 4, r.census.Count(time.Now()), "unreadable records count too, so that each entry's share of the limits is rather too small")
 }
--- a/transport/front/search.go
+++ b/transport/front/search.go
@@ -9,26 +9,27 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// peersEnough is how many entries to follow end a search: one or two may be gone.
-const peersEnough = 3
+// enoughPeers is how many entries that can be followed end a search: one or two may be gone.
+const enoughPeers = 3
 
-// search reads the entries' records page by page, from that of its own entry on and round, as
-// far as it takes to find peers: a fleet that starts at once, each entry reading all records, would
-// read the square of their number over the platform's link.
-type search struct {
-	objects []protocol.Object
-	at      uint64 // the least revision of the pages
-	after   string // the name that the next page follows
-	begun   bool
-	round   bool // the pages went on from the first name
+// peerSearch reads the entries' records page by page, beginning with that of its own entry and
+// continuing from the first name after the last one, until it has found peers. If each entry of a
+// fleet that starts at once read all records, the traffic over the platform's link would grow with
+// the square of the number of entries.
+type peerSearch struct {
+	objects  []protocol.Object
+	revision uint64 // the lowest revision of the pages
+	after    string // the name that the next page follows
+	started  bool
+	wrapped  bool // the pages continued from the first name
 }
 
-// run reads on until a page brings enough entries to follow, and returns all that was read since
-// the search began and whether that are all records. A further run reads what follows.
-func (s *search) run(ctx context.Context, objects Objects, self protocol.EntryRecord) (protocol.Listing, bool, error) {
-	first := justBefore(self.Name)
-	if !s.begun {
-		*s = search{after: first, begun: true}
+// run reads pages until one has enough entries to follow. It returns all records read since the
+// search began, and whether they are all records. A further run continues after them.
+func (s *peerSearch) run(ctx context.Context, objects Objects, self protocol.EntryRecord) (protocol.Listing, bool, error) {
+	start := justBefore(self.Name)
+	if !s.started {
+		*s = peerSearch{after: start, started: true}
 	}
 	before := len(s.objects)
 	for {
@@ -36,26 +37,26 @@
 		if err != nil {
 			return protocol.Listing{}, false, err
 		}
-		all := s.take(&p, first)
-		list := protocol.Listing{Objects: s.objects, At: s.at}
+		all := s.addPage(&p, start)
+		list := protocol.Listing{Objects: s.objects, At: s.revision}
 		if all {
-			s.begun = false
+			s.started = false
 			return list, true, nil
 		}
-		if len(peersAmong(s.objects[before:], self)) >= peersEnough {
+		if len(peersAmong(s.objects[before:], self)) >= enoughPeers {
 			return list, false, nil
 		}
 	}
 }
 
-// take takes one page, and reports whether it was the last one that was missing.
-func (s *search) take(p *protocol.Page, first string) bool {
-	if s.at == 0 || p.At < s.at {
-		s.at = p.At
+// addPage adds the records of a page, and reports whether it was the last page that was missing.
+func (s *peerSearch) addPage(p *protocol.Page, start string) bool {
+	if s.revision == 0 || p.At < s.revision {
+		s.revision = p.At
 	}
 	for _, o := range p.Objects {
-		if s.round && o.Name > first {
-			return true // where the search began
+		if s.wrapped && o.Name > start {
+			return true // the search began here
 		}
 		s.objects = append(s.objects, o)
 		s.after = o.Name
@@ -63,15 +64,15 @@
 	switch {
 	case p.More:
 		return false
-	case s.round || first == "":
+	case s.wrapped || start == "":
 		return true
 	default:
-		s.round, s.after = true, ""
+		s.wrapped, s.after = true, ""
 		return false
 	}
 }
 
-// peersAmong returns the entries to follow among records.
+// peersAmong returns the entries that can be followed among the records.
 func peersAmong(objects []protocol.Object, self protocol.EntryRecord) []protocol.EntryRecord {
 	var records []protocol.EntryRecord
 	for _, o := range objects {
@@ -82,7 +83,8 @@
 	return relay.Candidates(self, records)
 }
 
-// justBefore returns a string that sorts before a name and after nearly all that do.
+// justBefore returns a string that sorts before a name and after nearly all names that sort before
+// it.
 func justBefore(name string) string {
 	if name == "" || name[len(name)-1] <= ' ' || name[len(name)-1] > '~' {
 		return ""
--- a/transport/front/search_test.go
+++ b/transport/front/search_test.go
@@ -18,11 +18,11 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// pagedStore serves records a few at a time, and counts the pages.
+// pagedStore serves records page by page, and counts the pages.
 type pagedStore struct {
 	lateStore
 
-	records []protocol.Object // in order of name
+	records []protocol.Object // sorted by name
 	size    int
 	pages   int
 	lists   int
@@ -60,9 +60,10 @@
 	slices.SortFunc(s.records, func(a, b protocol.Object) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// TestASearchReadsEachRecordOnceAtMost draws records, the size of a page and whose search it is, and runs
-// it until it has read all: whatever each run ends with, no record is missing or read twice.
-func TestASearchReadsEachRecordOnceAtMost(t *testing.T) {
+// TestSearchReadsEachRecordOnce draws the records, the size of a page and the searching entry, and
+// runs the search until it has read all records: no record may be missing or read twice, whatever
+// each run returns.
+func TestSearchReadsEachRecordOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := &pagedStore{size: rapid.IntRange(1, 4).Draw(t, "size")}
 		names := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-c0-2~-]{1,3}`), 0, 12, rapid.ID[string]).Draw(t, "names")
@@ -70,7 +71,7 @@
 			s.put(t, protocol.EntryRecord{Name: n, DataCenter: "a", Peers: n, MemoryMB: float64(rapid.IntRange(1, 3).Draw(t, "memory"))})
 		}
 		self := protocol.EntryRecord{Name: rapid.StringMatching(`[a-c0-2~-]{0,3}`).Draw(t, "self"), DataCenter: "a", MemoryMB: 2}
-		var search search
+		var search peerSearch
 		for runs := 0; ; runs++ {
 			require.LessOrEqual(t, runs, len(names))
 			list, all, err := search.run(context.Background(), s, self)
@@ -80,66 +81,68 @@
 				continue
 			}
 			require.ElementsMatch(t, s.records, list.Objects)
-			require.Equal(t, uint64(100-s.pages), list.At, "as old as the oldest page")
+			require.Equal(t, uint64(100-s.pages), list.At, "the list is as old as its oldest page")
 			return
 		}
 	})
 }
 
-// TestASearchBeginsWithTheOwnRecord: an entry that starts again needs it in any case.
-func TestASearchBeginsWithTheOwnRecord(t *testing.T) {
+// TestSearchStartsWithOwnRecord checks that the first record is the own one: an entry that restarts
+// needs it in any case.
+func TestSearchStartsWithOwnRecord(t *testing.T) {
 	s := &pagedStore{size: 5}
 	for i := range 200 {
 		s.put(t, protocol.EntryRecord{Name: fmt.Sprint("entry-", i), DataCenter: "a", Peers: "p", MemoryMB: 1})
 	}
 	for _, name := range []string{"entry-0", "entry-99", "entry-100", "entry-57"} {
-		var search search
+		var search peerSearch
 		s.pages = 0
 		list, _, err := search.run(t.Context(), s, protocol.EntryRecord{Name: name, DataCenter: "a"})
 		require.NoError(t, err)
 		require.Equal(t, name, list.Objects[0].Name)
-		require.LessOrEqual(t, s.pages, 2, "each of the others ranks before it")
+		require.LessOrEqual(t, s.pages, 2, "every other entry can be followed, so few pages are enough")
 	}
 }
 
-// TestAStartThatFindsPeersNeverReadsAllAtOnce has an entry know of peers that can't be followed yet, as where
-// all start at once: each look reads on, and none reads the records of the whole fleet.
-func TestAStartThatFindsPeersNeverReadsAllAtOnce(t *testing.T) {
+// TestStartWithPeersNeverListsAllRecords has an entry find peers that can't be followed yet, as
+// when all entries start at once: each read continues the search, and none reads the records of the
+// whole fleet.
+func TestStartWithPeersNeverListsAllRecords(t *testing.T) {
 	s := &pagedStore{lateStore: *newLateStore(), size: 20}
 	for i := range 400 {
 		s.put(t, protocol.EntryRecord{Name: fmt.Sprint("entry-", i), DataCenter: "a", Peers: "p", MemoryMB: 1})
 	}
-	r := newRegister(&s.lateStore, "entry-57")
+	r := newRegistration(&s.lateStore, "entry-57")
 	r.front.Dependencies.Objects = s
 	now := time.Now()
-	for range 2 * firstLooks {
+	for range 2 * maxStartupReads {
 		before := s.pages
-		now = r.begin(t.Context(), now)
+		now = r.start(t.Context(), now)
 		require.LessOrEqual(t, s.pages, before+2)
 	}
 	require.Zero(t, s.lists)
 }
 
-// TestNobodyReadsPagesWhileThoseWhomAllFollowAreStarting has an entry start with all others: it knows
-// whom to follow, and they take a second to be ready.
-func TestNobodyReadsPagesWhileThoseWhomAllFollowAreStarting(t *testing.T) {
+// TestStartWaitsForSeedEntriesBeforePaging has an entry start with all others: it knows the seed
+// entries, which take a second to be ready, and must not read pages meanwhile.
+func TestStartWaitsForSeedEntriesBeforePaging(t *testing.T) {
 	s := &pagedStore{lateStore: *newLateStore(), size: 20}
 	var all []protocol.EntryRecord
 	for i := range 100 {
 		all = append(all, protocol.EntryRecord{Name: fmt.Sprint("entry-", i), DataCenter: "a", Peers: "p", MemoryMB: 1})
 		s.put(t, all[i])
 	}
-	first := newRegister(&s.lateStore, "first")
+	first := newRegistration(&s.lateStore, "first")
 	first.front.Dependencies.Objects = s
-	first.keepFirsts(t.Context(), relay.SeedEntries(all))
+	first.writeSeedEntries(t.Context(), relay.SeedEntries(all))
 
-	r := newRegister(&s.lateStore, "late") // of a smaller VM than all others
+	r := newRegistration(&s.lateStore, "late") // on a smaller VM than all others
 	r.front.Dependencies.Objects = s
 	begun := time.Now()
-	next := r.begin(t.Context(), begun)
+	next := r.start(t.Context(), begun)
 	require.Greater(t, next.Sub(begun), time.Second)
-	next = r.begin(t.Context(), begun.Add(time.Second))
+	next = r.start(t.Context(), begun.Add(time.Second))
 	require.Zero(t, s.pages)
-	_ = r.begin(t.Context(), next)
-	require.Positive(t, s.pages, "now it looks for others")
+	_ = r.start(t.Context(), next)
+	require.Positive(t, s.pages, "now it searches for other peers")
 }
--- a/transport/front/sinks_test.go
+++ b/transport/front/sinks_test.go
@@ -16,21 +16,21 @@
 	"pinerun.example/pinerun/state/registry"
 )
 
-// fixed decodes every object to the same table.
-type fixed struct{ table protocol.Routing }
+// fixedDecoder decodes every object to the same table.
+type fixedDecoder struct{ table protocol.Routing }
 
-func (f fixed) Routing(protocol.Object) (protocol.Routing, error) { return f.table, nil }
+func (f fixedDecoder) Routing(protocol.Object) (protocol.Routing, error) { return f.table, nil }
 
-func (f fixed) Endpoint(o protocol.Object) (protocol.Endpoint, error) {
+func (f fixedDecoder) Endpoint(o protocol.Object) (protocol.Endpoint, error) {
 	return protocol.Endpoint{ID: o.Name, Service: "plain", Address: o.Name}, nil
 }
 
-// TestATableIsInForceOnlyOnceItsServicesHaveEndpoints looks at the roster at the
-// first moment at which a table is in force.
-func TestATableIsInForceOnlyOnceItsServicesHaveEndpoints(t *testing.T) {
+// TestTableInForceHasEndpoints checks that the endpoints of a table's services are there at the
+// first moment at which the table is in force.
+func TestTableInForceHasEndpoints(t *testing.T) {
 	f := &Front{
 		Counters: &metric.Set{},
-		Dependencies: Dependencies{RoutingName: "main", Decoder: fixed{table: protocol.Routing{
+		Dependencies: Dependencies{RoutingName: "main", Decoder: fixedDecoder{table: protocol.Routing{
 			Version: 1, Services: []protocol.RoutedService{{Name: "plain"}},
 		}}},
 	}
@@ -44,16 +44,16 @@
 		for f.routing.Current() == nil {
 			runtime.Gosched()
 		}
-		found <- f.roster.View().Model(registry.ModelName("plain", "")) != nil
+		found <- f.endpoints.View().Model(registry.ModelName("plain", "")) != nil
 	}()
 	(&routingSink{front: f}).Listed([]protocol.Object{{Name: "main", Version: 9000}}, time.Now())
 	require.True(t, <-found)
 }
 
-// TestEndpointsOutliveAnOutageThatOnlyAReadMet lets the watch of endpoints rest through
-// the end of an outage, in which a read of the routing table fails.
-func TestEndpointsOutliveAnOutageThatOnlyAReadMet(t *testing.T) {
-	f := &Front{Counters: &metric.Set{}, Dependencies: Dependencies{RoutingName: "main", Decoder: fixed{}}}
+// TestEndpointsSurviveOutageSeenByTableReadOnly pauses the watch of endpoints until after the end
+// of an outage, in which a read of the routing table fails.
+func TestEndpointsSurviveOutageSeenByTableReadOnly(t *testing.T) {
+	f := &Front{Counters: &metric.Set{}, Dependencies: Dependencies{RoutingName: "main", Decoder: fixedDecoder{}}}
 	endpoints := &endpointSink{front: f}
 	tables := &routingSink{front: f}
 	began := time.Now()
@@ -61,40 +61,40 @@
 	endpoints.Failed(errors.New("down"), began.Add(time.Second))
 	tables.Failed(errors.New("down"), began.Add(3*time.Second))
 	endpoints.Listed(nil, began.Add(3500*time.Millisecond))
-	require.Len(t, f.roster.Endpoints(), 1, "its record lapsed while the platform was away")
+	require.Len(t, f.endpoints.Endpoints(), 1, "its record lapsed during the outage")
 }
 
-// lived decodes an object's content as the life that the endpoint tells.
-type lived struct{ fixed }
+// incarnationDecoder decodes the length of an object's value as the endpoint's incarnation.
+type incarnationDecoder struct{ fixedDecoder }
 
-func (lived) Endpoint(o protocol.Object) (protocol.Endpoint, error) {
+func (incarnationDecoder) Endpoint(o protocol.Object) (protocol.Endpoint, error) {
 	return protocol.Endpoint{ID: o.Name, Service: "plain", Address: o.Name, Incarnation: protocol.Incarnation(len(o.Value))}, nil
 }
 
-// TestAnEndpointThatStartsAgainIsCountedOnce: its record tells a later start, and then one of
-// its earlier life is written late.
-func TestAnEndpointThatStartsAgainIsCountedOnce(t *testing.T) {
-	f := &Front{Counters: &metric.Set{}, Dependencies: Dependencies{RoutingName: "main", Decoder: lived{}}}
+// TestRestartInChangesIsCountedOnce has the record of an endpoint show a later incarnation, and
+// then a late write of the earlier one.
+func TestRestartInChangesIsCountedOnce(t *testing.T) {
+	f := &Front{Counters: &metric.Set{}, Dependencies: Dependencies{RoutingName: "main", Decoder: incarnationDecoder{}}}
 	s := &endpointSink{front: f}
 	now := time.Now()
-	for i, life := range []int{1, 2, 1, 2} {
-		o := protocol.Object{Name: "e", Version: uint64(i + 1), Value: make([]byte, life)}
+	for i, incarnation := range []int{1, 2, 1, 2} {
+		o := protocol.Object{Name: "e", Version: uint64(i + 1), Value: make([]byte, incarnation)}
 		s.Changed(protocol.Change{Object: o}, now.Add(time.Duration(i)*time.Second))
 	}
 	require.EqualValues(t, 1, f.Counters.Value(string(metric.RestartsSeen)))
-	require.EqualValues(t, 2, f.roster.Endpoints()[0].Incarnation)
+	require.EqualValues(t, 2, f.endpoints.Endpoints()[0].Incarnation)
 }
 
-// TestAnEndpointThatStartsAgainIsCountedInAListToo: changes that are missed are made good by a list.
-func TestAnEndpointThatStartsAgainIsCountedInAListToo(t *testing.T) {
-	f := &Front{Counters: &metric.Set{}, Dependencies: Dependencies{RoutingName: "main", Decoder: lived{}}}
+// TestRestartInListsIsCountedOnce delivers the same records in lists, which replace missed changes.
+func TestRestartInListsIsCountedOnce(t *testing.T) {
+	f := &Front{Counters: &metric.Set{}, Dependencies: Dependencies{RoutingName: "main", Decoder: incarnationDecoder{}}}
 	s := &endpointSink{front: f}
 	now := time.Now()
-	for i, life := range []int{1, 2, 1, 2} {
-		o := protocol.Object{Name: "e", Version: uint64(i + 1), Value: make([]byte, life)}
+	for i, incarnation := range []int{1, 2, 1, 2} {
+		o := protocol.Object{Name: "e", Version: uint64(i + 1), Value: make([]byte, incarnation)}
 		s.Listed([]protocol.Object{o}, now.Add(time.Duration(i)*time.Second))
-		f.lookAtRecords(now.Add(time.Duration(i) * time.Second))
+		f.checkRecords(now.Add(time.Duration(i) * time.Second))
 	}
 	require.EqualValues(t, 1, f.Counters.Value(string(metric.RestartsSeen)))
-	require.EqualValues(t, 2, f.roster.Endpoints()[0].Incarnation)
+	require.EqualValues(t, 2, f.endpoints.Endpoints()[0].Incarnation)
 }
--- a/transport/front/stop.go
+++ b/transport/front/stop.go
@@ -12,50 +12,50 @@
 )
 
 const (
-	// lastTaken is how long after it was told to stop an entry still takes new
-	// requests: the balancer asks every second and needs two answers, and
-	// connections that callers keep are closed as they come to rest.
-	lastTaken = 2500 * time.Millisecond
-	// stopMargin is how much sooner than its end an entry breaks off what is
-	// still open, so that callers get an end of the connection and not silence.
-	stopMargin = 250 * time.Millisecond
-	// stopLook is how often it is looked whether anything is still open.
-	stopLook = 20 * time.Millisecond
+	// acceptPeriod is how long an entry accepts new requests after it was told to stop. The load
+	// balancer probes every second and needs two failed probes, and connections that callers keep
+	// alive are closed as they become idle.
+	acceptPeriod = 2500 * time.Millisecond
+	// abortMargin is how long before the stop deadline an entry aborts what is still open, so that
+	// callers see the connection close and not silence.
+	abortMargin = 250 * time.Millisecond
+	// stopPollInterval is how often the entry checks whether any request is still open.
+	stopPollInterval = 20 * time.Millisecond
 )
 
-// Stop ends the entry: it calls itself not ready, finishes what is open, and
-// breaks off what is left shortly before it would be killed.
+// Stop stops the entry: it reports not ready, finishes open requests, and aborts what is left
+// shortly before the process would be killed.
 func (f *Front) Stop(now time.Time) {
 	f.stopping.Store(true)
 	event.EntryStopping.Log(f.Logger, slog.Int64("open", f.forwarder.OpenRequests()))
 	f.callers.server.SetKeepAlivesEnabled(false)
-	last := now.Add(lastTaken)
-	end := f.Settings.StopBy(now).Add(-stopMargin)
-	for now.Before(end) {
-		if now.After(last) {
+	acceptUntil := now.Add(acceptPeriod)
+	abortAt := f.Settings.StopBy(now).Add(-abortMargin)
+	for now.Before(abortAt) {
+		if now.After(acceptUntil) {
 			f.forwarder.RefuseNew()
-			if f.forwarder.OpenRequests() == 0 && f.held.Held() == 0 {
+			if f.forwarder.OpenRequests() == 0 && f.memoryBudget.Held() == 0 {
 				break
 			}
 		}
-		time.Sleep(stopLook)
+		time.Sleep(stopPollInterval)
 		now = clock.Now()
 	}
-	f.finish(end)
+	f.finishResponses(abortAt)
 	event.EntryStopped.Log(f.Logger, slog.Int64("cut_off", f.forwarder.OpenRequests()))
 	f.close()
 }
 
-// finish lets the answers end whose requests are over, until the end of the entry at most: the
-// server writes their last bytes, and some may be held for their callers then.
-func (f *Front) finish(end time.Time) {
-	till := clock.Now().Add(serving.LastBytes)
-	if end.Before(till) {
-		till = end
+// finishResponses lets the server write the last bytes of responses whose requests are over, and
+// waits for those that are buffered for their callers, until the end of the entry at most.
+func (f *Front) finishResponses(limit time.Time) {
+	deadline := clock.Now().Add(serving.LastBytes)
+	if limit.Before(deadline) {
+		deadline = limit
 	}
-	serving.Finish(&f.callers.server, till)
-	for f.held.Held() > 0 && clock.Now().Before(end) {
-		time.Sleep(stopLook)
+	serving.Finish(&f.callers.server, deadline)
+	for f.memoryBudget.Held() > 0 && clock.Now().Before(limit) {
+		time.Sleep(stopPollInterval)
 	}
 }
 
@@ -66,7 +66,7 @@
 	}
 	f.confirmer.Close()
 	f.source.Close()
-	f.register.done.Close()
+	f.registration.done.Close()
 	f.refusals.done.Close()
 	f.director.Close()
 	f.forwarder.Close()
