--- a/transport/engine/client.go
+++ b/transport/engine/client.go
@@ -2,13 +2,13 @@
 
 // Package engine connects an entry to its runners.
 //
-// A Client owns one runner's connection. Steps of all requests that wait
-// together go out in one frame; replies are handed to each request's mailbox.
-// The connection is opened when the first step needs it.
+// A Client owns the connection to one runner. It sends the queued steps of all requests in one
+// frame, and delivers each reply to the mailbox of its request. The connection is opened when the
+// first step needs it.
 //
-//	client.Send(send, mailbox)
+//	client.Send(dispatch, expected, mailbox)
 //	a := <-mailbox.Arrivals()
-//	client.Forget(request, attempt)
+//	client.Cancel(request, attempt)
 package engine
 
 import (
@@ -28,32 +28,32 @@
 )
 
 const (
-	// dialLimit bounds how long opening a connection may take.
-	dialLimit = time.Second
-	// writeLimit bounds one frame's write; a runner that takes longer is lost.
-	writeLimit = 2 * time.Second
+	// dialTimeout bounds how long opening a connection may take.
+	dialTimeout = time.Second
+	// writeTimeout bounds the write of one frame; the connection to a slower runner counts as lost.
+	writeTimeout = 2 * time.Second
 	// maxFrameSteps bounds the steps of one frame.
 	maxFrameSteps = 512
 )
 
-// Client is one runner's connection. Set the exported fields before Start.
+// Client is the connection to one runner. Set the exported fields before Start.
 type Client struct {
 	Runner   *fleet.Runner
 	Counters *metric.Set
 	Logger   *slog.Logger
 
-	done    part.Done
-	ended   part.Done
-	wake    chan struct{}
-	mutex   sync.Mutex
-	queue   []protocol.Step
-	cancels []protocol.Cancel
-	waiting map[protocol.RequestID]waiter
-	life    protocol.Incarnation // of the process at the other end, 0 until it tells
+	done        part.Done
+	stopped     part.Done
+	wake        chan struct{}
+	mutex       sync.Mutex
+	queue       []protocol.Step
+	cancels     []protocol.Cancel
+	pending     map[protocol.RequestID]pendingStep
+	incarnation protocol.Incarnation // of the connected process, 0 until it reports one
 }
 
-// waiter is the one step that a request has in flight at this runner.
-type waiter struct {
+// pendingStep is the one step that a request has in flight at this runner.
+type pendingStep struct {
 	mailbox  *Mailbox
 	attempt  uint32
 	number   uint32
@@ -66,21 +66,21 @@
 // Start begins to serve the queue.
 func (c *Client) Start() {
 	c.wake = make(chan struct{}, 1)
-	c.waiting = map[protocol.RequestID]waiter{}
+	c.pending = map[protocol.RequestID]pendingStep{}
 	go c.run()
 }
 
-// Close ends the connection; every waiting request gets Lost.
+// Close closes the connection. Every pending request receives ConnectionLost.
 func (c *Client) Close() {
 	c.done.Close()
-	<-c.ended.Done()
+	<-c.stopped.Done()
 }
 
-// Send queues a step that is expected to take that many seconds. Its reply, or
-// Lost, arrives in the mailbox.
-func (c *Client) Send(s *stream.Dispatch, expected float64, m *Mailbox) {
-	step := s.Step()
-	passes := s.LayerPasses()
+// Send queues a step that is expected to take the given number of seconds. Its reply, or
+// ConnectionLost, arrives in the mailbox.
+func (c *Client) Send(dispatch *stream.Dispatch, expected float64, m *Mailbox) {
+	step := dispatch.Step()
+	passes := dispatch.LayerPasses()
 	c.mutex.Lock()
 	if c.done.Closed() {
 		c.mutex.Unlock()
@@ -88,37 +88,37 @@
 		return
 	}
 	c.queue = append(c.queue, *step)
-	c.waiting[step.Request] = waiter{
+	c.pending[step.Request] = pendingStep{
 		mailbox: m, attempt: step.Attempt, number: step.Number,
 		passes: passes, expected: expected, sentAt: time.Now(),
 	}
 	c.mutex.Unlock()
 	c.Runner.Sent(passes)
-	c.nudge()
+	c.wakeUp()
 }
 
-// Cancel drops a request up to an attempt, here and at the engine, and reports
-// whether a step of it that was still queued here was removed unsent.
+// Cancel drops a request up to an attempt, here and at the engine, and reports whether it removed a
+// step of the request that was still queued here, unsent.
 func (c *Client) Cancel(id protocol.RequestID, attempt uint32) bool {
 	c.mutex.Lock()
-	w, waits := c.waiting[id]
-	if waits {
-		delete(c.waiting, id)
-		c.Runner.Settled(w.passes)
+	p, isPending := c.pending[id]
+	if isPending {
+		delete(c.pending, id)
+		c.Runner.Settled(p.passes)
 	}
-	unsent := waits && !w.sent
+	unsent := isPending && !p.sent
 	if unsent {
-		c.unqueue(id)
+		c.dequeue(id)
 	}
 	if !c.done.Closed() {
 		c.cancels = append(c.cancels, protocol.Cancel{Request: id, Attempt: attempt})
 	}
 	c.mutex.Unlock()
-	c.nudge()
+	c.wakeUp()
 	return unsent
 }
 
-func (c *Client) unqueue(id protocol.RequestID) {
+func (c *Client) dequeue(id protocol.RequestID) {
 	kept := c.queue[:0]
 	for _, s := range c.queue {
 		if s.Request != id {
@@ -128,7 +128,7 @@
 	c.queue = kept
 }
 
-func (c *Client) nudge() {
+func (c *Client) wakeUp() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
@@ -137,14 +137,14 @@
 
 // run opens a connection whenever there is something to send.
 func (c *Client) run() {
-	defer c.ended.Close()
-	defer c.loseAll()
+	defer c.stopped.Close()
+	defer c.failPending()
 	for {
 		select {
 		case <-c.done.Done():
 			return
 		case <-c.wake:
-			if c.idle() {
+			if c.discardCancels() {
 				continue
 			}
 			c.serve()
@@ -152,8 +152,9 @@
 	}
 }
 
-// idle drops cancels that no connection needs and reports whether no step waits.
-func (c *Client) idle() bool {
+// discardCancels drops the cancels, which no engine needs without a connection, and reports whether
+// no step is queued.
+func (c *Client) discardCancels() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.cancels = nil
@@ -166,24 +167,24 @@
 	defer cancel()
 	socket, err := c.dial(ctx)
 	if err != nil {
-		c.lost(err)
+		c.connectionFailed(err)
 		return
 	}
 	defer socket.CloseNow()
 	event.RunnerConnected.Log(c.Logger, slog.String("runner", c.Runner.Name()))
 	reader := &reader{client: c, socket: socket}
 	go reader.run(ctx)
-	c.nudge()
+	c.wakeUp()
 	for {
 		select {
 		case <-c.done.Done():
 			return
 		case <-reader.done.Done():
-			c.lost(reader.err)
+			c.connectionFailed(reader.err)
 			return
 		case <-c.wake:
 			if err := c.flush(ctx, socket); err != nil {
-				c.lost(err)
+				c.connectionFailed(err)
 				return
 			}
 		}
@@ -191,7 +192,7 @@
 }
 
 func (c *Client) dial(ctx context.Context) (*websocket.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, dialLimit)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	socket, res, err := websocket.Dial(ctx, "ws://"+c.Runner.Spec().Address+"/steps", nil)
 	if res != nil && res.Body != nil {
@@ -204,10 +205,10 @@
 	return socket, nil
 }
 
-// flush writes everything that waits, a bounded frame at a time.
+// flush writes all queued steps and cancels, a bounded frame at a time.
 func (c *Client) flush(ctx context.Context, socket *websocket.Conn) error {
 	for {
-		f := c.takeFrame()
+		f := c.nextFrame()
 		if len(f.Steps) == 0 && len(f.Cancels) == 0 {
 			return nil
 		}
@@ -217,19 +218,19 @@
 		}
 		c.Counters.Add(metric.FramesSent, 1)
 		c.Counters.Add(metric.StepsSent, int64(len(f.Steps)))
-		if err := write(ctx, socket, b); err != nil {
+		if err := writeFrame(ctx, socket, b); err != nil {
 			return err
 		}
 	}
 }
 
-func write(ctx context.Context, socket *websocket.Conn, b []byte) error {
-	ctx, cancel := context.WithTimeout(ctx, writeLimit)
+func writeFrame(ctx context.Context, socket *websocket.Conn, b []byte) error {
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	return socket.Write(ctx, websocket.MessageBinary, b)
 }
 
-func (c *Client) takeFrame() protocol.StepFrame {
+func (c *Client) nextFrame() protocol.StepFrame {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	n := min(len(c.queue), maxFrameSteps)
@@ -237,71 +238,71 @@
 	c.queue = c.queue[n:]
 	c.cancels = nil
 	for i := range f.Steps {
-		if w, ok := c.waiting[f.Steps[i].Request]; ok {
-			w.sent = true
-			c.waiting[f.Steps[i].Request] = w
+		if p, ok := c.pending[f.Steps[i].Request]; ok {
+			p.sent = true
+			c.pending[f.Steps[i].Request] = p
 		}
 	}
 	return f
 }
 
-// lost ejects the runner and tells every waiting request.
-func (c *Client) lost(err error) {
-	till := c.Runner.Failed(time.Now())
+// connectionFailed ejects the runner and reports the loss to every pending request.
+func (c *Client) connectionFailed(err error) {
+	ejectedUntil := c.Runner.Failed(time.Now())
 	c.Counters.Ejected(metric.EjectedConnection)
 	event.RunnerLost.Log(c.Logger, slog.String("runner", c.Runner.Name()),
-		slog.Any("cause", err), slog.Time("ejected_till", till))
-	c.loseAll()
+		slog.Any("cause", err), slog.Time("ejected_till", ejectedUntil))
+	c.failPending()
 }
 
-func (c *Client) loseAll() {
+func (c *Client) failPending() {
 	c.mutex.Lock()
-	waiting := c.waiting
-	c.waiting = map[protocol.RequestID]waiter{}
+	pending := c.pending
+	c.pending = map[protocol.RequestID]pendingStep{}
 	c.queue = nil
-	life := c.life
-	c.life = 0
+	incarnation := c.incarnation
+	c.incarnation = 0
 	c.mutex.Unlock()
-	for _, w := range waiting {
-		c.Runner.Settled(w.passes)
-		w.mailbox.put(ConnectionLost{from: c.Runner, sent: w.sent, life: life})
+	for _, p := range pending {
+		c.Runner.Settled(p.passes)
+		p.mailbox.put(ConnectionLost{from: c.Runner, sent: p.sent, incarnation: incarnation})
 	}
 }
 
-// Incarnation returns which life of the engine this entry is connected to, 0 if it is to none or the
-// engine has not told.
+// Incarnation returns the incarnation of the connected engine, 0 if there is no connection or the
+// engine has not reported one.
 func (c *Client) Incarnation() protocol.Incarnation {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.life
+	return c.incarnation
 }
 
-// deliver hands a reply to the request that waits for it.
+// deliver passes a reply to the request that waits for it.
 func (c *Client) deliver(r protocol.Reply) {
 	c.mutex.Lock()
-	w, ok := c.waiting[r.Request]
-	ok = ok && w.attempt == r.Attempt && w.number == r.Number
+	p, ok := c.pending[r.Request]
+	ok = ok && p.attempt == r.Attempt && p.number == r.Number
 	if ok {
-		delete(c.waiting, r.Request)
+		delete(c.pending, r.Request)
 	}
 	c.mutex.Unlock()
 	if !ok {
 		c.Counters.Add(metric.RepliesDropped, 1)
 		return
 	}
-	c.Runner.Settled(w.passes)
+	c.Runner.Settled(p.passes)
 	now := time.Now()
-	c.Runner.ObserveStep(now.Sub(w.sentAt), w.expected, now)
-	if !w.mailbox.put(Replied{from: c.Runner, reply: r}) {
+	c.Runner.ObserveStep(now.Sub(p.sentAt), p.expected, now)
+	if !p.mailbox.put(Replied{from: c.Runner, reply: r}) {
 		c.Counters.Add(metric.RepliesDropped, 1)
 	}
 }
 
-func (c *Client) report(l protocol.LoadReport) {
+func (c *Client) applyReport(l protocol.LoadReport) {
 	fault := c.Runner.Report(l, time.Now())
 	if fault == fleet.ReportAccepted {
 		c.mutex.Lock()
-		c.life = l.Lifetime
+		c.incarnation = l.Lifetime
 		c.mutex.Unlock()
 		return
 	}
--- a/transport/engine/client_test.go
+++ b/transport/engine/client_test.go
@@ -20,34 +20,34 @@
 	"pinerun.example/pinerun/state/fleet"
 )
 
-// TestAReplyNobodyWaitsForIsDropped: a reply that nobody waits for, and a load
+// TestUnexpectedRepliesAndReportsAreCounted checks that a reply without a pending step, and a load
 // report of another runner, are dropped and counted.
-func TestAReplyNobodyWaitsForIsDropped(t *testing.T) {
+func TestUnexpectedRepliesAndReportsAreCounted(t *testing.T) {
 	c := &Client{Runner: fleet.NewRunner(protocol.Runner{Name: "a", Speed: 1, To: 1}, "dc"), Counters: &metric.Set{}}
-	c.waiting = map[protocol.RequestID]waiter{}
+	c.pending = map[protocol.RequestID]pendingStep{}
 	c.deliver(protocol.Reply{Request: 7, Attempt: 1})
 	require.EqualValues(t, 1, c.Counters.Value(string(metric.RepliesDropped)))
-	c.report(protocol.LoadReport{Runner: "b"})
+	c.applyReport(protocol.LoadReport{Runner: "b"})
 	require.EqualValues(t, 1, c.Counters.Value(string(metric.ReportsIgnored)))
 }
 
-// TestALostConnectionTellsWhatWasSent: a step still queued here comes back as
-// not sent, one that was written may have reached the engine.
-func TestALostConnectionTellsWhatWasSent(t *testing.T) {
+// TestConnectionLossReportsSentSteps checks that a step that is still queued is reported as not
+// sent, and that one that was written is reported as sent, since it may have reached the engine.
+func TestConnectionLossReportsSentSteps(t *testing.T) {
 	c := &Client{Runner: fleet.NewRunner(protocol.Runner{Name: "a", Speed: 1, To: 1}, "dc"), Counters: &metric.Set{}}
 	sent, queued := NewMailbox(), NewMailbox()
-	c.waiting = map[protocol.RequestID]waiter{1: {mailbox: sent}, 2: {mailbox: queued}}
+	c.pending = map[protocol.RequestID]pendingStep{1: {mailbox: sent}, 2: {mailbox: queued}}
 	c.queue = []protocol.Step{{Request: 1}}
-	require.Len(t, c.takeFrame().Steps, 1)
+	require.Len(t, c.nextFrame().Steps, 1)
 	c.queue = []protocol.Step{{Request: 2}}
-	c.loseAll()
+	c.failPending()
 	require.True(t, (<-sent.Arrivals()).(ConnectionLost).Sent())
 	require.False(t, (<-queued.Arrivals()).(ConnectionLost).Sent())
 }
 
-// TestABrokenFrameLosesTheConnectionAndIsCounted: an engine that sends bytes that
-// are no frame is hung up on, and whoever waits is told.
-func TestABrokenFrameLosesTheConnectionAndIsCounted(t *testing.T) {
+// TestMalformedFrameClosesConnection has an engine send bytes that are no frame: the client closes
+// the connection, counts the frame, and reports the loss to the pending request.
+func TestMalformedFrameClosesConnection(t *testing.T) {
 	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		socket, err := websocket.Accept(w, q, nil)
 		if err != nil {
@@ -56,7 +56,7 @@
 		defer socket.CloseNow()
 		if _, _, err := socket.Read(q.Context()); err == nil {
 			_ = socket.Write(q.Context(), websocket.MessageBinary, []byte("no frame"))
-			_, _, _ = socket.Read(q.Context()) // until it is hung up
+			_, _, _ = socket.Read(q.Context()) // until the client closes the connection
 		}
 	}))
 	defer engine.Close()
@@ -74,18 +74,18 @@
 	defer pool.Close()
 	var m stream.Machine
 	m.Open(7, 1, []int32{1}, 1, 0)
-	send := m.Begin(found.Path())
-	box := NewMailbox()
-	pool.Client(send.Runner()).Send(&send, 1, box)
-	lost, ok := (<-box.Arrivals()).(ConnectionLost)
+	dispatch := m.Begin(found.Path())
+	mailbox := NewMailbox()
+	pool.Client(dispatch.Runner()).Send(&dispatch, 1, mailbox)
+	lost, ok := (<-mailbox.Arrivals()).(ConnectionLost)
 	require.True(t, ok)
 	require.True(t, lost.Sent(), "the engine may have run it")
 	require.EqualValues(t, 1, pool.Counters.Value(string(metric.FramesBroken)))
-	require.False(t, send.Runner().Usable(time.Now()), "it is left out for a while")
+	require.False(t, dispatch.Runner().Usable(time.Now()), "the runner is ejected for a while")
 }
 
-// BenchmarkReport measures one load report: its bytes on the wire and the time
-// to read and take it.
+// BenchmarkReport measures one load report: its size on the wire and the time to decode and apply
+// it.
 func BenchmarkReport(b *testing.B) {
 	now := time.Now()
 	r := fleet.NewRunner(protocol.Runner{Name: "runner-4711", Speed: 1, To: 12}, "dc")
@@ -96,7 +96,7 @@
 	for b.Loop() {
 		f, err := protocol.DecodeReplies(frame)
 		if err != nil || r.Report(*f.Report, now) != fleet.ReportAccepted {
-			b.Fatal("not taken")
+			b.Fatal("report not accepted")
 		}
 	}
 	b.ReportMetric(float64(len(frame)), "B")
--- a/transport/engine/pool.go
+++ b/transport/engine/pool.go
@@ -10,8 +10,8 @@
 	"pinerun.example/pinerun/state/fleet"
 )
 
-// Pool has a client for each runner that was asked for. The zero value is empty
-// and needs Counters before use.
+// Pool holds a client for each runner in use. The zero value is empty and needs Counters before
+// use.
 type Pool struct {
 	Counters *metric.Set
 	Logger   *slog.Logger
@@ -21,8 +21,8 @@
 	closed  bool
 }
 
-// Client returns the client of a runner, made at the first call. After Close it
-// returns a client that loses every step unsent.
+// Client returns the client of a runner and creates it at the first call. After Close it returns a
+// client that drops every step unsent and reports ConnectionLost.
 func (p *Pool) Client(r *fleet.Runner) *Client {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -41,26 +41,26 @@
 	return c
 }
 
-// CloseUnused closes the clients of runners that the view no longer holds and that no
-// request waits for.
+// CloseUnused closes the clients of runners that the view no longer holds and that no request waits
+// for.
 func (p *Pool) CloseUnused(v *fleet.View) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for r, c := range p.clients {
-		if v.Runner(r.Name()) != r && c.quiet() {
+		if v.Runner(r.Name()) != r && c.hasNoPending() {
 			c.done.Close()
 			delete(p.clients, r)
 		}
 	}
 }
 
-func (c *Client) quiet() bool {
+func (c *Client) hasNoPending() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return len(c.waiting) == 0
+	return len(c.pending) == 0
 }
 
-// Close ends every connection.
+// Close closes every connection.
 func (p *Pool) Close() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/transport/engine/reader.go
+++ b/transport/engine/reader.go
@@ -15,7 +15,7 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// reader reads one connection's reply frames until it breaks.
+// reader reads the reply frames of one connection until it breaks.
 type reader struct {
 	client *Client
 	socket *websocket.Conn
@@ -43,7 +43,7 @@
 			r.client.deliver(f.Replies[i])
 		}
 		if f.Report != nil {
-			r.client.report(*f.Report)
+			r.client.applyReport(*f.Report)
 		}
 	}
 }
