--- a/transport/crashcheck/crashcheck.go
+++ b/transport/crashcheck/crashcheck.go
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package crashcheck finds out whether lives of endpoints have ended whose answers broke off, by asking
-// them again and again. A port that takes connections is no proof that its endpoint lives: it may be
-// passed on, or held by the host while the process starts again.
+// Package crashcheck finds out whether an incarnation of an endpoint has crashed after a response
+// of it broke off, by probing the endpoint repeatedly. A port that accepts connections does not
+// prove that the endpoint is running: another process may have the port, or the host may hold it
+// while the process restarts.
 //
-//	checks.Begin(&ending.Case{Endpoint: name, Life: life, Asker: asker, Book: book}, now)
+//	checker.Begin(&crashcheck.Suspect{Endpoint: name, Incarnation: incarnation, Prober: prober, Recorder: recorder}, now)
 package crashcheck
 
 import (
@@ -19,26 +20,29 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// checkEvery is the pause between two questions to an endpoint of which it is not clear whether it
-// has ended.
-const checkEvery = 50 * time.Millisecond
+// probeInterval is the pause between two probes of an endpoint while it is unclear whether it has
+// crashed.
+const probeInterval = 50 * time.Millisecond
 
-// Recorder takes what turns out.
+// Recorder receives the results of probes.
 type Recorder interface {
-	// ReportUnresolved is told that it is not clear yet whether a life of an endpoint has ended.
-	ReportUnresolved(endpoint string, life protocol.Incarnation)
-	// RecordCrash and Lives note what has turned out: Lives that an endpoint answered a question that
-	// was asked at a time, in the same life as far as it told.
-	RecordCrash(endpoint string, life protocol.Incarnation, at time.Time)
-	RecordAnswer(endpoint string, life protocol.Incarnation, same bool, asked time.Time)
+	// ReportUnresolved reports that it is still unclear whether an incarnation of an endpoint has
+	// crashed.
+	ReportUnresolved(endpoint string, incarnation protocol.Incarnation)
+	// RecordCrash records that the incarnation has crashed, as a probe sent at a time showed.
+	RecordCrash(endpoint string, incarnation protocol.Incarnation, at time.Time)
+	// RecordAnswer records that the endpoint answered a probe that was sent at a time, and whether
+	// its answer named the same incarnation.
+	RecordAnswer(endpoint string, incarnation protocol.Incarnation, same bool, sentAt time.Time)
 }
 
-// Prober asks an endpoint once how it stands.
+// Prober probes one endpoint.
 type Prober interface {
+	// Probe probes the endpoint once.
 	Probe() quarantine.ProbeResult
 }
 
-// Suspect is a life of an endpoint that may have ended.
+// Suspect is an incarnation of an endpoint that may have crashed.
 type Suspect struct {
 	Endpoint    string
 	Incarnation protocol.Incarnation
@@ -47,94 +51,96 @@
 	Logger      *slog.Logger // nil for none
 }
 
-// Checker finds out about endpoints, one check at a time for each. The zero value has none under way.
+// Checker checks suspects, with one check at a time for each endpoint. The zero value runs no
+// check.
 type Checker struct {
-	done  part.Done
-	mutex sync.Mutex
-	open  map[string]*check // by the endpoint's name
+	done    part.Done
+	mutex   sync.Mutex
+	running map[string]*check // by the endpoint's name
 }
 
-// Close ends every check.
+// Close stops every check.
 func (c *Checker) Close() { c.done.Close() }
 
-// Begin sees to it that an endpoint is asked after what broke there, for a while from now on.
-func (c *Checker) Begin(k *Suspect, now time.Time) {
-	till := now.Add(quarantine.UnresolvedTimeout)
+// Begin starts a check of a suspect, or extends the one that is running, until UnresolvedTimeout
+// from now at the latest.
+func (c *Checker) Begin(suspect *Suspect, now time.Time) {
+	deadline := now.Add(quarantine.UnresolvedTimeout)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if open := c.open[k.Endpoint]; open != nil && open.is.Incarnation == k.Incarnation {
-		open.till, open.again = till, true
+	if known := c.running[suspect.Endpoint]; known != nil && known.suspect.Incarnation == suspect.Incarnation {
+		known.deadline, known.probeAgain = deadline, true
 		return
 	}
-	if c.open == nil {
-		c.open = make(map[string]*check)
+	if c.running == nil {
+		c.running = make(map[string]*check)
 	}
-	begun := &check{checks: c, is: *k, till: till}
-	c.open[k.Endpoint] = begun
-	go begun.run()
+	k := &check{checker: c, suspect: *suspect, deadline: deadline}
+	c.running[suspect.Endpoint] = k
+	go k.run()
 }
 
-// Open returns how many endpoints are asked.
+// Open returns the number of endpoints that are being checked.
 func (c *Checker) Open() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return len(c.open)
+	return len(c.running)
 }
 
-// goesOn reports whether a check asks again, and forgets it otherwise.
-func (c *Checker) goesOn(k *check, found quarantine.ProbeResult, now time.Time) bool {
+// shouldContinue reports whether a check probes again, and removes the check otherwise.
+func (c *Checker) shouldContinue(k *check, result quarantine.ProbeResult, now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if now.Before(k.till) && found != quarantine.ProbeCrashed && (found == quarantine.ProbeInconclusive || k.again) {
-		k.again = false
+	if now.Before(k.deadline) && result != quarantine.ProbeCrashed && (result == quarantine.ProbeInconclusive || k.probeAgain) {
+		k.probeAgain = false
 		return true
 	}
-	if c.open[k.is.Endpoint] == k {
-		delete(c.open, k.is.Endpoint)
+	if c.running[k.suspect.Endpoint] == k {
+		delete(c.running, k.suspect.Endpoint)
 	}
 	return false
 }
 
-// check finds out about one case.
+// check checks one suspect.
 type check struct {
-	checks *Checker
-	is     Suspect
-	till   time.Time // guarded by the mutex of checks, as again is
-	again  bool      // more broke there since the last question
+	checker    *Checker
+	suspect    Suspect
+	deadline   time.Time // guarded by the mutex of checker, as probeAgain is
+	probeAgain bool      // another response broke off since the last probe
 }
 
 func (k *check) run() {
-	pause := time.NewTicker(checkEvery)
-	defer pause.Stop()
-	begun, before := clock.Now(), quarantine.ProbeCrashed // what is clear at once is not logged
+	ticker := time.NewTicker(probeInterval)
+	defer ticker.Stop()
+	startedAt, previous := clock.Now(), quarantine.ProbeCrashed // a conclusive first result is not logged
 	for {
-		asked := clock.Now()
-		found := k.is.Prober.Probe()
-		if found != before && (found == quarantine.ProbeInconclusive || before == quarantine.ProbeInconclusive) {
-			event.EndInDoubt.Log(k.is.Logger, slog.String("endpoint", k.is.Endpoint), slog.Int64("lifetime", int64(k.is.Incarnation)),
-				slog.String("state", found.String()), slog.Int64("after_ms", clock.Since(begun).Milliseconds()))
+		sentAt := clock.Now()
+		result := k.suspect.Prober.Probe()
+		if result != previous && (result == quarantine.ProbeInconclusive || previous == quarantine.ProbeInconclusive) {
+			event.EndInDoubt.Log(k.suspect.Logger, slog.String("endpoint", k.suspect.Endpoint), slog.Int64("lifetime", int64(k.suspect.Incarnation)),
+				slog.String("state", result.String()), slog.Int64("after_ms", clock.Since(startedAt).Milliseconds()))
 		}
-		before = found
-		k.note(found, asked)
-		if !k.checks.goesOn(k, found, clock.Now()) {
+		previous = result
+		k.record(result, sentAt)
+		if !k.checker.shouldContinue(k, result, clock.Now()) {
 			return
 		}
 		select {
-		case <-pause.C:
-		case <-k.checks.done.Done():
+		case <-ticker.C:
+		case <-k.checker.done.Done():
 			return
 		}
 	}
 }
 
-// note writes down what a question asked at a time found.
-func (k *check) note(found quarantine.ProbeResult, asked time.Time) {
-	switch found {
+// record records the result of a probe that was sent at a time.
+func (k *check) record(result quarantine.ProbeResult, sentAt time.Time) {
+	switch result {
 	case quarantine.ProbeCrashed:
-		k.is.Recorder.RecordCrash(k.is.Endpoint, k.is.Incarnation, asked)
+		k.suspect.Recorder.RecordCrash(k.suspect.Endpoint, k.suspect.Incarnation, sentAt)
 	case quarantine.ProbeAnswered, quarantine.ProbeSameIncarnation:
-		k.is.Recorder.RecordAnswer(k.is.Endpoint, k.is.Incarnation, found == quarantine.ProbeSameIncarnation, asked)
+		k.suspect.Recorder.RecordAnswer(k.suspect.Endpoint, k.suspect.Incarnation, result == quarantine.ProbeSameIncarnation, sentAt)
 	case quarantine.ProbeInconclusive:
-		k.is.Recorder.ReportUnresolved(k.is.Endpoint, k.is.Incarnation)
+		k.suspect.Recorder.ReportUnresolved(k.suspect.Endpoint, k.suspect.Incarnation)
 	}
 }
--- a/transport/crashcheck/crashcheck_test.go
+++ b/transport/crashcheck/crashcheck_test.go
@@ -14,107 +14,118 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// endpoint answers as it is told to, and notes what is found out of it.
-type endpoint struct {
-	mutex                 sync.Mutex
-	answer                quarantine.ProbeResult
-	asked                 int
-	ended, lives, unclear int
+// fakeEndpoint returns a configured probe result, and counts the probes and what is recorded.
+type fakeEndpoint struct {
+	mutex                        sync.Mutex
+	result                       quarantine.ProbeResult
+	probes                       int
+	crashes, answers, unresolved int
 }
 
-func (e *endpoint) Probe() quarantine.ProbeResult {
+func (e *fakeEndpoint) Probe() quarantine.ProbeResult {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.asked++
-	return e.answer
+	e.probes++
+	return e.result
 }
 
-func (e *endpoint) RecordCrash(string, protocol.Incarnation, time.Time)        { e.count(&e.ended) }
-func (e *endpoint) RecordAnswer(string, protocol.Incarnation, bool, time.Time) { e.count(&e.lives) }
-func (e *endpoint) ReportUnresolved(string, protocol.Incarnation)              { e.count(&e.unclear) }
+func (e *fakeEndpoint) RecordCrash(string, protocol.Incarnation, time.Time) { e.count(&e.crashes) }
 
-func (e *endpoint) count(n *int) {
+func (e *fakeEndpoint) RecordAnswer(string, protocol.Incarnation, bool, time.Time) {
+	e.count(&e.answers)
+}
+
+func (e *fakeEndpoint) ReportUnresolved(string, protocol.Incarnation) { e.count(&e.unresolved) }
+
+func (e *fakeEndpoint) count(n *int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	*n++
 }
 
-func (e *endpoint) set(answer quarantine.ProbeResult) {
+func (e *fakeEndpoint) setResult(result quarantine.ProbeResult) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.answer = answer
+	e.result = result
 }
 
-func (e *endpoint) begin(c *Checker, life protocol.Incarnation) {
-	c.Begin(&Suspect{Endpoint: "e", Incarnation: life, Prober: e, Recorder: e}, time.Now())
+func (e *fakeEndpoint) begin(c *Checker, incarnation protocol.Incarnation) {
+	c.Begin(&Suspect{Endpoint: "e", Incarnation: incarnation, Prober: e, Recorder: e}, time.Now())
 }
 
-// pass lets time pass, and what is due in it be done.
-func pass(d time.Duration) {
+// advance lets time pass, and waits until everything that is due has run.
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-func TestAnEndpointIsAskedUntilItIsClear(t *testing.T) {
+// TestProbesUntilConclusive probes an endpoint whose results are inconclusive until one shows a
+// crash.
+func TestProbesUntilConclusive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Checker
-		e := &endpoint{answer: quarantine.ProbeInconclusive}
+		e := &fakeEndpoint{result: quarantine.ProbeInconclusive}
 		e.begin(&c, 1)
-		pass(4*checkEvery + checkEvery/2)
-		require.Equal(t, 5, e.asked)
-		e.set(quarantine.ProbeCrashed)
-		pass(time.Minute)
-		require.Equal(t, 6, e.asked)
-		require.Equal(t, 5, e.unclear)
-		require.Equal(t, 1, e.ended)
+		advance(4*probeInterval + probeInterval/2)
+		require.Equal(t, 5, e.probes)
+		e.setResult(quarantine.ProbeCrashed)
+		advance(time.Minute)
+		require.Equal(t, 6, e.probes)
+		require.Equal(t, 5, e.unresolved)
+		require.Equal(t, 1, e.crashes)
 		require.Zero(t, c.Open())
 	})
 }
 
-func TestWhatStaysUnclearIsGivenUpUnlessMoreBreaks(t *testing.T) {
+// TestInconclusiveCheckEndsAtDeadline begins a check twice: it ends the timeout after the second
+// call.
+func TestInconclusiveCheckEndsAtDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Checker
-		e := &endpoint{answer: quarantine.ProbeInconclusive}
+		e := &fakeEndpoint{result: quarantine.ProbeInconclusive}
 		e.begin(&c, 1)
-		pass(quarantine.UnresolvedTimeout / 2)
+		advance(quarantine.UnresolvedTimeout / 2)
 		e.begin(&c, 1)
-		pass(quarantine.UnresolvedTimeout - checkEvery)
-		require.Equal(t, 1, c.Open(), "one check, for as long as after the second")
-		pass(2 * checkEvery)
+		advance(quarantine.UnresolvedTimeout - probeInterval)
+		require.Equal(t, 1, c.Open(), "one check, which lasts until the timeout after the second call")
+		advance(2 * probeInterval)
 		require.Zero(t, c.Open())
-		require.Zero(t, e.ended)
+		require.Zero(t, e.crashes)
 	})
 }
 
-func TestAnEndpointThatAnswersIsAskedAgainOnlyIfMoreBroke(t *testing.T) {
+// TestAnsweringEndpointIsProbedAgainAfterNewFailure begins a check while an endpoint is being
+// probed: it is probed once more after it has answered.
+func TestAnsweringEndpointIsProbedAgainAfterNewFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Checker
-		e := &endpoint{answer: quarantine.ProbeSameIncarnation}
+		e := &fakeEndpoint{result: quarantine.ProbeSameIncarnation}
 		e.begin(&c, 1)
 		synctest.Wait()
-		require.Equal(t, 1, e.asked)
+		require.Equal(t, 1, e.probes)
 		require.Zero(t, c.Open())
-		e.set(quarantine.ProbeInconclusive)
+		e.setResult(quarantine.ProbeInconclusive)
 		e.begin(&c, 1)
 		synctest.Wait()
-		e.set(quarantine.ProbeSameIncarnation)
-		e.begin(&c, 1) // while it is asked
-		pass(time.Minute)
-		require.Equal(t, 3, e.lives, "once before, and once more than the answer that came first")
+		e.setResult(quarantine.ProbeSameIncarnation)
+		e.begin(&c, 1)
+		advance(time.Minute)
+		require.Equal(t, 3, e.answers, "one answer in the first check; in the second, one more probe after the first answer")
 	})
 }
 
-func TestChecksEndWithTheirOwner(t *testing.T) {
+// TestCloseStopsChecks checks two incarnations of an endpoint and closes the checker.
+func TestCloseStopsChecks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var c Checker
-		e := &endpoint{answer: quarantine.ProbeInconclusive}
+		e := &fakeEndpoint{result: quarantine.ProbeInconclusive}
 		e.begin(&c, 1)
-		e.begin(&c, 2) // another life is another matter
+		e.begin(&c, 2) // another incarnation needs its own check
 		synctest.Wait()
 		c.Close()
 		synctest.Wait()
-		asked := e.asked
-		pass(time.Minute)
-		require.Equal(t, asked, e.asked)
+		probes := e.probes
+		advance(time.Minute)
+		require.Equal(t, probes, e.probes)
 	})
 }
