--- a/transport/forward/failure.go
+++ b/transport/forward/failure.go
@@ -63,14 +63,14 @@
 }
 
 func (f *Forwarder) reportObservation(r *fleet.Runner, observation protocol.LossObservation, now time.Time) {
-	if f.ReportFailure != nil {
-		f.ReportFailure(r.Name(), observation, now)
+	if f.ReportLoss != nil {
+		f.ReportLoss(r.Name(), observation, now)
 	}
 }
 
-// ApplyFailureReport applies what a failure or address owner report changes, and reports whether
+// ApplyLossReport applies what a failure or address owner report changes, and reports whether
 // that may matter to the director.
-func (f *Forwarder) ApplyFailureReport(report loss.Report, change loss.Change) bool {
+func (f *Forwarder) ApplyLossReport(report loss.Report, change loss.Change) bool {
 	if _, ok := change.(loss.OccupantObserved); ok {
 		return f.applyOwner(&report)
 	}
--- a/transport/forward/failure_test.go
+++ b/transport/forward/failure_test.go
@@ -52,7 +52,7 @@
 	}
 	f.faultLocator.forwarder = f
 	if reports != nil {
-		f.ReportFailure = func(endpoint string, observation protocol.LossObservation, _ time.Time) {
+		f.ReportLoss = func(endpoint string, observation protocol.LossObservation, _ time.Time) {
 			*reports = append(*reports, reportedFailure{endpoint, observation})
 		}
 	}
@@ -85,7 +85,7 @@
 	var tracker loss.Tracker
 	now := time.Now()
 	report := loss.NewReport(r.Name(), "another", protocol.LossRefused, now)
-	f.ApplyFailureReport(report, tracker.Apply(report, 10, now))
+	f.ApplyLossReport(report, tracker.Apply(report, 10, now))
 }
 
 // TestStreamRetriesWhenEngineIsReportedLost checks that a stream is retried as soon as its engine
--- a/transport/forward/forwarder.go
+++ b/transport/forward/forwarder.go
@@ -56,9 +56,9 @@
 	KeysTrustedUntil func(confirmed time.Time) time.Time
 	// MemoryBudget bounds the bytes buffered for callers and for request bodies.
 	MemoryBudget *backlog.Budget
-	// ReportFailure reports an observation about an endpoint's health to the other entries. It may
+	// ReportLoss reports an observation about an endpoint's health to the other entries. It may
 	// be nil.
-	ReportFailure func(endpoint string, observation protocol.LossObservation, at time.Time)
+	ReportLoss func(endpoint string, observation protocol.LossObservation, at time.Time)
 	// ReportAddressOwner reports to the other entries which process answers at an endpoint's
 	// address. An empty owner is a process that does not hold the layers of the endpoint's record.
 	// It may be nil.
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -104,7 +104,7 @@
 	f.forwarder = forward.Forwarder{
 		Entry: local, Routing: &f.routing, Registry: &f.endpoints, Headers: f.Dependencies.Headers, Reporter: f.Dependencies.Engines,
 		Counters: f.Counters, Logger: f.Logger,
-		KeysTrustedUntil: s.KeyTrust, ReportFailure: f.source.ReportLoss, ReportAddressOwner: f.source.ReportOwner, MemoryBudget: &f.memoryBudget, ReportSlowdown: f.source.ReportSlowness,
+		KeysTrustedUntil: s.KeyTrust, ReportLoss: f.source.ReportLoss, ReportAddressOwner: f.source.ReportOwner, MemoryBudget: &f.memoryBudget, ReportSlowdown: f.source.ReportSlowness,
 		Quarantine: f.source.Quarantine(), OnResume: f.handleResume,
 	}
 	if s.ChangePaths {
@@ -127,7 +127,7 @@
 
 // applyLossChange applies what a loss report changes.
 func (f *Front) applyLossChange(r loss.Report, v loss.Change) {
-	if f.forwarder.ApplyFailureReport(r, v) {
+	if f.forwarder.ApplyLossReport(r, v) {
 		f.director.Wake()
 	}
 }
