--- a/transport/front/address_probe.go
+++ b/transport/front/address_probe.go
@@ -57,7 +57,7 @@
 // does not name that process, the address is probed.
 func (f *Front) handleMisdirected(endpoint string, by *director.Misdirected) {
 	if by.Owner != "" {
-		f.source.ReportOwner(endpoint, by.Owner, clock.Now())
+		f.source.ReportAddressOwner(endpoint, by.Owner, clock.Now())
 		return
 	}
 	if p, known := f.endpoints.ProbeOf(endpoint); known {
@@ -99,7 +99,7 @@
 	if owner == p.Endpoint() && p.AsksLayers() && !a.holdsRecordedLayers(ctx) {
 		return
 	}
-	f.source.ReportOwner(p.Endpoint(), owner, sentAt)
+	f.source.ReportAddressOwner(p.Endpoint(), owner, sentAt)
 }
 
 // owner returns the endpoint that owns the address, "" if that is unknown.
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -104,7 +104,7 @@
 	f.forwarder = forward.Forwarder{
 		Entry: local, Routing: &f.routing, Registry: &f.endpoints, Headers: f.Dependencies.Headers, Reporter: f.Dependencies.Engines,
 		Counters: f.Counters, Logger: f.Logger,
-		KeysTrustedUntil: s.KeyTrust, ReportLoss: f.source.ReportLoss, ReportAddressOwner: f.source.ReportOwner, MemoryBudget: &f.memoryBudget, ReportSlowdown: f.source.ReportSlowness,
+		KeysTrustedUntil: s.KeyTrust, ReportLoss: f.source.ReportLoss, ReportAddressOwner: f.source.ReportAddressOwner, MemoryBudget: &f.memoryBudget, ReportSlowdown: f.source.ReportSlowdown,
 		Quarantine: f.source.Quarantine(), OnResume: f.handleResume,
 	}
 	if s.ChangePaths {
--- a/transport/relay/losses.go
+++ b/transport/relay/losses.go
@@ -29,9 +29,9 @@
 	s.applyLoss(loss.NewReport(endpoint, s.Self.Name, observation, at).WithIncarnation(s.incarnationOf(endpoint)), "")
 }
 
-// ReportOwner passes on which process answers at an endpoint's address. The owner is "" for a
+// ReportAddressOwner passes on which process answers at an endpoint's address. The owner is "" for a
 // process that does not hold the layers of the endpoint's record.
-func (s *Source) ReportOwner(endpoint, owner string, at time.Time) {
+func (s *Source) ReportAddressOwner(endpoint, owner string, at time.Time) {
 	observation := protocol.LossMisplaced
 	if owner == endpoint {
 		observation = protocol.LossAnswered
--- a/transport/relay/losses_test.go
+++ b/transport/relay/losses_test.go
@@ -132,10 +132,10 @@
 			}
 		}
 		observedAt := time.Now()
-		all[17].source.ReportOwner("engine", "other", observedAt)
+		all[17].source.ReportAddressOwner("engine", "other", observedAt)
 		time.Sleep(50 * time.Millisecond)
 		for i := range 10 {
-			all[i].source.ReportOwner("engine", "other", time.Now())
+			all[i].source.ReportAddressOwner("engine", "other", time.Now())
 		}
 		time.Sleep(500 * time.Millisecond)
 		mutex.Lock()
--- a/transport/relay/slowness.go
+++ b/transport/relay/slowness.go
@@ -25,9 +25,9 @@
 	lastNumber uint64 // number of the last report of this entry
 }
 
-// ReportSlowness passes on an observation of an endpoint's slowdown by this entry. It fills in the
+// ReportSlowdown passes on an observation of an endpoint's slowdown by this entry. It fills in the
 // observer and the number.
-func (s *Source) ReportSlowness(report protocol.RelaySlow, at time.Time) {
+func (s *Source) ReportSlowdown(report protocol.RelaySlow, at time.Time) {
 	report.Observer = s.Self.Name
 	report.Number = s.slowness.nextNumber()
 	s.applySlowness(slow.NewReport(report, at), "")
--- a/transport/relay/slowness_test.go
+++ b/transport/relay/slowness_test.go
@@ -59,20 +59,20 @@
 		var recorder slownessRecorder
 		recorder.observe(all)
 		observedAt := time.Now()
-		all[17].source.ReportSlowness(twelvefoldSlowdown(), observedAt)
+		all[17].source.ReportSlowdown(twelvefoldSlowdown(), observedAt)
 		eventually(t, "all entries know of the slowdown", func() bool { return recorder.count() == len(all) })
 		for name, at := range recorder.slowAt {
 			require.Less(t, at.Sub(observedAt), 50*time.Millisecond, name)
 		}
 		time.Sleep(500 * time.Millisecond)
 		for i := range 10 {
-			all[i].source.ReportSlowness(twelvefoldSlowdown(), time.Now())
+			all[i].source.ReportSlowdown(twelvefoldSlowdown(), time.Now())
 		}
 		time.Sleep(time.Second)
 		require.Equal(t, len(all), recorder.changes, "a known slowdown is not reported again")
 		recovered := twelvefoldSlowdown()
 		recovered.Pace = 1
-		all[3].source.ReportSlowness(recovered, time.Now())
+		all[3].source.ReportSlowdown(recovered, time.Now())
 		eventually(t, "all entries know of the recovery", func() bool { return recorder.count() == 0 })
 	})
 }
@@ -87,10 +87,10 @@
 		var recorder slownessRecorder
 		recorder.observe(all)
 		late := protocol.RelaySlow{Endpoint: "plain", Observation: protocol.SlowSeen, Pace: 5}
-		all[2].source.ReportSlowness(late, time.Now())
+		all[2].source.ReportSlowdown(late, time.Now())
 		time.Sleep(300 * time.Millisecond)
 		require.Zero(t, recorder.count())
-		all[5].source.ReportSlowness(late, time.Now())
+		all[5].source.ReportSlowdown(late, time.Now())
 		eventually(t, "all entries know of the slowdown", func() bool { return recorder.count() == len(all) })
 	})
 }
@@ -102,7 +102,7 @@
 		s := newStore()
 		s.put(table, "one")
 		all := newEntries(t, s, 2)
-		all[0].source.ReportSlowness(twelvefoldSlowdown(), time.Now())
+		all[0].source.ReportSlowdown(twelvefoldSlowdown(), time.Now())
 		var recorder slownessRecorder
 		late := newEntry(t, s, rankedAfter(all[0].source.Self), "third")
 		recorder.observe([]*entry{late})
