--- a/command/bound.go
+++ b/command/bound.go
@@ -45,14 +45,14 @@
 	return exitGood
 }
 
-func factsOf(f *settings.Fleet) *protocol.EngineFacts {
+func factsOf(f *settings.Fleet) *protocol.EngineSpec {
 	const kBPerMB = 1000
-	facts := &protocol.EngineFacts{
+	facts := &protocol.EngineSpec{
 		Layers: f.Layers, LayerMB: f.LayerMB, TokenLayerMB: f.TokenKB / kBPerMB / float64(f.Layers),
-		StepMS: f.StepMS, SequenceMS: f.SequenceMS, ReadPerSecond: f.ReadPerSecond, UsualPrompt: f.Prompt, UsualAnswer: f.Answer,
+		StepMS: f.StepMS, SequenceMS: f.SequenceMS, PrefillPerSecond: f.ReadPerSecond, TypicalPrompt: f.Prompt, TypicalAnswer: f.Answer,
 	}
 	for _, a := range f.Accelerators {
-		facts.Accelerators = append(facts.Accelerators, protocol.AcceleratorFacts{
+		facts.Accelerators = append(facts.Accelerators, protocol.AcceleratorSpec{
 			Name: a.Name, MemoryMB: a.MemoryMB, StepFactor: a.StepFactor, ReadFactor: a.ReadFactor,
 		})
 	}
@@ -61,7 +61,7 @@
 
 // enginesOf returns each engine by itself, or an error that names an accelerator that
 // is not described.
-func enginesOf(f *settings.Fleet, facts *protocol.EngineFacts) ([]placement.Engine, error) {
+func enginesOf(f *settings.Fleet, facts *protocol.EngineSpec) ([]placement.Engine, error) {
 	var all []placement.Engine
 	for i, e := range f.Engines {
 		if _, known := facts.Accelerator(e.Accelerator); !known {
--- a/command/demo_setup.go
+++ b/command/demo_setup.go
@@ -37,7 +37,7 @@
 func demoDeployment() settings.Standin {
 	s := settings.Standin{
 		Platform: "127.0.0.1:0", Weights: "127.0.0.1:0",
-		Models:   []protocol.Model{{Name: demoModel, Version: "1", Layers: demoLayers, Open: 600, Context: 4096}},
+		Models:   []protocol.Model{{Name: demoModel, Version: "1", Layers: demoLayers, MaxOpen: 600, Context: 4096}},
 		Operator: settings.OperatorKey{Name: "clerk", Key: "demo-operator"},
 		Services: []protocol.Service{{Name: demoService}},
 	}
--- a/command/fleet.go
+++ b/command/fleet.go
@@ -93,7 +93,7 @@
 			writeSum(t, all[i:])
 		}
 		fmt.Fprintf(t, "  %s\t%s\t%s\t%s\t%s\t%3.0f %%\t%s\n",
-			e.ID, e.Address, e.Accelerator, layersOf(e), e.State, 100*e.Fill, startOf(e))
+			e.ID, e.Address, e.Accelerator, layersOf(e), e.State, 100*e.Utilization, startOf(e))
 	}
 	if err := t.Flush(); err != nil {
 		return err
@@ -125,9 +125,9 @@
 			break
 		}
 		n++
-		if rest[i].State == protocol.EndpointServes {
+		if rest[i].State == protocol.EndpointServing {
 			serve++
-			filled += rest[i].Fill
+			filled += rest[i].Utilization
 		}
 	}
 	fmt.Fprintf(w, "\n%s in %s: %d of %d serve, %.0f %% of their room is taken\n", first.Service, first.DataCenter, serve, n, 100*filled/float64(max(1, serve)))
@@ -152,7 +152,7 @@
 	for l := range layers {
 		n := 0
 		for i := range all {
-			if e := &all[i]; e.State == protocol.EndpointServes && e.From <= l && l < e.To {
+			if e := &all[i]; e.State == protocol.EndpointServing && e.From <= l && l < e.To {
 				n++
 			}
 		}
--- a/command/fleet_test.go
+++ b/command/fleet_test.go
@@ -17,11 +17,11 @@
 var status = protocol.FleetStatus{
 	Entry: "front-1", DataCenter: "a", Routing: 7,
 	Endpoints: []protocol.EndpointStatus{
-		{ID: "e-1", Service: "llm", DataCenter: "b", Address: "10.0.0.1:80", Accelerator: "t4", From: 5, To: 10, State: protocol.EndpointServes, Fill: 0.25},
+		{ID: "e-1", Service: "llm", DataCenter: "b", Address: "10.0.0.1:80", Accelerator: "t4", From: 5, To: 10, State: protocol.EndpointServing, Utilization: 0.25},
 		{ID: "e-2", Service: "llm", DataCenter: "a", Address: "10.0.0.2:80", Accelerator: "l4", From: 4, To: 10, State: protocol.EndpointLost, StartedMS: 1000},
-		{ID: "e-3", Service: "llm", DataCenter: "a", Address: "10.0.0.3:80", Accelerator: "l4", From: 0, To: 4, State: protocol.EndpointServes},
+		{ID: "e-3", Service: "llm", DataCenter: "a", Address: "10.0.0.3:80", Accelerator: "l4", From: 0, To: 4, State: protocol.EndpointServing},
 		{ID: "e-4", Service: "llm", DataCenter: "a", Address: "10.0.0.5:80", Accelerator: "l4", State: protocol.EndpointEmpty, OrderedFrom: 4, OrderedTo: 10},
-		{ID: "p-1", Service: "plain", DataCenter: "a", Address: "10.0.0.4:80", State: protocol.EndpointRests},
+		{ID: "p-1", Service: "plain", DataCenter: "a", Address: "10.0.0.4:80", State: protocol.EndpointEjected},
 	},
 	Waiting: []protocol.WaitingStatus{
 		{Service: "llm", Priority: 0, Team: "desk", Requests: 12, OldestMS: 340}, {Service: "llm", Priority: 2, Team: "batch", Requests: 3, OldestMS: 2100},
--- a/coordination/bound/data_center.go
+++ b/coordination/bound/data_center.go
@@ -64,7 +64,7 @@
 
 // DataCenters returns the bounds of each data center, in order of name. The bounds of a data center
 // that can't hold the complete model are zero.
-func DataCenters(f *protocol.EngineFacts, engines []placement.Engine) []DataCenter {
+func DataCenters(f *protocol.EngineSpec, engines []placement.Engine) []DataCenter {
 	byDataCenter := map[string][]placement.Engine{}
 	var names []string
 	for _, e := range engines {
@@ -81,7 +81,7 @@
 	return all
 }
 
-func evaluateDataCenter(f *protocol.EngineFacts, name string, engines []placement.Engine) DataCenter {
+func evaluateDataCenter(f *protocol.EngineSpec, name string, engines []placement.Engine) DataCenter {
 	layout := layOut(f, slices.Clone(engines))
 	d := DataCenter{name: name, capacity: requestCapacity(f, layout), capacityAfterLoss: math.Inf(1)}
 	for _, e := range layout {
@@ -93,15 +93,15 @@
 	}
 	var seconds float64
 	d.stages, seconds = secondsPerToken(f, layout, d.capacity)
-	d.prefillLimit = Of(f.Layers, prefillRunners(f, layout)).Flow() / float64(f.UsualPrompt)
+	d.prefillLimit = Of(f.Layers, prefillRunners(f, layout)).Flow() / float64(f.TypicalPrompt)
 	if d.prefillLimit > 0 {
-		d.capacityLimit = d.capacity / (1/d.prefillLimit + seconds*float64(f.UsualAnswer))
+		d.capacityLimit = d.capacity / (1/d.prefillLimit + seconds*float64(f.TypicalAnswer))
 	}
 	return d
 }
 
 // layOut assigns layers to the engines as if each order had taken effect.
-func layOut(f *protocol.EngineFacts, engines []placement.Engine) []placement.Engine {
+func layOut(f *protocol.EngineSpec, engines []placement.Engine) []placement.Engine {
 	for range maxPlans {
 		reassignments := placement.Plan(placement.Query{Facts: f, Engines: engines})
 		if len(reassignments) == 0 {
@@ -117,7 +117,7 @@
 
 // requestCapacity returns how many requests of typical size fit beside the weights, limited by the
 // layer whose holders together have the least free memory.
-func requestCapacity(f *protocol.EngineFacts, engines []placement.Engine) float64 {
+func requestCapacity(f *protocol.EngineSpec, engines []placement.Engine) float64 {
 	tokens := make([]float64, f.Layers)
 	for _, e := range engines {
 		a, ok := f.Accelerator(e.Accelerator)
@@ -130,16 +130,16 @@
 			tokens[l] += free
 		}
 	}
-	return slices.Min(tokens) / float64(f.UsualPrompt+f.UsualAnswer)
+	return slices.Min(tokens) / float64(f.TypicalPrompt+f.TypicalAnswer)
 }
 
 // prefillRunners returns the engines as runners whose speed is that of reading prompts.
-func prefillRunners(f *protocol.EngineFacts, engines []placement.Engine) []protocol.Runner {
+func prefillRunners(f *protocol.EngineSpec, engines []placement.Engine) []protocol.Runner {
 	var all []protocol.Runner
 	for _, e := range engines {
 		if a, ok := f.Accelerator(e.Accelerator); ok && e.Held.Layers() > 0 {
 			all = append(all, protocol.Runner{
-				Name: e.ID, From: e.Held.From, To: e.Held.To, Speed: f.ReadPerSecond * float64(f.Layers) / a.ReadFactor,
+				Name: e.ID, From: e.Held.From, To: e.Held.To, Speed: f.PrefillPerSecond * float64(f.Layers) / a.ReadFactor,
 			})
 		}
 	}
@@ -148,7 +148,7 @@
 
 // secondsPerToken returns the number of stages on the fastest path and the duration of a token over
 // it while that many requests are open.
-func secondsPerToken(f *protocol.EngineFacts, engines []placement.Engine, open float64) (stages int, seconds float64) {
+func secondsPerToken(f *protocol.EngineSpec, engines []placement.Engine, open float64) (stages int, seconds float64) {
 	best := make([]float64, f.Layers+1)
 	stageCount := make([]int, f.Layers+1)
 	for l := 1; l <= f.Layers; l++ {
--- a/coordination/bound/data_center_test.go
+++ b/coordination/bound/data_center_test.go
@@ -15,10 +15,10 @@
 )
 
 // smallModel has ten layers of 100 MB. The KV cache of a token takes 0.1 MB in each layer.
-func smallModel() *protocol.EngineFacts {
-	return &protocol.EngineFacts{
-		Layers: 10, LayerMB: 100, TokenLayerMB: 0.1, StepMS: 10, SequenceMS: 0.1, ReadPerSecond: 1000, UsualPrompt: 8, UsualAnswer: 2,
-		Accelerators: []protocol.AcceleratorFacts{{Name: "big", MemoryMB: 2000, StepFactor: 1, ReadFactor: 1}, {Name: "small", MemoryMB: 700, StepFactor: 2, ReadFactor: 4}},
+func smallModel() *protocol.EngineSpec {
+	return &protocol.EngineSpec{
+		Layers: 10, LayerMB: 100, TokenLayerMB: 0.1, StepMS: 10, SequenceMS: 0.1, PrefillPerSecond: 1000, TypicalPrompt: 8, TypicalAnswer: 2,
+		Accelerators: []protocol.AcceleratorSpec{{Name: "big", MemoryMB: 2000, StepFactor: 1, ReadFactor: 1}, {Name: "small", MemoryMB: 700, StepFactor: 2, ReadFactor: 4}},
 	}
 }
 
--- a/coordination/claim/verdict.go
+++ b/coordination/claim/verdict.go
@@ -54,7 +54,7 @@
 		return Reused, existing
 	case existing.Kind == protocol.ClaimSettled:
 		return Settled, existing
-	case existing.Kind == protocol.ClaimDoubtful:
+	case existing.Kind == protocol.ClaimUncertain:
 		return Doubtful, existing
 	case existing.Claimant == r.Claimant:
 		return Granted, existing
--- a/coordination/loss/occupant.go
+++ b/coordination/loss/occupant.go
@@ -29,7 +29,7 @@
 
 // reportsOccupant reports whether a report says which process answers at the endpoint's address.
 func (r *Report) reportsOccupant() bool {
-	return r.observation == protocol.LossMisplaced || r.observation == protocol.LossAnswered && r.occupant != ""
+	return r.observation == protocol.LossMismatch || r.observation == protocol.LossAnswered && r.occupant != ""
 }
 
 // applyOccupant applies a report of the process at an endpoint's address.
--- a/coordination/loss/occupant_test.go
+++ b/coordination/loss/occupant_test.go
@@ -13,7 +13,7 @@
 )
 
 func misplaced(occupant string, ms int) loss.Report {
-	return loss.NewReport("e", "a", protocol.LossMisplaced, at(ms)).WithOccupant(occupant)
+	return loss.NewReport("e", "a", protocol.LossMismatch, at(ms)).WithOccupant(occupant)
 }
 
 func TestOneObserverSufficesForOccupant(t *testing.T) {
@@ -33,7 +33,7 @@
 func TestOccupantReportsAreNotLimited(t *testing.T) {
 	var tracker loss.Tracker
 	for i := range 80 {
-		r := loss.NewReport(fmt.Sprint("e", i), "a", protocol.LossMisplaced, at(0))
+		r := loss.NewReport(fmt.Sprint("e", i), "a", protocol.LossMismatch, at(0))
 		require.Equal(t, loss.OccupantObserved{}, tracker.Apply(r, 80, at(0)))
 	}
 	require.IsType(t, loss.Lost{}, tracker.Apply(loss.NewReport("e0", "a", protocol.LossRefused, at(1)), 80, at(1)), "no endpoint was lost by these reports")
--- a/coordination/path/path_test.go
+++ b/coordination/path/path_test.go
@@ -25,7 +25,7 @@
 		r.Name, r.VM, r.DataCenter, r.Accelerator = fmt.Sprint("r", i), "v", "dc", "a"
 		r.Address, r.Model = "127.0.0.1:1", "m"
 	}
-	c, err := config.NewFromModels(1, []protocol.Model{{Name: "m", Version: "1", Layers: layers, Open: 1, Context: 9}},
+	c, err := config.NewFromModels(1, []protocol.Model{{Name: "m", Version: "1", Layers: layers, MaxOpen: 1, Context: 9}},
 		protocol.Fleet{Name: "dc", Runners: runners})
 	require.NoError(t, err)
 	return fleet.NewViewFromConfig(nil, c, fleet.Entry{Name: "e1", DataCenter: "dc"})
--- a/coordination/placement/evaluator.go
+++ b/coordination/placement/evaluator.go
@@ -12,7 +12,7 @@
 
 // evaluator computes the score of a layout and the terms that it consists of.
 type evaluator struct {
-	facts         *protocol.EngineFacts
+	facts         *protocol.EngineSpec
 	pool          *pool
 	capacity      []float64                 // request capacity of each layer
 	byAccelerator [][]layerTotals           // totals for each accelerator and layer
@@ -56,7 +56,7 @@
 	return e
 }
 
-func newEvaluator(f *protocol.EngineFacts) *evaluator {
+func newEvaluator(f *protocol.EngineSpec) *evaluator {
 	e := &evaluator{
 		facts: f, capacity: make([]float64, f.Layers),
 		byAccelerator: make([][]layerTotals, len(f.Accelerators)),
@@ -69,7 +69,7 @@
 		e.byAccelerator[k] = make([]layerTotals, f.Layers)
 		e.fastestFirst[k] = k
 		for i, capacity := range capacitySteps {
-			e.layersFitting[k][i] = LayerCapacity(f, f.Accelerators[k].MemoryMB, float64((f.UsualPrompt+f.UsualAnswer)*capacity))
+			e.layersFitting[k][i] = LayerCapacity(f, f.Accelerators[k].MemoryMB, float64((f.TypicalPrompt+f.TypicalAnswer)*capacity))
 		}
 	}
 	slices.SortFunc(e.fastestFirst, func(a, b int) int {
@@ -102,7 +102,7 @@
 // the weights of its layers.
 func (e *evaluator) engineCapacity(g *group) float64 {
 	layers := float64(g.span.Layers())
-	tokens := float64(e.facts.UsualPrompt + e.facts.UsualAnswer)
+	tokens := float64(e.facts.TypicalPrompt + e.facts.TypicalAnswer)
 	if layers == 0 || e.facts.TokenLayerMB <= 0 || tokens == 0 {
 		return 0
 	}
@@ -134,10 +134,10 @@
 		}
 	}
 	prefill := 0.0
-	if f.ReadPerSecond > 0 {
-		prefill = perPrompt * float64(f.UsualPrompt) / f.ReadPerSecond
+	if f.PrefillPerSecond > 0 {
+		prefill = perPrompt * float64(f.TypicalPrompt) / f.PrefillPerSecond
 	}
-	return max(1e-6, perToken/1000*float64(f.UsualAnswer)+prefill)
+	return max(1e-6, perToken/1000*float64(f.TypicalAnswer)+prefill)
 }
 
 // scoreAfterLoss returns the score of the layout without one engine of a group. If all layers of
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -42,7 +42,7 @@
 // Query holds everything that a plan depends on. An Urgent query asks only for what can't wait: new
 // layouts, gaps and engines that hold nothing. It asks for no improvements.
 type Query struct {
-	Facts   *protocol.EngineFacts
+	Facts   *protocol.EngineSpec
 	Engines []Engine
 	Urgent  bool
 }
@@ -128,7 +128,7 @@
 
 // LayerCapacity returns how many layers fit into an engine's memory together with the KV cache of
 // that many tokens.
-func LayerCapacity(f *protocol.EngineFacts, memoryMB float64, tokens float64) int {
+func LayerCapacity(f *protocol.EngineSpec, memoryMB float64, tokens float64) int {
 	perLayerMB := f.LayerMB + tokens*f.TokenLayerMB
 	if perLayerMB <= 0 {
 		return 0
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -17,11 +17,11 @@
 
 // facts returns the figures of a typical deployment: 80 layers of 1,750 MB on four kinds of
 // accelerators.
-func facts() *protocol.EngineFacts {
-	return &protocol.EngineFacts{
-		Layers: 80, LayerMB: 1750, TokenLayerMB: 0.007375, UsualPrompt: 772, UsualAnswer: 172,
-		StepMS: 0.85, SequenceMS: 0.0038, ReadPerSecond: 196_000, LoadMS: 14_000,
-		Accelerators: []protocol.AcceleratorFacts{
+func facts() *protocol.EngineSpec {
+	return &protocol.EngineSpec{
+		Layers: 80, LayerMB: 1750, TokenLayerMB: 0.007375, TypicalPrompt: 772, TypicalAnswer: 172,
+		StepMS: 0.85, SequenceMS: 0.0038, PrefillPerSecond: 196_000, LoadMS: 14_000,
+		Accelerators: []protocol.AcceleratorSpec{
 			{Name: "h100", MemoryMB: 72000, StepFactor: 1.4, ReadFactor: 1},
 			{Name: "a100s", MemoryMB: 36000, StepFactor: 3.1, ReadFactor: 3.2},
 			{Name: "l4", MemoryMB: 21600, StepFactor: 16, ReadFactor: 8.2},
@@ -46,12 +46,12 @@
 
 // fitsModel reports whether the engines of a data center can hold the complete model with the
 // smallest request capacity. Only then does the data center get a replica of its own.
-func fitsModel(f *protocol.EngineFacts, engines []placement.Engine, center string) bool {
+func fitsModel(f *protocol.EngineSpec, engines []placement.Engine, center string) bool {
 	const minRequestCapacity = 4
 	sum := 0
 	for _, e := range engines {
 		if a, ok := f.Accelerator(e.Accelerator); ok && e.DataCenter == center && !e.Leaving {
-			sum += placement.LayerCapacity(f, a.MemoryMB, float64((f.UsualPrompt+f.UsualAnswer)*minRequestCapacity))
+			sum += placement.LayerCapacity(f, a.MemoryMB, float64((f.TypicalPrompt+f.TypicalAnswer)*minRequestCapacity))
 		}
 	}
 	return sum >= f.Layers
@@ -59,7 +59,7 @@
 
 // holdersOfReplicas returns how many engines hold each layer of each replica. If both data centers
 // are too small for a replica of their own, either may hold the layers of the common one.
-func holdersOfReplicas(f *protocol.EngineFacts, engines []placement.Engine) []int {
+func holdersOfReplicas(f *protocol.EngineSpec, engines []placement.Engine) []int {
 	a, b := holders(f, engines, "a"), holders(f, engines, "b")
 	if fitsModel(f, engines, "a") || fitsModel(f, engines, "b") {
 		return append(a, b...)
@@ -71,7 +71,7 @@
 }
 
 // hasGap reports whether the replica that a layer belongs to has a layer without a holder.
-func hasGap(f *protocol.EngineFacts, counts []int, l int) bool {
+func hasGap(f *protocol.EngineSpec, counts []int, l int) bool {
 	first := l - l%f.Layers
 	return slices.Contains(counts[first:first+f.Layers], 0)
 }
@@ -104,7 +104,7 @@
 }
 
 // holders returns how many engines of a data center hold each layer.
-func holders(f *protocol.EngineFacts, engines []placement.Engine, center string) []int {
+func holders(f *protocol.EngineSpec, engines []placement.Engine, center string) []int {
 	counts := make([]int, f.Layers)
 	for _, e := range engines {
 		if e.DataCenter != center || e.Leaving {
@@ -117,7 +117,7 @@
 	return counts
 }
 
-func requireFits(t require.TestingT, f *protocol.EngineFacts, engines []placement.Engine) {
+func requireFits(t require.TestingT, f *protocol.EngineSpec, engines []placement.Engine) {
 	for _, e := range engines {
 		a, ok := f.Accelerator(e.Accelerator)
 		require.True(t, ok)
--- a/coordination/placement/pool.go
+++ b/coordination/placement/pool.go
@@ -16,7 +16,7 @@
 // pool is a set of engines that hold replicas of the model together: the engines of one data
 // center, or those of all data centers that are too small for a replica of their own.
 type pool struct {
-	facts          *protocol.EngineFacts
+	facts          *protocol.EngineSpec
 	layers         int
 	fastestFirst   bool // sort engines by speed, not by memory
 	engines        []member
@@ -74,13 +74,13 @@
 
 // newPool returns a pool of the engines with the layers that they hold. It skips engines whose
 // accelerator is unknown.
-func newPool(f *protocol.EngineFacts, engines []Engine) *pool {
+func newPool(f *protocol.EngineSpec, engines []Engine) *pool {
 	p := &pool{
 		facts: f, layers: f.Layers, holders: make([]int, f.Layers), servingHolders: make([]int, f.Layers),
 		engines: make([]member, 0, len(engines)),
 	}
 	for _, e := range engines {
-		k := slices.IndexFunc(f.Accelerators, func(a protocol.AcceleratorFacts) bool { return a.Name == e.Accelerator })
+		k := slices.IndexFunc(f.Accelerators, func(a protocol.AcceleratorSpec) bool { return a.Name == e.Accelerator })
 		if k < 0 {
 			continue
 		}
@@ -111,7 +111,7 @@
 // layerCapacity returns how many layers an engine with that much memory can hold beside the KV
 // cache of that many requests of typical size.
 func (p *pool) layerCapacity(memoryMB float64, requests int) int {
-	return LayerCapacity(p.facts, memoryMB, float64((p.facts.UsualPrompt+p.facts.UsualAnswer)*requests))
+	return LayerCapacity(p.facts, memoryMB, float64((p.facts.TypicalPrompt+p.facts.TypicalAnswer)*requests))
 }
 
 // empty reports whether no engine holds or loads any layer.
--- a/coordination/placement/reference_test.go
+++ b/coordination/placement/reference_test.go
@@ -118,10 +118,10 @@
 // over groups must equal the score that the reference computes from the single engines.
 func TestGroupScoreMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &protocol.EngineFacts{
-			Layers: rapid.IntRange(2, 12).Draw(t, "layers"), LayerMB: 1750, TokenLayerMB: 0.007375, UsualPrompt: 733, UsualAnswer: 224,
-			StepMS: 1.02, SequenceMS: 0.00459, ReadPerSecond: 164_000, LoadMS: 14_000, LoadsAtOnce: 6,
-			Accelerators: []protocol.AcceleratorFacts{
+		f := &protocol.EngineSpec{
+			Layers: rapid.IntRange(2, 12).Draw(t, "layers"), LayerMB: 1750, TokenLayerMB: 0.007375, TypicalPrompt: 733, TypicalAnswer: 224,
+			StepMS: 1.02, SequenceMS: 0.00459, PrefillPerSecond: 164_000, LoadMS: 14_000, LoadsAtOnce: 6,
+			Accelerators: []protocol.AcceleratorSpec{
 				{Name: "large", MemoryMB: 14400, StepFactor: 2.4, ReadFactor: 3.2},
 				{Name: "small", MemoryMB: 7200, StepFactor: 16, ReadFactor: 8.2},
 			},
--- a/coordination/placement/score.go
+++ b/coordination/placement/score.go
@@ -90,7 +90,7 @@
 }
 
 // Evaluate evaluates the layout of one pool of engines.
-func Evaluate(f *protocol.EngineFacts, engines []Engine) Evaluation {
+func Evaluate(f *protocol.EngineSpec, engines []Engine) Evaluation {
 	p := newPool(f, engines)
 	e := p.evaluate()
 	capacity := e.minCapacity()
--- a/coordination/placement/score_test.go
+++ b/coordination/placement/score_test.go
@@ -15,11 +15,11 @@
 )
 
 // slowLargeFacts returns the figures of a deployment whose largest engines are not the fastest.
-func slowLargeFacts() *protocol.EngineFacts {
-	return &protocol.EngineFacts{
-		Layers: 80, LayerMB: 1750, TokenLayerMB: 0.007375, UsualPrompt: 733, UsualAnswer: 224,
-		StepMS: 1.02, SequenceMS: 0.00459, ReadPerSecond: 164_000, LoadMS: 14_000, LoadsAtOnce: 6,
-		Accelerators: []protocol.AcceleratorFacts{
+func slowLargeFacts() *protocol.EngineSpec {
+	return &protocol.EngineSpec{
+		Layers: 80, LayerMB: 1750, TokenLayerMB: 0.007375, TypicalPrompt: 733, TypicalAnswer: 224,
+		StepMS: 1.02, SequenceMS: 0.00459, PrefillPerSecond: 164_000, LoadMS: 14_000, LoadsAtOnce: 6,
+		Accelerators: []protocol.AcceleratorSpec{
 			{Name: "h100", MemoryMB: 72000, StepFactor: 2.4, ReadFactor: 3.2},
 			{Name: "a100s", MemoryMB: 14400, StepFactor: 5.3, ReadFactor: 7.9},
 			{Name: "l4", MemoryMB: 21600, StepFactor: 16, ReadFactor: 8.2},
@@ -28,7 +28,7 @@
 }
 
 // settle applies plans until nothing is left to do.
-func settle(t require.TestingT, f *protocol.EngineFacts, engines []placement.Engine) {
+func settle(t require.TestingT, f *protocol.EngineSpec, engines []placement.Engine) {
 	for range 100 {
 		reassignments := placement.Plan(placement.Query{Facts: f, Engines: engines})
 		if len(reassignments) == 0 {
--- a/coordination/placement/spare_test.go
+++ b/coordination/placement/spare_test.go
@@ -14,10 +14,10 @@
 // halfReplicated returns a query with a model of eight layers. One engine alone holds the first
 // half, two engines hold the second.
 func halfReplicated() placement.Query {
-	f := &protocol.EngineFacts{
-		Layers: 8, LayerMB: 1000, TokenLayerMB: 0.01, UsualPrompt: 700, UsualAnswer: 200, StepMS: 1, SequenceMS: 0.01,
-		ReadPerSecond: 200_000, LoadMS: 8000, LoadsAtOnce: 16,
-		Accelerators: []protocol.AcceleratorFacts{{Name: "l4", MemoryMB: 6000, StepFactor: 1, ReadFactor: 1}},
+	f := &protocol.EngineSpec{
+		Layers: 8, LayerMB: 1000, TokenLayerMB: 0.01, TypicalPrompt: 700, TypicalAnswer: 200, StepMS: 1, SequenceMS: 0.01,
+		PrefillPerSecond: 200_000, LoadMS: 8000, LoadsAtOnce: 16,
+		Accelerators: []protocol.AcceleratorSpec{{Name: "l4", MemoryMB: 6000, StepFactor: 1, ReadFactor: 1}},
 	}
 	q := placement.Query{Facts: f}
 	add := func(id string, from, to int) {
--- a/coordination/plan/intent.go
+++ b/coordination/plan/intent.go
@@ -97,7 +97,7 @@
 
 // team returns the team that an add_team intent describes, with defaults.
 func (w *wireIntent) team() protocol.Team {
-	t := protocol.Team{Name: w.Team, KeyHashes: []string{w.KeyHash}, Share: 1, Open: defaultOpenLimit}
+	t := protocol.Team{Name: w.Team, KeyHashes: []string{w.KeyHash}, Share: 1, MaxOpen: defaultOpenLimit}
 	if w.Share != nil {
 		t.Share = *w.Share
 	}
@@ -105,7 +105,7 @@
 		t.Priority = *w.Priority
 	}
 	if w.Open != nil {
-		t.Open = *w.Open
+		t.MaxOpen = *w.Open
 	}
 	return t
 }
@@ -129,13 +129,13 @@
 		t.Priority = *i.Priority
 	}
 	if i.Open != nil {
-		t.Open = *i.Open
+		t.MaxOpen = *i.Open
 	}
 	return d.put(protocol.TeamPart, t.Name, describeTeam(before), describeTeam(t), t)
 }
 
 func describeTeam(t protocol.Team) string {
-	return fmt.Sprintf("share %g, priority %d, %d open", t.Share, t.Priority, t.Open)
+	return fmt.Sprintf("share %g, priority %d, %d open", t.Share, t.Priority, t.MaxOpen)
 }
 
 func (i AddTeam) edit(d *draft) error {
--- a/coordination/plan/plan.go
+++ b/coordination/plan/plan.go
@@ -103,7 +103,7 @@
 	}
 	after, err := p.result(c)
 	if err != nil {
-		return nil, protocol.Refuse(protocol.MalformedRequest, "the result would not be valid").Because(err)
+		return nil, protocol.Refuse(protocol.MalformedRequest, "the result would not be valid").WithCause(err)
 	}
 	if err := p.effects(c, after); err != nil {
 		return nil, err
--- a/coordination/plan/plan_test.go
+++ b/coordination/plan/plan_test.go
@@ -24,7 +24,7 @@
 			Model: "fares", From: from, To: to, Speed: 100,
 		}
 	}
-	c, err := config.NewFromModels(1, []protocol.Model{{Name: "fares", Version: "1", Layers: 4, Open: 5, Context: 99}},
+	c, err := config.NewFromModels(1, []protocol.Model{{Name: "fares", Version: "1", Layers: 4, MaxOpen: 5, Context: 99}},
 		protocol.Fleet{Name: "dc", Runners: []protocol.Runner{
 			runner("a", "v1", 0, 2), runner("b", "v2", 0, 2), runner("c", "v3", 2, 4),
 		}})
--- a/coordination/quarantine/later_stage_test.go
+++ b/coordination/quarantine/later_stage_test.go
@@ -18,7 +18,7 @@
 	h.now = h.now.Add(time.Second)
 	h.tracker.RecordCrash(endpoint, 1, h.now)
 	for _, f := range works {
-		h.report(protocol.WorkBrokeBehind, f, endpoint, "entry")
+		h.report(protocol.WorkBrokeAtLaterStage, f, endpoint, "entry")
 	}
 	h.now = h.now.Add(afterSettling)
 }
@@ -56,7 +56,7 @@
 func TestSilentLaterStagesDoNotCount(t *testing.T) {
 	h, work := newHarness(), fingerprint(0)
 	for i := range 4 {
-		h.report(protocol.WorkBrokeBehind, work, fmt.Sprint("e-", i), "entry")
+		h.report(protocol.WorkBrokeAtLaterStage, work, fmt.Sprint("e-", i), "entry")
 	}
 	require.IsType(t, quarantine.Unrestricted{}, h.status(work))
 }
--- a/coordination/quarantine/model_test.go
+++ b/coordination/quarantine/model_test.go
@@ -51,7 +51,7 @@
 
 func (m *model) report(observation protocol.WorkObservation, work, endpoint int) {
 	m.now = m.now.Add(time.Millisecond)
-	message := protocol.RelayWork{
+	message := protocol.WorkReport{
 		Work: fingerprint(work), Endpoint: fmt.Sprint(endpoint), Incarnation: m.incarnations[endpoint], Observer: "entry", Observation: observation,
 	}
 	m.tracker.Apply(quarantine.NewReport(message, m.now), m.now)
@@ -133,7 +133,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"":                     m.check,
 			"fails":                func(t *rapid.T) { m.failAt(t, protocol.WorkBroke) },
-			"fails at later stage": func(t *rapid.T) { m.failAt(t, protocol.WorkBrokeBehind) },
+			"fails at later stage": func(t *rapid.T) { m.failAt(t, protocol.WorkBrokeAtLaterStage) },
 			"crashes":              m.crash,
 			"answers":              m.answerProbe,
 			"succeeds":             m.succeed,
--- a/coordination/quarantine/report.go
+++ b/coordination/quarantine/report.go
@@ -21,7 +21,7 @@
 
 // NewReport returns the report of an observer. The time is by the clock of the entry that holds the
 // report.
-func NewReport(message protocol.RelayWork, at time.Time) Report {
+func NewReport(message protocol.WorkReport, at time.Time) Report {
 	return Report{work: message.Work, observation: message.Observation, endpoint: message.Endpoint, incarnation: message.Incarnation, observer: message.Observer, at: at}
 }
 
@@ -33,9 +33,9 @@
 }
 
 // Message returns the report as the message that is sent to other entries at a time.
-func (r *Report) Message(now time.Time) protocol.RelayWork {
+func (r *Report) Message(now time.Time) protocol.WorkReport {
 	const perMS = float64(time.Millisecond)
-	return protocol.RelayWork{
+	return protocol.WorkReport{
 		Work: r.work, Observation: r.observation, Endpoint: r.endpoint, Incarnation: r.incarnation, Observer: r.observer,
 		AgoMS: max(0, float64(now.Sub(r.at))/perMS),
 	}
--- a/coordination/quarantine/simulation_test.go
+++ b/coordination/quarantine/simulation_test.go
@@ -201,7 +201,7 @@
 	switch r.entry.tracker.Status(r.work, sim.now).(type) {
 	case quarantine.PreferIsolation, quarantine.RequireIsolation:
 		r.isolated = true
-		sim.broadcast(r, protocol.WorkTried)
+		sim.broadcast(r, protocol.WorkIsolatedRun)
 	}
 	incarnation, attempts := e.incarnation, r.attempts
 	running := func() bool { return r.engine == e && e.incarnation == incarnation && r.attempts == attempts }
@@ -278,12 +278,12 @@
 func (sim *simulation) endIsolatedRun(r *simRequest) {
 	if r.isolated {
 		r.isolated = false
-		sim.broadcast(r, protocol.WorkTrialOver)
+		sim.broadcast(r, protocol.WorkIsolatedRunOver)
 	}
 }
 
 func (sim *simulation) report(r *simRequest, observation protocol.WorkObservation) quarantine.Report {
-	return quarantine.NewReport(protocol.RelayWork{
+	return quarantine.NewReport(protocol.WorkReport{
 		Work: r.work, Endpoint: r.engine.id, Incarnation: r.engine.incarnation, Observer: r.entry.name, Observation: observation,
 	}, sim.now)
 }
--- a/coordination/quarantine/tracker.go
+++ b/coordination/quarantine/tracker.go
@@ -107,13 +107,13 @@
 		return false
 	}
 	switch r.observation {
-	case protocol.WorkBroke, protocol.WorkBrokeBehind:
+	case protocol.WorkBroke, protocol.WorkBrokeAtLaterStage:
 		return t.recordFailure(&r, now)
 	case protocol.WorkRan:
 		return t.recordSuccess(&r)
-	case protocol.WorkTried:
+	case protocol.WorkIsolatedRun:
 		return t.startIsolatedRun(&r, now)
-	case protocol.WorkTrialOver:
+	case protocol.WorkIsolatedRunOver:
 		return t.endIsolatedRun(&r)
 	default:
 		return false
@@ -134,7 +134,7 @@
 	if len(w.failures) >= maxCrashesPerWork {
 		t.dropOldestFailure(r.work, w)
 	}
-	fail := failure{at: r.at, confirmed: t.exits[r.endpoint].covers(r.incarnation, r.at), laterStage: r.observation == protocol.WorkBrokeBehind}
+	fail := failure{at: r.at, confirmed: t.exits[r.endpoint].covers(r.incarnation, r.at), laterStage: r.observation == protocol.WorkBrokeAtLaterStage}
 	if r.unresolved {
 		fail.unresolvedUntil = r.at.Add(UnresolvedTimeout)
 	}
--- a/coordination/quarantine/tracker_test.go
+++ b/coordination/quarantine/tracker_test.go
@@ -39,7 +39,7 @@
 
 // report applies an observation of an entry about work at an endpoint, made now.
 func (h *harness) report(observation protocol.WorkObservation, work protocol.Fingerprint, endpoint, observer string) bool {
-	return h.tracker.Apply(quarantine.NewReport(protocol.RelayWork{Work: work, Endpoint: endpoint, Incarnation: 1, Observer: observer, Observation: observation}, h.now), h.now)
+	return h.tracker.Apply(quarantine.NewReport(protocol.WorkReport{Work: work, Endpoint: endpoint, Incarnation: 1, Observer: observer, Observation: observation}, h.now), h.now)
 }
 
 // crash crashes an endpoint that runs some work, and waits until all reports may have arrived.
@@ -137,7 +137,7 @@
 func TestCrashOfEarlierIncarnationConfirmsNothing(t *testing.T) {
 	h, work := newHarness(), fingerprint(0)
 	h.tracker.RecordCrash("e-1", 1, h.now)
-	h.tracker.Apply(quarantine.NewReport(protocol.RelayWork{Work: work, Endpoint: "e-1", Incarnation: 2, Observer: "entry", Observation: protocol.WorkBroke}, h.now), h.now)
+	h.tracker.Apply(quarantine.NewReport(protocol.WorkReport{Work: work, Endpoint: "e-1", Incarnation: 2, Observer: "entry", Observation: protocol.WorkBroke}, h.now), h.now)
 	h.now = h.now.Add(10 * time.Second)
 	require.IsType(t, quarantine.Unrestricted{}, h.status(work))
 }
@@ -151,7 +151,7 @@
 	old := h.now
 	h.now = h.now.Add(time.Second)
 	require.True(t, h.report(protocol.WorkRan, work, "e-9", "entry"))
-	late := protocol.RelayWork{Work: work, Endpoint: "e-3", Incarnation: 1, Observer: "other", Observation: protocol.WorkBroke}
+	late := protocol.WorkReport{Work: work, Endpoint: "e-3", Incarnation: 1, Observer: "other", Observation: protocol.WorkBroke}
 	require.False(t, h.tracker.Apply(quarantine.NewReport(late, old), h.now))
 	require.IsType(t, quarantine.Unrestricted{}, h.status(work))
 	require.False(t, h.report(protocol.WorkRan, fingerprint(7), "e-9", "entry"), "work that is not suspected")
@@ -161,7 +161,7 @@
 	h, work := newHarness(), fingerprint(0)
 	before := h.now
 	h.crash("e-1", work)
-	ran := protocol.RelayWork{Work: work, Endpoint: "e-2", Incarnation: 1, Observer: "other", Observation: protocol.WorkRan}
+	ran := protocol.WorkReport{Work: work, Endpoint: "e-2", Incarnation: 1, Observer: "other", Observation: protocol.WorkRan}
 	require.False(t, h.tracker.Apply(quarantine.NewReport(ran, before), h.now))
 	require.IsType(t, quarantine.PreferIsolation{}, h.status(work))
 }
@@ -197,7 +197,7 @@
 
 func TestReportFromFutureIsIgnored(t *testing.T) {
 	h, work := newHarness(), fingerprint(0)
-	message := protocol.RelayWork{Work: work, Endpoint: "e", Incarnation: 1, Observer: "entry", Observation: protocol.WorkBroke}
+	message := protocol.WorkReport{Work: work, Endpoint: "e", Incarnation: 1, Observer: "entry", Observation: protocol.WorkBroke}
 	require.False(t, h.tracker.Apply(quarantine.NewReport(message, h.now.Add(time.Second)), h.now))
 	require.True(t, h.tracker.Empty())
 }
@@ -238,16 +238,16 @@
 	h, work, other := newHarness(), fingerprint(0), fingerprint(1)
 	h.crash("e-1", work, other)
 	h.crash("e-2", work, other)
-	require.True(t, h.report(protocol.WorkTried, work, "e-3", "entry"))
-	require.False(t, h.report(protocol.WorkTried, work, "e-3", "entry"), "already known")
+	require.True(t, h.report(protocol.WorkIsolatedRun, work, "e-3", "entry"))
+	require.False(t, h.report(protocol.WorkIsolatedRun, work, "e-3", "entry"), "already known")
 	require.Equal(t, []string{"e-3"}, h.tracker.ReservedEndpoints(other, h.now))
 	require.Empty(t, h.tracker.ReservedEndpoints(work, h.now))
 	require.IsType(t, quarantine.Waiting{}, h.status(work), "one isolated run at a time")
 	require.IsType(t, quarantine.RequireIsolation{}, h.status(other))
-	require.False(t, h.report(protocol.WorkTrialOver, work, "e-3", "another"), "isolated run of another entry")
-	require.True(t, h.report(protocol.WorkTrialOver, work, "e-3", "entry"))
+	require.False(t, h.report(protocol.WorkIsolatedRunOver, work, "e-3", "another"), "isolated run of another entry")
+	require.True(t, h.report(protocol.WorkIsolatedRunOver, work, "e-3", "entry"))
 	require.Empty(t, h.tracker.ReservedEndpoints(other, h.now))
-	h.report(protocol.WorkTried, work, "e-3", "entry")
+	h.report(protocol.WorkIsolatedRun, work, "e-3", "entry")
 	h.now = h.now.Add(time.Minute)
 	require.Empty(t, h.tracker.ReservedEndpoints(other, h.now), "the end of an isolated run may not be reported")
 }
--- a/coordination/quarantine/unresolved_test.go
+++ b/coordination/quarantine/unresolved_test.go
@@ -76,7 +76,7 @@
 	} {
 		h, work := newHarness(), fingerprint(0)
 		for _, e := range []string{"e-1", "e-2"} {
-			message := protocol.RelayWork{Work: work, Endpoint: e, Incarnation: 1, Observer: "entry", Observation: protocol.WorkBroke}
+			message := protocol.WorkReport{Work: work, Endpoint: e, Incarnation: 1, Observer: "entry", Observation: protocol.WorkBroke}
 			h.tracker.Apply(quarantine.NewReport(message, h.now.Add(-ago)).AsUnresolved(), h.now)
 		}
 		require.IsType(t, status, h.status(work), ago)
--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -87,7 +87,7 @@
 // precedes reports whether the entry self may follow the entry r, because r ranks before it and
 // accepts peers.
 func precedes(r, self protocol.EntryRecord) bool {
-	return r.Name != self.Name && r.Peers != "" && compareRank(r, self) < 0
+	return r.Name != self.Name && r.PeerAddress != "" && compareRank(r, self) < 0
 }
 
 // leadingOfEach returns the first entries of each data center among ranked entries, in order of
--- a/coordination/relay/relay_test.go
+++ b/coordination/relay/relay_test.go
@@ -18,7 +18,7 @@
 	var all []protocol.EntryRecord
 	for i := range n {
 		all = append(all, protocol.EntryRecord{
-			Name: fmt.Sprint("e-", i), DataCenter: fmt.Sprint("dc-", i%3), Peers: fmt.Sprint("10.0.0.", i, ":1"),
+			Name: fmt.Sprint("e-", i), DataCenter: fmt.Sprint("dc-", i%3), PeerAddress: fmt.Sprint("10.0.0.", i, ":1"),
 			MemoryMB: float64(100 * (i % 2)),
 		})
 	}
@@ -96,7 +96,7 @@
 func TestEntryWithoutAddressIsNotFollowed(t *testing.T) {
 	all := records(10)
 	for i := range all[1:] {
-		all[i+1].Peers = ""
+		all[i+1].PeerAddress = ""
 	}
 	for _, m := range all[1:] {
 		require.LessOrEqual(t, len(relay.Candidates(m, all)), 1)
--- a/coordination/relay/seed.go
+++ b/coordination/relay/seed.go
@@ -12,7 +12,7 @@
 // data center, in order of rank. An entry that knows the seed entries does not need to know the
 // others.
 func SeedEntries(records []protocol.EntryRecord) []protocol.EntryRecord {
-	ranked := slices.DeleteFunc(slices.Clone(records), func(r protocol.EntryRecord) bool { return r.Peers == "" })
+	ranked := slices.DeleteFunc(slices.Clone(records), func(r protocol.EntryRecord) bool { return r.PeerAddress == "" })
 	slices.SortFunc(ranked, compareRank)
 	return leadingOfEach(ranked, maxOwnCandidates)
 }
--- a/coordination/reroute/reroute_test.go
+++ b/coordination/reroute/reroute_test.go
@@ -26,7 +26,7 @@
 	runners := make([]protocol.Runner, len(spans))
 	for i, s := range spans {
 		runners[i] = protocol.Runner{
-			Name: name(i), Model: model, From: s.From, To: s.To, Speed: 1e6, Step: 1e-5, Room: 1e4, Address: name(i),
+			Name: name(i), Model: model, From: s.From, To: s.To, Speed: 1e6, StepSeconds: 1e-5, Capacity: 1e4, Address: name(i),
 		}
 	}
 	return fleet.NewView(nil, []protocol.Model{{Name: model, Layers: layers}}, runners, fleet.Entry{Name: "e1"})
--- a/coordination/reroute/tracker.go
+++ b/coordination/reroute/tracker.go
@@ -99,10 +99,10 @@
 		return Unresolved
 	}
 	switch answer.(type) {
-	case protocol.PathTaken:
+	case protocol.PathAccepted:
 		t.progress = idle
 		return PathChanged
-	case protocol.PathUnfit:
+	case protocol.PathStageUnavailable:
 		t.progress = idle
 		if t.orders < maxOrders {
 			return RetryChange
--- a/coordination/reroute/tracker_test.go
+++ b/coordination/reroute/tracker_test.go
@@ -56,14 +56,14 @@
 	}
 	require.Zero(t, s.resends, "the path changes while the request runs over another path")
 	if rapid.Bool().Draw(t, "unfit") {
-		s.answer(protocol.PathUnfit{Address: "a"})
+		s.answer(protocol.PathStageUnavailable{Address: "a"})
 		return
 	}
 	s.changes++
 	if rapid.Bool().Draw(t, "answer lost") {
 		s.answer(protocol.PathUnanswered{Cause: errLost})
 	} else {
-		s.answer(protocol.PathTaken{})
+		s.answer(protocol.PathAccepted{})
 	}
 }
 
@@ -150,10 +150,10 @@
 func TestUnfitStageIsReplacedOnce(t *testing.T) {
 	var tracker reroute.Tracker
 	tracker.Start(&path.Path{})
-	require.Equal(t, reroute.RetryChange, tracker.HandleAnswer(protocol.PathUnfit{}, now))
+	require.Equal(t, reroute.RetryChange, tracker.HandleAnswer(protocol.PathStageUnavailable{}, now))
 	require.True(t, tracker.CanStart())
 	tracker.Start(&path.Path{})
-	require.Equal(t, reroute.Abandoned, tracker.HandleAnswer(protocol.PathUnfit{}, now))
+	require.Equal(t, reroute.Abandoned, tracker.HandleAnswer(protocol.PathStageUnavailable{}, now))
 	require.False(t, tracker.CanStart())
 }
 
--- a/coordination/slow/simulation_test.go
+++ b/coordination/slow/simulation_test.go
@@ -43,7 +43,7 @@
 	for stage := range simStages {
 		for replica := range replicasPerStage {
 			name := fmt.Sprintf("%d-%d", stage, replica)
-			runners = append(runners, protocol.Runner{Name: name, Model: "m", From: stage, To: stage + 1, Speed: 1e5, Step: stageTime.Seconds() / 100})
+			runners = append(runners, protocol.Runner{Name: name, Model: "m", From: stage, To: stage + 1, Speed: 1e5, StepSeconds: stageTime.Seconds() / 100})
 			sim.slow[name] = stage < 3 && replica == 0 // three of 24 engines
 		}
 	}
@@ -91,8 +91,8 @@
 func (sim *simulation) probe(r *fleet.Runner, now time.Time) {
 	sim.probes++
 	sim.lastNumber++
-	report := slow.NewReport(protocol.RelaySlow{
-		Endpoint: r.Name(), Observer: "one", Number: sim.lastNumber, Observation: protocol.SlowTold, Pace: sim.slowdown(r.Name(), now.Add(-reportDelay)),
+	report := slow.NewReport(protocol.SlownessReport{
+		Endpoint: r.Name(), Observer: "one", Number: sim.lastNumber, Observation: protocol.SlowReported, Slowdown: sim.slowdown(r.Name(), now.Add(-reportDelay)),
 	}, now.Add(-reportDelay))
 	switch change := sim.tracker.Apply(report, now).(type) {
 	case slow.Slow:
--- a/coordination/slow/slow.go
+++ b/coordination/slow/slow.go
@@ -63,17 +63,17 @@
 
 // NewReport returns the report of an observer. The time is by the clock of the entry that holds the
 // report; AgoMS of the message is not used.
-func NewReport(message protocol.RelaySlow, at time.Time) Report {
+func NewReport(message protocol.SlownessReport, at time.Time) Report {
 	return Report{
 		endpoint: message.Endpoint, incarnation: message.Incarnation, observer: message.Observer, number: message.Number, observation: message.Observation,
-		slowdown: min(message.Pace, protocol.MaxPace), at: at,
+		slowdown: min(message.Slowdown, protocol.MaxSlowdown), at: at,
 	}
 }
 
 // Message returns the report as the message that is sent to other entries at a time.
-func (r Report) Message(now time.Time) protocol.RelaySlow {
-	return protocol.RelaySlow{
-		Endpoint: r.endpoint, Incarnation: r.incarnation, Observer: r.observer, Number: r.number, Observation: r.observation, Pace: r.slowdown,
+func (r Report) Message(now time.Time) protocol.SlownessReport {
+	return protocol.SlownessReport{
+		Endpoint: r.endpoint, Incarnation: r.incarnation, Observer: r.observer, Number: r.number, Observation: r.observation, Slowdown: r.slowdown,
 		AgoMS: max(0, float64(now.Sub(r.at))/float64(time.Millisecond)),
 	}
 }
@@ -92,7 +92,7 @@
 
 // isSlow reports whether the report makes an endpoint slow.
 func (r *Report) isSlow() bool {
-	if r.observation == protocol.SlowSeen {
+	if r.observation == protocol.SlowMeasured {
 		return r.slowdown >= measuredSlowThreshold
 	}
 	return r.slowdown >= reportedSlowThreshold
@@ -100,7 +100,7 @@
 
 // isNormal reports whether the report makes an endpoint normal.
 func (r *Report) isNormal() bool {
-	if r.observation == protocol.SlowSeen {
+	if r.observation == protocol.SlowMeasured {
 		return r.slowdown <= measuredNormalThreshold
 	}
 	return r.slowdown < reportedNormalThreshold
@@ -207,7 +207,7 @@
 		return s.applyWhileSlow(r, now)
 	case !r.isSlow():
 		return s.clearSuspicion(r)
-	case r.observation == protocol.SlowSeen:
+	case r.observation == protocol.SlowMeasured:
 		return s.countLateResponse(r)
 	default:
 		return s.markSlow(r)
@@ -255,7 +255,7 @@
 // update records that the endpoint is as slow as the report says. A pending response only gives a
 // lower bound of the slowdown.
 func (s *endpointState) update(r *Report) Change {
-	if r.observation == protocol.SlowTold || r.slowdown > s.slowdown {
+	if r.observation == protocol.SlowReported || r.slowdown > s.slowdown {
 		s.slowdown = max(r.slowdown, reportedSlowThreshold)
 	}
 	s.lastReport = r.at
@@ -271,9 +271,9 @@
 			return NoChange{}
 		}
 		return s.markRecovered(r, now)
-	case r.observation == protocol.SlowSeen && !r.isSlow():
+	case r.observation == protocol.SlowMeasured && !r.isSlow():
 		return NoChange{}
-	case r.at.Sub(s.lastReport) >= renewInterval, r.slowdown > s.slowdown*slowdownChangeFactor, r.observation == protocol.SlowTold && r.slowdown < s.slowdown/slowdownChangeFactor:
+	case r.at.Sub(s.lastReport) >= renewInterval, r.slowdown > s.slowdown*slowdownChangeFactor, r.observation == protocol.SlowReported && r.slowdown < s.slowdown/slowdownChangeFactor:
 		return s.update(r)
 	default:
 		return NoChange{}
--- a/coordination/slow/slow_test.go
+++ b/coordination/slow/slow_test.go
@@ -27,17 +27,17 @@
 		r.numbers = map[string]uint64{}
 	}
 	r.numbers[observer]++
-	return slow.NewReport(protocol.RelaySlow{
-		Endpoint: "e", Observer: observer, Number: r.numbers[observer], Observation: observation, Incarnation: incarnation, Pace: slowdown,
+	return slow.NewReport(protocol.SlownessReport{
+		Endpoint: "e", Observer: observer, Number: r.numbers[observer], Observation: observation, Incarnation: incarnation, Slowdown: slowdown,
 	}, at(ms))
 }
 
 func (r *reporter) reported(slowdown float64, ms int) slow.Report {
-	return r.report("a", protocol.SlowTold, 0, slowdown, ms)
+	return r.report("a", protocol.SlowReported, 0, slowdown, ms)
 }
 
 func (r *reporter) measured(slowdown float64, ms int) slow.Report {
-	return r.report("a", protocol.SlowSeen, 0, slowdown, ms)
+	return r.report("a", protocol.SlowMeasured, 0, slowdown, ms)
 }
 
 // TestReportedSlowdown applies a sequence of slowdowns that an endpoint reports.
@@ -72,7 +72,7 @@
 	var r reporter
 	require.Equal(t, slow.NoChange{}, tracker.Apply(r.measured(2.9, 0), at(0)))
 	require.Equal(t, slow.Suspected{}, tracker.Apply(r.measured(4, 10), at(10)))
-	change := tracker.Apply(r.report("b", protocol.SlowSeen, 0, 5, 200), at(210))
+	change := tracker.Apply(r.report("b", protocol.SlowMeasured, 0, 5, 200), at(210))
 	found, ok := change.(slow.Slow)
 	require.True(t, ok)
 	require.InDelta(t, 5, found.Slowdown(), 1e-9)
@@ -107,10 +107,10 @@
 func TestNewIncarnationStartsNormal(t *testing.T) {
 	var tracker slow.Tracker
 	var r reporter
-	require.IsType(t, slow.Slow{}, tracker.Apply(r.report("a", protocol.SlowTold, 1000, 12, 0), at(0)))
-	require.Equal(t, slow.Recovered{}, tracker.Apply(r.report("a", protocol.SlowTold, 2000, 1, 100), at(100)), "at once")
-	require.Equal(t, slow.NoChange{}, tracker.Apply(r.report("b", protocol.SlowTold, 1000, 12, 120), at(120)), "of the earlier incarnation")
-	require.IsType(t, slow.Slow{}, tracker.Apply(r.report("b", protocol.SlowTold, 2000, 12, 200), at(200)))
+	require.IsType(t, slow.Slow{}, tracker.Apply(r.report("a", protocol.SlowReported, 1000, 12, 0), at(0)))
+	require.Equal(t, slow.Recovered{}, tracker.Apply(r.report("a", protocol.SlowReported, 2000, 1, 100), at(100)), "at once")
+	require.Equal(t, slow.NoChange{}, tracker.Apply(r.report("b", protocol.SlowReported, 1000, 12, 120), at(120)), "of the earlier incarnation")
+	require.IsType(t, slow.Slow{}, tracker.Apply(r.report("b", protocol.SlowReported, 2000, 12, 200), at(200)))
 }
 
 func TestDuplicateAndLateReportsAreIgnored(t *testing.T) {
@@ -120,7 +120,7 @@
 	require.IsType(t, slow.Slow{}, tracker.Apply(first, at(0)))
 	require.Equal(t, slow.NoChange{}, tracker.Apply(first, at(1500)))
 	require.Equal(t, slow.Recovered{}, tracker.Apply(r.reported(1, 1600), at(1600)))
-	require.Equal(t, slow.NoChange{}, tracker.Apply(r.report("b", protocol.SlowTold, 0, 12, 1200), at(1650)), "observed before the recovery")
+	require.Equal(t, slow.NoChange{}, tracker.Apply(r.report("b", protocol.SlowReported, 0, 12, 1200), at(1650)), "observed before the recovery")
 	require.Equal(t, slow.NoChange{}, tracker.Apply(r.reported(12, 1700), at(1700).Add(slow.ReportTTL)), "too old")
 	require.Equal(t, slow.NoChange{}, tracker.Apply(r.reported(12, 9000), at(1700)), "of the future")
 }
@@ -148,7 +148,7 @@
 			now += rapid.IntRange(0, 700).Draw(t, "later")
 			age := rapid.IntRange(0, 300).Draw(t, "age")
 			slowdown := rapid.SampledFrom([]float64{0.9, 1.1, 1.3, 1.6, 2.9, 3.5, 12, 900}).Draw(t, "slowdown")
-			observation := rapid.SampledFrom([]protocol.SlownessObservation{protocol.SlowTold, protocol.SlowSeen}).Draw(t, "observation")
+			observation := rapid.SampledFrom([]protocol.SlownessObservation{protocol.SlowReported, protocol.SlowMeasured}).Draw(t, "observation")
 			observer := fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "observer"))
 			if isSlow && !at(now).Before(slowUntil) {
 				isSlow = false
--- a/coordination/stream/stream.go
+++ b/coordination/stream/stream.go
@@ -190,9 +190,9 @@
 
 func (m *Machine) handleFault(from *fleet.Runner, fault protocol.Fault) Decision {
 	switch fault {
-	case protocol.FaultSpan:
+	case protocol.FaultWrongLayers:
 		return Restart{reason: metric.SpanMoved, runner: from}
-	case protocol.FaultCache:
+	case protocol.FaultCacheMissing:
 		return Restart{reason: metric.CacheLost}
 	case protocol.FaultLeaving:
 		return Restart{reason: metric.RunnerLeaving, runner: from}
@@ -205,7 +205,7 @@
 
 // passOn passes a chunk on to the next stage.
 func (m *Machine) passOn(stage int, r *protocol.Reply) Decision {
-	if len(r.Hidden) != r.Count*protocol.HiddenBytes {
+	if len(r.Hidden) != r.Count*protocol.HiddenStateBytes {
 		return Restart{reason: metric.BadReply, runner: m.path.Runner(stage)}
 	}
 	var out Dispatches
--- a/coordination/stream/stream_test.go
+++ b/coordination/stream/stream_test.go
@@ -31,7 +31,7 @@
 			})
 		}
 	}
-	c, err := config.NewFromModels(1, []protocol.Model{{Name: "m", Version: "1", Layers: layers, Open: 1, Context: 999}}, f)
+	c, err := config.NewFromModels(1, []protocol.Model{{Name: "m", Version: "1", Layers: layers, MaxOpen: 1, Context: 999}}, f)
 	require.NoError(t, err)
 	return fleet.NewViewFromConfig(nil, c, fleet.Entry{Name: "e1", DataCenter: "dc"})
 }
@@ -46,7 +46,7 @@
 	for p := s.Position; p < s.Position+s.Count; p++ {
 		spans[p] = append(spans[p], s.Span)
 	}
-	r.Hidden = make([]byte, s.Count*protocol.HiddenBytes)
+	r.Hidden = make([]byte, s.Count*protocol.HiddenStateBytes)
 	binary.LittleEndian.PutUint64(r.Hidden, uint64(s.Position))
 	if s.Span.To == layers {
 		r.Hidden = nil
@@ -177,7 +177,7 @@
 }
 
 func TestFaultsRestartAttempt(t *testing.T) {
-	for fault := protocol.FaultSpan; fault <= protocol.FaultOverload; fault++ {
+	for fault := protocol.FaultWrongLayers; fault <= protocol.FaultOverload; fault++ {
 		view := newTestView(t, [][2]int{{0, 12}})
 		var m stream.Machine
 		m.Open(7, layers, []int32{1}, 4, 0)
--- a/internal/metric/path.go
+++ b/internal/metric/path.go
@@ -8,11 +8,11 @@
 // counted as "path_orders_by.NAME".
 func AnswerName(a protocol.PathAnswer) string {
 	switch a.(type) {
-	case protocol.PathTaken:
+	case protocol.PathAccepted:
 		return "taken"
 	case protocol.PathUnknown:
 		return "unknown"
-	case protocol.PathUnfit:
+	case protocol.PathStageUnavailable:
 		return "unfit"
 	case protocol.PathRefused:
 		return "refused"
--- a/protocol/chat.go
+++ b/protocol/chat.go
@@ -58,8 +58,8 @@
 	return "the body is not JSON: " + err.Error()
 }
 
-// Limit returns the most tokens to answer with.
-func (r *ChatRequest) Limit() int {
+// TokenLimit returns the most tokens to answer with.
+func (r *ChatRequest) TokenLimit() int {
 	if r.MaxCompletionTokens > 0 {
 		return r.MaxCompletionTokens
 	}
--- a/protocol/claim.go
+++ b/protocol/claim.go
@@ -29,25 +29,25 @@
 
 // The kinds of claim records.
 const (
-	ClaimTaken    ClaimKind = iota // the claimant may run the request
-	ClaimReleased                  // the claimant has not run it and never will
-	ClaimSettled                   // it ran; the record holds the answer if small
-	ClaimDoubtful                  // the claimant can't tell whether it ran
+	ClaimTaken     ClaimKind = iota // the claimant may run the request
+	ClaimReleased                   // the claimant has not run it and never will
+	ClaimSettled                    // it ran; the record holds the answer if small
+	ClaimUncertain                  // the claimant can't tell whether it ran
 )
 
 // ClaimRecord is one line of a claim log.
 type ClaimRecord struct {
-	_        struct{} `cbor:",toarray"`
-	Kind     ClaimKind
-	Key      ClaimKey
-	Digest   uint64 // of the request, to refuse another one under the same key
-	Claimant uint64 // drawn anew for each try of a caller
-	IssuedMS int64  // unix milliseconds at which the caller first issued it
-	Status   int
-	Type     string
-	Answer   []byte
-	Holder   string // the entry that took the claim
-	Life     uint64 // the holder's incarnation, so that its next life is told apart
+	_           struct{} `cbor:",toarray"`
+	Kind        ClaimKind
+	Key         ClaimKey
+	Digest      uint64 // of the request, to refuse another one under the same key
+	Claimant    uint64 // drawn anew for each try of a caller
+	IssuedMS    int64  // unix milliseconds at which the caller first issued it
+	Status      int
+	Type        string
+	Answer      []byte
+	Holder      string // the entry that took the claim
+	Incarnation uint64 // the holder's incarnation, so that its next life is told apart
 }
 
 // ClaimBatch is the value of one log slot: the records that were made durable
@@ -66,8 +66,8 @@
 	var batch ClaimBatch
 	err := decodeFrame("claim", b, &batch)
 	for i := range batch.Records {
-		if batch.Records[i].Kind > ClaimDoubtful {
-			err = &BrokenFrame{what: "claim"}
+		if batch.Records[i].Kind > ClaimUncertain {
+			err = &FrameError{what: "claim"}
 		}
 	}
 	if err != nil {
--- a/protocol/config.go
+++ b/protocol/config.go
@@ -52,7 +52,7 @@
 	KeyHashes []string `json:"key_hashes" validate:"required,dive,len=64,hexadecimal"`
 	Share     float64  `json:"share" validate:"gt=0"`
 	Priority  uint8    `json:"priority" validate:"max=9"`
-	Open      int      `json:"open" validate:"gt=0"`
+	MaxOpen   int      `json:"open" validate:"gt=0"`
 }
 
 // Model is one served model version. Open bounds the requests of the model that
@@ -60,23 +60,23 @@
 // GapMS is the mean gap between tokens, in milliseconds, that admission holds
 // under load; 0 means DefaultGapMS.
 type Model struct {
-	Name    string `json:"name" validate:"required"`
-	Version string `json:"version" validate:"required"`
-	Layers  int    `json:"layers" validate:"gt=0,max=256"`
-	Open    int    `json:"open" validate:"gt=0"`
-	Context int    `json:"context" validate:"gt=0,max=16384"`
-	GapMS   int    `json:"gap_ms" validate:"gte=0"`
+	Name            string `json:"name" validate:"required"`
+	Version         string `json:"version" validate:"required"`
+	Layers          int    `json:"layers" validate:"gt=0,max=256"`
+	MaxOpen         int    `json:"open" validate:"gt=0"`
+	Context         int    `json:"context" validate:"gt=0,max=16384"`
+	TokenIntervalMS int    `json:"gap_ms" validate:"gte=0"`
 }
 
-// DefaultGapMS is the gap between tokens that a model aims at.
-const DefaultGapMS = 60
+// DefaultTokenIntervalMS is the gap between tokens that a model aims at.
+const DefaultTokenIntervalMS = 60
 
-// Gap returns the gap between tokens that the model aims at.
-func (m Model) Gap() time.Duration {
-	if m.GapMS == 0 {
-		return DefaultGapMS * time.Millisecond
+// TokenInterval returns the gap between tokens that the model aims at.
+func (m Model) TokenInterval() time.Duration {
+	if m.TokenIntervalMS == 0 {
+		return DefaultTokenIntervalMS * time.Millisecond
 	}
-	return time.Duration(m.GapMS) * time.Millisecond
+	return time.Duration(m.TokenIntervalMS) * time.Millisecond
 }
 
 // Service is a plain service beside the engines. Repeatable says whether its
@@ -110,10 +110,10 @@
 	Speed       float64 `json:"speed" validate:"gt=0"`
 	Link        string  `json:"link" validate:"omitempty,oneof=near far slow"`
 	Drain       bool    `json:"drain,omitempty"` // takes no new work
-	// Step is the seconds that a written token takes in one layer; 0 is unknown.
-	Step float64 `json:"step,omitempty" validate:"gte=0"`
-	// Room is how many tokens of requests fit beside the layers; 0 is unknown.
-	Room float64 `json:"room,omitempty" validate:"gte=0"`
+	// StepSeconds is the seconds that a written token takes in one layer; 0 is unknown.
+	StepSeconds float64 `json:"step,omitempty" validate:"gte=0"`
+	// Capacity is how many tokens of requests fit beside the layers; 0 is unknown.
+	Capacity float64 `json:"room,omitempty" validate:"gte=0"`
 	// Restarts is how often the endpoint is known to have started again under its name. What
 	// was measured of an earlier life says nothing of the present one.
 	Restarts int `json:"-"`
--- a/protocol/engine.go
+++ b/protocol/engine.go
@@ -13,8 +13,8 @@
 const (
 	MaxFrameBytes = 4 << 20
 	maxFrameItems = 16384
-	// HiddenBytes is the size of one position's hidden state on the wire.
-	HiddenBytes = 8
+	// HiddenStateBytes is the size of one position's hidden state on the wire.
+	HiddenStateBytes = 8
 )
 
 // Span is a half-open range [From, To) of a model's layers.
@@ -58,12 +58,12 @@
 
 // The faults of a step. FaultNone means that the step ran.
 const (
-	FaultNone     Fault = iota
-	FaultSpan           // the engine holds other layers, or another epoch of them
-	FaultCache          // the engine has no KV cache up to this position
-	FaultFenced         // a higher attempt of the request was seen
-	FaultLeaving        // the engine is leaving and takes no new sequence
-	FaultOverload       // the engine's queue is full
+	FaultNone         Fault = iota
+	FaultWrongLayers        // the engine holds other layers, or another epoch of them
+	FaultCacheMissing       // the engine has no KV cache up to this position
+	FaultFenced             // a higher attempt of the request was seen
+	FaultLeaving            // the engine is leaving and takes no new sequence
+	FaultOverload           // the engine's queue is full
 )
 
 // String returns the fault in words.
@@ -71,9 +71,9 @@
 	switch f {
 	case FaultNone:
 		return "none"
-	case FaultSpan:
+	case FaultWrongLayers:
 		return "other layers held"
-	case FaultCache:
+	case FaultCacheMissing:
 		return "no cache for the position"
 	case FaultFenced:
 		return "fenced by a later attempt"
@@ -150,14 +150,14 @@
 	return mode
 }
 
-// BrokenFrame is the error for bytes that are no valid frame.
-type BrokenFrame struct {
+// FrameError is the error for bytes that are no valid frame.
+type FrameError struct {
 	what  string
 	cause error
 }
 
 // Error names the frame and the remedy.
-func (b *BrokenFrame) Error() string {
+func (b *FrameError) Error() string {
 	text := "broken " + b.what + " frame"
 	if b.cause != nil {
 		text += ": " + b.cause.Error()
@@ -166,7 +166,7 @@
 }
 
 // Unwrap returns the decoder's error, or nil.
-func (b *BrokenFrame) Unwrap() error { return b.cause }
+func (b *FrameError) Unwrap() error { return b.cause }
 
 // EncodeSteps returns the frame's bytes.
 func EncodeSteps(f StepFrame) ([]byte, error) { return encoder.Marshal(f) }
@@ -182,7 +182,7 @@
 	}
 	for i := range f.Steps {
 		if !f.Steps[i].wellFormed() {
-			return StepFrame{}, &BrokenFrame{what: "step"}
+			return StepFrame{}, &FrameError{what: "step"}
 		}
 	}
 	return f, nil
@@ -196,7 +196,7 @@
 	}
 	for i := range f.Replies {
 		if !f.Replies[i].wellFormed() {
-			return ReplyFrame{}, &BrokenFrame{what: "reply"}
+			return ReplyFrame{}, &FrameError{what: "reply"}
 		}
 	}
 	return f, nil
@@ -204,10 +204,10 @@
 
 func decodeFrame(what string, b []byte, into any) error {
 	if len(b) > MaxFrameBytes {
-		return &BrokenFrame{what: what}
+		return &FrameError{what: what}
 	}
 	if err := decoder.Unmarshal(b, into); err != nil {
-		return &BrokenFrame{what: what, cause: err}
+		return &FrameError{what: what, cause: err}
 	}
 	return nil
 }
@@ -219,7 +219,7 @@
 	if s.Span.From == 0 {
 		return len(s.Tokens) == s.Count
 	}
-	return len(s.Hidden) == s.Count*HiddenBytes
+	return len(s.Hidden) == s.Count*HiddenStateBytes
 }
 
 func (r *Reply) wellFormed() bool {
@@ -229,7 +229,7 @@
 	if r.Position < 0 || r.Count <= 0 || r.Span.From < 0 || r.Span.From >= r.Span.To {
 		return false
 	}
-	return len(r.Hidden) == 0 || len(r.Hidden) == r.Count*HiddenBytes
+	return len(r.Hidden) == 0 || len(r.Hidden) == r.Count*HiddenStateBytes
 }
 
 // LoadReport is what an engine says about itself, with a lag. Queued counts
@@ -243,6 +243,6 @@
 	Streams int    `json:"streams"`
 	Leaving bool   `json:"leaving"`
 	UnixMS  int64  `json:"unix_ms"`
-	// Lifetime tells this process from the runner's next one; an engine need not tell.
-	Lifetime Incarnation `json:"started_ms,omitempty"`
+	// Incarnation tells this process from the runner's next one; an engine need not tell.
+	Incarnation Incarnation `json:"started_ms,omitempty"`
 }
--- a/protocol/forward.go
+++ b/protocol/forward.go
@@ -4,9 +4,9 @@
 
 import "time"
 
-// CallerTerms is what a caller asks for beside the request itself. Deadline is
+// RequestTerms is what a caller asks for beside the request itself. Deadline is
 // zero when there is none. AnswerTokens is the caller's guess, or the most.
-type CallerTerms struct {
+type RequestTerms struct {
 	RequestID    string
 	Deadline     time.Time
 	Key          string
@@ -18,13 +18,13 @@
 // AttemptTerms is what an endpoint is told beside the request itself. Path is empty
 // for a plain service.
 type AttemptTerms struct {
-	EndpointID string
-	Team       string
-	Deadline   time.Time
-	LastEvent  string
-	Path       []PathStage
-	Urgent     bool // whether Urgency is told
-	Urgency    int  // 0 is the most urgent, 9 the least
+	EndpointID  string
+	Team        string
+	Deadline    time.Time
+	LastEvent   string
+	Path        []PathStage
+	HasPriority bool // whether Urgency is told
+	Priority    int  // 0 is the most urgent, 9 the least
 }
 
 // PathStage is one engine of a path and the layers that it runs.
@@ -44,15 +44,15 @@
 	EndpointID string
 }
 
-// PlaceOrder tells an engine to hold a span of layers. Orders is how many orders
+// PlacementOrder tells an engine to hold a span of layers. Orders is how many orders
 // the engine is expected to have taken before.
-type PlaceOrder struct {
-	EndpointID string
-	Address    string
-	Layers     Span
-	Epoch      uint64
-	Orders     int
-	Cut        bool // break off what passes through the layers given up, instead of waiting for it
+type PlacementOrder struct {
+	EndpointID  string
+	Address     string
+	Layers      Span
+	Epoch       uint64
+	PriorOrders int
+	Abort       bool // break off what passes through the layers given up, instead of waiting for it
 }
 
 // OrderAnswer is what became of an order.
@@ -61,15 +61,15 @@
 // An order that was not answered may be carried out later, or never.
 const (
 	OrderUnanswered OrderAnswer = iota
-	OrderBegun
-	OrderHolds
+	OrderStarted
+	OrderFulfilled
 	OrderRefused
 )
 
-// PathOrder tells the first engine of a path to run a request over another path from now
+// PathChangeOrder tells the first engine of a path to run a request over another path from now
 // on, with the same first stage. Stages that both paths have keep what they hold of the
 // request, the others read it.
-type PathOrder struct {
+type PathChangeOrder struct {
 	EndpointID string // of the first engine
 	Address    string // of the first engine
 	RequestID  string
@@ -80,15 +80,15 @@
 // PathUnfit, PathRefused or PathUnanswered.
 type PathAnswer interface{ pathAnswer() }
 
-// PathTaken says that the request runs over the new path from now on.
-type PathTaken struct{}
+// PathAccepted says that the request runs over the new path from now on.
+type PathAccepted struct{}
 
 // PathUnknown says that the engine has no such request.
 type PathUnknown struct{}
 
-// PathUnfit says that a stage can't take the request: it does not hold its layers or has
+// PathStageUnavailable says that a stage can't take the request: it does not hold its layers or has
 // no room. Address is the stage's, "" if it is not told.
-type PathUnfit struct{ Address string }
+type PathStageUnavailable struct{ Address string }
 
 // PathRefused says that the engine did not take the order for another reason.
 type PathRefused struct{ Cause error }
@@ -96,8 +96,8 @@
 // PathUnanswered says that the order may have been taken, or may be yet.
 type PathUnanswered struct{ Cause error }
 
-func (PathTaken) pathAnswer()      {}
-func (PathUnknown) pathAnswer()    {}
-func (PathUnfit) pathAnswer()      {}
-func (PathRefused) pathAnswer()    {}
-func (PathUnanswered) pathAnswer() {}
+func (PathAccepted) pathAnswer()         {}
+func (PathUnknown) pathAnswer()          {}
+func (PathStageUnavailable) pathAnswer() {}
+func (PathRefused) pathAnswer()          {}
+func (PathUnanswered) pathAnswer()       {}
--- a/protocol/kind.go
+++ b/protocol/kind.go
@@ -42,7 +42,7 @@
 	UnknownPlan         Kind = "unknown_plan"
 	UnknownIntent       Kind = "unknown_intent"
 	PlatformDown        Kind = "platform_down"
-	EndsEndpoints       Kind = "ends_endpoints"
+	CrashesEndpoints    Kind = "ends_endpoints"
 	Internal            Kind = "internal"
 )
 
@@ -84,7 +84,7 @@
 	UnknownPlan:         {http.StatusNotFound, "list the plans with 'pinerun plans'"},
 	UnknownIntent:       {http.StatusBadRequest, "see the intents with 'pinerun intent --help'"},
 	PlatformDown:        {http.StatusServiceUnavailable, "send it again when the platform answers; nothing changed"},
-	EndsEndpoints:       {http.StatusServiceUnavailable, "change the request: endpoints end when they run it. The same one is tried again after Retry-After, sooner if the operator releases it"},
+	CrashesEndpoints:    {http.StatusServiceUnavailable, "change the request: endpoints end when they run it. The same one is tried again after Retry-After, sooner if the operator releases it"},
 	Internal:            {http.StatusInternalServerError, "report the request's id to the operator"},
 }
 
--- a/protocol/lifetime_test.go
+++ b/protocol/lifetime_test.go
@@ -23,17 +23,17 @@
 
 func TestNewsOfALossNameALifeThatCanBe(t *testing.T) {
 	for life, sound := range map[protocol.Incarnation]bool{0: true, 1: true, -1: false} {
-		b, err := protocol.EncodeRelay(protocol.RelayAsk{Losses: []protocol.RelayLoss{
-			{Endpoint: "e", Incarnation: life, Observer: "w", Observation: protocol.LossMisplaced},
+		b, err := protocol.EncodeRelay(protocol.RelayRequest{Losses: []protocol.LossReport{
+			{Endpoint: "e", Incarnation: life, Observer: "w", Observation: protocol.LossMismatch},
 		}})
 		require.NoError(t, err)
-		got, err := protocol.DecodeRelayAsk(b)
+		got, err := protocol.DecodeRelayRequest(b)
 		if !sound {
 			require.Error(t, err)
 			continue
 		}
 		require.NoError(t, err)
 		require.Equal(t, life, got.Losses[0].Incarnation)
-		require.Equal(t, protocol.LossMisplaced, got.Losses[0].Observation)
+		require.Equal(t, protocol.LossMismatch, got.Losses[0].Observation)
 	}
 }
--- a/protocol/loss.go
+++ b/protocol/loss.go
@@ -12,7 +12,7 @@
 	LossRefused LossObservation = iota + 1
 	LossSilent
 	LossAnswered
-	LossMisplaced
+	LossMismatch
 )
 
 // String returns the sign as logs say it.
@@ -24,34 +24,34 @@
 		return "silent"
 	case LossAnswered:
 		return "answered"
-	case LossMisplaced:
+	case LossMismatch:
 		return "not as recorded"
 	default:
 		return "unknown"
 	}
 }
 
-// RelayLoss tells that an entry, the witness, met a sign of one life of an endpoint, AgoMS
+// LossReport tells that an entry, the witness, met a sign of one life of an endpoint, AgoMS
 // milliseconds before the frame was written.
-type RelayLoss struct {
+type LossReport struct {
 	_           struct{} `cbor:",toarray"`
 	Endpoint    string
 	Incarnation Incarnation
 	Observer    string
 	Observation LossObservation
 	AgoMS       float64
-	// Occupant is the ID of what answers at the endpoint's address, "" if that is not known.
-	Occupant string
+	// AddressOwner is the ID of what answers at the endpoint's address, "" if that is not known.
+	AddressOwner string
 }
 
 // sound reports whether the news has the shape that it may have.
-func (l *RelayLoss) sound() bool {
+func (l *LossReport) sound() bool {
 	return l.Endpoint != "" && l.Observer != "" && l.Incarnation >= 0 &&
-		l.Observation >= LossRefused && l.Observation <= LossMisplaced && l.AgoMS >= 0
+		l.Observation >= LossRefused && l.Observation <= LossMismatch && l.AgoMS >= 0
 }
 
 // soundLosses reports whether all news of a frame do.
-func soundLosses(all []RelayLoss) bool {
+func soundLosses(all []LossReport) bool {
 	for i := range all {
 		if !all[i].sound() {
 			return false
--- a/protocol/object.go
+++ b/protocol/object.go
@@ -37,9 +37,9 @@
 // Relayed says that another entry passed it on, so that it proves nothing about what
 // the platform holds now.
 type Listing struct {
-	Objects []Object
-	At      uint64
-	Relayed bool
+	Objects  []Object
+	Revision uint64
+	Relayed  bool
 }
 
 // Page is a part of a Listing, in order of name, as it was at its revision. More says that
@@ -53,13 +53,13 @@
 // watch on. Relayed says that another entry passed them on, so that they prove
 // nothing about what the platform holds now.
 type Changes struct {
-	Changes []Change
-	At      uint64
-	Relayed bool
+	Changes  []Change
+	Revision uint64
+	Relayed  bool
 }
 
 // Change is an object as it now is, or was when it went.
 type Change struct {
-	Object Object
-	Gone   bool
+	Object  Object
+	Deleted bool
 }
--- a/protocol/order.go
+++ b/protocol/order.go
@@ -11,11 +11,11 @@
 	// as it is.
 	Leave *bool `json:"leave,omitempty"`
 	// Load, if not nil, names the layers to hold, under a load epoch of their own.
-	Load *Holding `json:"load,omitempty"`
+	Load *LayerLoad `json:"load,omitempty"`
 }
 
-// Holding is a span of layers under a load epoch, which rises with each load.
-type Holding struct {
+// LayerLoad is a span of layers under a load epoch, which rises with each load.
+type LayerLoad struct {
 	From  int    `json:"from"`
 	To    int    `json:"to"`
 	Epoch uint64 `json:"epoch"`
--- a/protocol/peer.go
+++ b/protocol/peer.go
@@ -15,12 +15,12 @@
 
 // PeerHeartbeat is what an entry tells each peer once a second.
 type PeerHeartbeat struct {
-	_       struct{} `cbor:",toarray"`
-	Version uint64   // of the configuration in force
-	Leaving []string // runners known to be leaving
-	VMs     []string // VMs that the platform lists as leaving
-	AgeMS   int64    // milliseconds since that list was read, 0 when it never was
-	Stops   bool     // the sender takes no new work any more
+	_           struct{} `cbor:",toarray"`
+	Version     uint64   // of the configuration in force
+	Leaving     []string // runners known to be leaving
+	LeavingVMs  []string // VMs that the platform lists as leaving
+	VMListAgeMS int64    // milliseconds since that list was read, 0 when it never was
+	Stopping    bool     // the sender takes no new work any more
 }
 
 // ConfigChange takes a configuration from version Base to Version. A change
@@ -38,8 +38,8 @@
 	Contents map[string][]byte
 }
 
-// ClaimAsk asks the entry that writes a shard to make a record durable.
-type ClaimAsk struct {
+// ClaimRequest asks the entry that writes a shard to make a record durable.
+type ClaimRequest struct {
 	_      struct{} `cbor:",toarray"`
 	ID     uint64
 	Record ClaimRecord
@@ -56,15 +56,15 @@
 
 // PeerFrame is one message between entries; any of its parts may be absent.
 type PeerFrame struct {
-	_         struct{} `cbor:",toarray"`
-	Hello     *Member
-	Heartbeat *PeerHeartbeat
-	Change    *ConfigChange
-	Want      bool // the receiver's whole configuration is wanted
-	Asks      []ClaimAsk
-	Answers   []ClaimAnswer
-	Members   []Member
-	Work      []RelayWork // what entries met of work that may end runners
+	_             struct{} `cbor:",toarray"`
+	Hello         *Member
+	Heartbeat     *PeerHeartbeat
+	Change        *ConfigChange
+	WantConfig    bool // the receiver's whole configuration is wanted
+	ClaimRequests []ClaimRequest
+	ClaimAnswers  []ClaimAnswer
+	Members       []Member
+	Work          []WorkReport // what entries met of work that may end runners
 }
 
 // EncodePeer returns the frame's bytes.
@@ -77,17 +77,17 @@
 		return PeerFrame{}, err
 	}
 	if f.Hello != nil && (f.Hello.Name == "" || f.Hello.Address == "") {
-		return PeerFrame{}, &BrokenFrame{what: "peer"}
+		return PeerFrame{}, &FrameError{what: "peer"}
 	}
 	if !soundWork(f.Work) {
-		return PeerFrame{}, &BrokenFrame{what: "peer"}
+		return PeerFrame{}, &FrameError{what: "peer"}
 	}
 	if f.Change != nil && (f.Change.Version == 0 || f.Change.Base >= f.Change.Version) {
-		return PeerFrame{}, &BrokenFrame{what: "peer"}
+		return PeerFrame{}, &FrameError{what: "peer"}
 	}
-	for i := range f.Asks {
-		if f.Asks[i].Record.Kind > ClaimDoubtful {
-			return PeerFrame{}, &BrokenFrame{what: "peer"}
+	for i := range f.ClaimRequests {
+		if f.ClaimRequests[i].Record.Kind > ClaimUncertain {
+			return PeerFrame{}, &FrameError{what: "peer"}
 		}
 	}
 	return f, nil
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -75,7 +75,7 @@
 			return
 		}
 		for _, r := range frame.Replies {
-			if r.Fault == protocol.FaultNone && len(r.Hidden) != 0 && len(r.Hidden) != r.Count*protocol.HiddenBytes {
+			if r.Fault == protocol.FaultNone && len(r.Hidden) != 0 && len(r.Hidden) != r.Count*protocol.HiddenStateBytes {
 				t.Fatalf("a malformed reply was taken: %+v", r)
 			}
 		}
@@ -92,7 +92,7 @@
 			return
 		}
 		for _, r := range batch.Records {
-			if r.Kind > protocol.ClaimDoubtful {
+			if r.Kind > protocol.ClaimUncertain {
 				t.Fatalf("an unknown record was taken: %+v", r)
 			}
 		}
@@ -101,11 +101,11 @@
 
 func FuzzDecodeRelay(f *testing.F) {
 	for _, m := range []any{
-		protocol.RelayHello{Name: "e1", Known: []protocol.RelayMark{{Kind: "k", At: 3}}},
-		protocol.RelayAsk{Number: 7, HoldMS: 400},
-		protocol.RelayAsk{Losses: []protocol.RelayLoss{{Endpoint: "e", Observer: "w", Observation: protocol.LossSilent, AgoMS: 3}}},
+		protocol.RelayHello{Name: "e1", Known: []protocol.KindRevision{{Kind: "k", Revision: 3}}},
+		protocol.RelayRequest{Number: 7, HoldMS: 400},
+		protocol.RelayRequest{Losses: []protocol.LossReport{{Endpoint: "e", Observer: "w", Observation: protocol.LossSilent, AgoMS: 3}}},
 		protocol.RelayFrame{
-			Runs:   []protocol.RelayRun{{Kind: "k", After: 3, At: 9, Changes: []protocol.RelayChange{{Name: "o", Version: 4, Value: []byte("{}")}}}},
+			Deltas: []protocol.RelayDelta{{Kind: "k", After: 3, Revision: 9, Changes: []protocol.RelayChange{{Name: "o", Version: 4, Value: []byte("{}")}}}},
 			Answer: &protocol.RelayAnswer{Number: 7, ConfirmedMS: 3.5, HeldMS: 120, Version: 4}, FailedMS: -1,
 		},
 	} {
@@ -117,15 +117,15 @@
 		if h, err := protocol.DecodeRelayHello(b); err == nil && (h.Name == "" || len(h.Known) == 0) {
 			t.Fatalf("a hello without a name or kinds was taken: %+v", h)
 		}
-		if a, err := protocol.DecodeRelayAsk(b); err == nil && !(a.HoldMS >= 0) {
+		if a, err := protocol.DecodeRelayRequest(b); err == nil && !(a.HoldMS >= 0) {
 			t.Fatalf("an answer was to be held back for %v ms", a.HoldMS)
 		}
 		frame, err := protocol.DecodeRelayFrame(b)
 		if err != nil {
 			return
 		}
-		for _, r := range frame.Runs {
-			if r.Kind == "" || r.After >= r.At {
+		for _, r := range frame.Deltas {
+			if r.Kind == "" || r.After >= r.Revision {
 				t.Fatalf("a run that goes nowhere was taken: %+v", r)
 			}
 		}
@@ -137,11 +137,11 @@
 
 func FuzzDecodePeer(f *testing.F) {
 	good, err := protocol.EncodePeer(protocol.PeerFrame{
-		Hello:     &protocol.Member{Name: "e1", Address: "127.0.0.1:1"},
-		Heartbeat: &protocol.PeerHeartbeat{Version: 3, VMs: []string{"v"}, AgeMS: 1},
-		Change:    &protocol.ConfigChange{Base: 1, Version: 2, Contents: map[string][]byte{"h": {1}}},
-		Asks:      []protocol.ClaimAsk{{ID: 1}},
-		Work:      []protocol.RelayWork{{Work: protocol.Fingerprint{1}, Endpoint: "r", Observer: "e2", Observation: protocol.WorkBroke, AgoMS: 2}},
+		Hello:         &protocol.Member{Name: "e1", Address: "127.0.0.1:1"},
+		Heartbeat:     &protocol.PeerHeartbeat{Version: 3, LeavingVMs: []string{"v"}, VMListAgeMS: 1},
+		Change:        &protocol.ConfigChange{Base: 1, Version: 2, Contents: map[string][]byte{"h": {1}}},
+		ClaimRequests: []protocol.ClaimRequest{{ID: 1}},
+		Work:          []protocol.WorkReport{{Work: protocol.Fingerprint{1}, Endpoint: "r", Observer: "e2", Observation: protocol.WorkBroke, AgoMS: 2}},
 	})
 	require.NoError(f, err)
 	f.Add(good)
@@ -163,22 +163,22 @@
 
 // TestAPeersReportOfNoWorkIsRefused changes one field of a report at a time.
 func TestAPeersReportOfNoWorkIsRefused(t *testing.T) {
-	good := protocol.RelayWork{Work: protocol.Fingerprint{1}, Endpoint: "r", Observer: "e2", Observation: protocol.WorkBroke, AgoMS: 2}
-	decode := func(w protocol.RelayWork) error {
-		b, err := protocol.EncodePeer(protocol.PeerFrame{Work: []protocol.RelayWork{w}})
+	good := protocol.WorkReport{Work: protocol.Fingerprint{1}, Endpoint: "r", Observer: "e2", Observation: protocol.WorkBroke, AgoMS: 2}
+	decode := func(w protocol.WorkReport) error {
+		b, err := protocol.EncodePeer(protocol.PeerFrame{Work: []protocol.WorkReport{w}})
 		require.NoError(t, err)
 		_, err = protocol.DecodePeer(b)
 		return err
 	}
 	require.NoError(t, decode(good))
-	for _, change := range []func(*protocol.RelayWork){
-		func(w *protocol.RelayWork) { w.Work = protocol.Fingerprint{} },
-		func(w *protocol.RelayWork) { w.Endpoint = "" },
-		func(w *protocol.RelayWork) { w.Observer = "" },
-		func(w *protocol.RelayWork) { w.Observation = 0 },
-		func(w *protocol.RelayWork) { w.Observation = 200 },
-		func(w *protocol.RelayWork) { w.Incarnation = -1 },
-		func(w *protocol.RelayWork) { w.AgoMS = -1 },
+	for _, change := range []func(*protocol.WorkReport){
+		func(w *protocol.WorkReport) { w.Work = protocol.Fingerprint{} },
+		func(w *protocol.WorkReport) { w.Endpoint = "" },
+		func(w *protocol.WorkReport) { w.Observer = "" },
+		func(w *protocol.WorkReport) { w.Observation = 0 },
+		func(w *protocol.WorkReport) { w.Observation = 200 },
+		func(w *protocol.WorkReport) { w.Incarnation = -1 },
+		func(w *protocol.WorkReport) { w.AgoMS = -1 },
 	} {
 		w := good
 		change(&w)
@@ -195,7 +195,7 @@
 			require.Equal(t, protocol.NotRun, protocol.AsRefusal(err).Outcome())
 			return
 		}
-		if r.Limit() <= 0 || len(r.Prompt()) == 0 {
+		if r.TokenLimit() <= 0 || len(r.Prompt()) == 0 {
 			t.Fatalf("an empty request was taken: %+v", r)
 		}
 	})
--- a/protocol/record.go
+++ b/protocol/record.go
@@ -21,8 +21,8 @@
 	RecordState       RecordFault = "state"
 	RecordLayers      RecordFault = "layers"
 	RecordModel       RecordFault = "model"
-	RecordLifetime    RecordFault = "lifetime"
-	RecordBeats       RecordFault = "heartbeats"
+	RecordIncarnation RecordFault = "lifetime"
+	RecordHeartbeats  RecordFault = "heartbeats"
 )
 
 // What is wrong with a record that can be decoded, but does not fit what is in force.
@@ -38,27 +38,27 @@
 	return []RecordFault{
 		RecordUnreadable, RecordTooLong, RecordNameless, RecordID, RecordService, RecordAddress,
 		RecordDataCenter, RecordAccelerator, RecordSlots, RecordState, RecordLayers, RecordModel,
-		RecordLifetime, RecordBeats,
+		RecordIncarnation, RecordHeartbeats,
 		RecordServiceUnknown, RecordDataCenterUnknown, RecordAcceleratorUnknown, RecordLayersOutside,
 	}
 }
 
-// UnusableRecord is the error for a record that names no endpoint to use.
-type UnusableRecord struct {
+// RecordError is the error for a record that names no endpoint to use.
+type RecordError struct {
 	fault RecordFault
 	cause error
 }
 
-// Unusable returns the error for a record with a fault; the cause may be nil.
-func Unusable(fault RecordFault, cause error) *UnusableRecord {
-	return &UnusableRecord{fault: fault, cause: cause}
+// NewRecordError returns the error for a record with a fault; the cause may be nil.
+func NewRecordError(fault RecordFault, cause error) *RecordError {
+	return &RecordError{fault: fault, cause: cause}
 }
 
 // Fault returns what is wrong.
-func (u *UnusableRecord) Fault() RecordFault { return u.fault }
+func (u *RecordError) Fault() RecordFault { return u.fault }
 
 // Error names what is wrong and the remedy.
-func (u *UnusableRecord) Error() string {
+func (u *RecordError) Error() string {
 	text := "the record can't be used (" + string(u.fault) + ")"
 	if u.cause != nil {
 		text += ": " + u.cause.Error()
@@ -67,4 +67,4 @@
 }
 
 // Unwrap returns the cause.
-func (u *UnusableRecord) Unwrap() error { return u.cause }
+func (u *RecordError) Unwrap() error { return u.cause }
--- a/protocol/refusal.go
+++ b/protocol/refusal.go
@@ -28,14 +28,14 @@
 	return &Refusal{kind: k, outcome: MayHaveRun, message: message}
 }
 
-// Because returns r with the error that caused it, for logs and errors.Is.
-func (r *Refusal) Because(err error) *Refusal {
+// WithCause returns r with the error that caused it, for logs and errors.Is.
+func (r *Refusal) WithCause(err error) *Refusal {
 	r.cause = err
 	return r
 }
 
-// Again returns r with the time from which it is worth asking again.
-func (r *Refusal) Again(at time.Time) *Refusal {
+// WithRetryAt returns r with the time from which it is worth asking again.
+func (r *Refusal) WithRetryAt(at time.Time) *Refusal {
 	r.again = at
 	return r
 }
@@ -83,5 +83,5 @@
 	if errors.As(err, &r) {
 		return r
 	}
-	return Uncertain(Internal, "unforeseen fault").Because(err)
+	return Uncertain(Internal, "unforeseen fault").WithCause(err)
 }
--- a/protocol/relay.go
+++ b/protocol/relay.go
@@ -6,11 +6,11 @@
 // is what an entry shows that wants to follow it. The entry keeps it over restarts, so
 // that others which know an older record can follow at once.
 type EntryRecord struct {
-	Name       string `json:"-"`
-	DataCenter string `json:"data_center"`
-	Callers    string `json:"callers"`         // IP:port
-	Peers      string `json:"peers,omitempty"` // IP:port, empty when it serves no peers
-	Key        string `json:"key,omitempty"`
+	Name          string `json:"-"`
+	DataCenter    string `json:"data_center"`
+	CallerAddress string `json:"callers"`         // IP:port
+	PeerAddress   string `json:"peers,omitempty"` // IP:port, empty when it serves no peers
+	Key           string `json:"key,omitempty"`
 	// MemoryMB is the memory of the entry's VM. Larger VMs have faster links too, and
 	// are followed first.
 	MemoryMB  float64 `json:"memory_mb,omitempty"`
@@ -34,59 +34,59 @@
 // either: it follows for what entries tell each other, also where what the platform holds is not
 // known any better.
 type RelayHello struct {
-	_        struct{} `cbor:",toarray"`
-	Name     string
-	Known    []RelayMark
-	NewsOnly bool
+	_           struct{} `cbor:",toarray"`
+	Name        string
+	Known       []KindRevision
+	ReportsOnly bool
 }
 
-// RelayMark is a revision of a kind.
-type RelayMark struct {
-	_    struct{} `cbor:",toarray"`
-	Kind string
-	At   uint64
+// KindRevision is a revision of a kind.
+type KindRevision struct {
+	_        struct{} `cbor:",toarray"`
+	Kind     string
+	Revision uint64
 }
 
-// RelayAsk asks how fresh the answering entry's knowledge is. The answer may wait for
+// RelayRequest asks how fresh the answering entry's knowledge is. The answer may wait for
 // news of that, up to HoldMS milliseconds. Losses are what the asking entry has to tell;
 // with the number 0 that is all, and nothing is asked. Slow is news of slow endpoints, Work of work
 // that endpoints may have ended under.
-type RelayAsk struct {
+type RelayRequest struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
 	HoldMS float64
-	Losses []RelayLoss
-	Slow   []RelaySlow
-	Work   []RelayWork
+	Losses []LossReport
+	Slow   []SlownessReport
+	Work   []WorkReport
 }
 
 // RelayFrame is what the followed entry sends: changes as they come, and an answer
 // when it was asked.
 type RelayFrame struct {
 	_      struct{} `cbor:",toarray"`
-	Runs   []RelayRun
+	Deltas []RelayDelta
 	Answer *RelayAnswer
 	// FailedMS is how long ago the platform last failed to answer the sender, in
 	// milliseconds, or -1 when it never did.
 	FailedMS int64
-	Losses   []RelayLoss
-	Slow     []RelaySlow
-	Work     []RelayWork
+	Losses   []LossReport
+	Slow     []SlownessReport
+	Work     []WorkReport
 }
 
-// RelayRun takes whoever knows a kind as it was at After to At; if it is the
+// RelayDelta takes whoever knows a kind as it was at After to At; if it is the
 // difference between two lists, only who knows exactly that. Whole says that it holds
 // every object there was at At, for who knows none of them or something else. Long runs
 // have Packed in place of Changes: their encoding, compressed (raw DEFLATE).
-type RelayRun struct {
-	_          struct{} `cbor:",toarray"`
-	Kind       string
-	After      uint64
-	At         uint64
-	Difference bool
-	Whole      bool
-	Changes    []RelayChange
-	Packed     []byte
+type RelayDelta struct {
+	_        struct{} `cbor:",toarray"`
+	Kind     string
+	After    uint64
+	Revision uint64
+	ListDiff bool
+	Snapshot bool
+	Changes  []RelayChange
+	Packed   []byte
 }
 
 // RelayChange is a changed object, or one that went.
@@ -94,7 +94,7 @@
 	_       struct{} `cbor:",toarray"`
 	Name    string
 	Version uint64
-	Gone    bool
+	Deleted bool
 	Value   []byte
 }
 
@@ -107,9 +107,9 @@
 	ConfirmedMS float64
 	HeldMS      float64
 	Version     uint64
-	// Ahead is the object itself if no run has told of that version yet: a watch of the
+	// Unsent is the object itself if no run has told of that version yet: a watch of the
 	// platform may be deaf.
-	Ahead *RelayRun
+	Unsent *RelayDelta
 }
 
 // EncodeRelay returns the bytes of a hello, an ask, a frame or the changes of a run.
@@ -119,7 +119,7 @@
 func DecodeRelayChanges(b []byte) ([]RelayChange, error) {
 	var c []RelayChange
 	if err := decoder.Unmarshal(b, &c); err != nil {
-		return nil, &BrokenFrame{what: "relay changes"}
+		return nil, &FrameError{what: "relay changes"}
 	}
 	return c, nil
 }
@@ -131,19 +131,19 @@
 		return RelayHello{}, err
 	}
 	if h.Name == "" || len(h.Known) == 0 {
-		return RelayHello{}, &BrokenFrame{what: "relay hello"}
+		return RelayHello{}, &FrameError{what: "relay hello"}
 	}
 	return h, nil
 }
 
-// DecodeRelayAsk reads an ask.
-func DecodeRelayAsk(b []byte) (RelayAsk, error) {
-	var a RelayAsk
+// DecodeRelayRequest reads an ask.
+func DecodeRelayRequest(b []byte) (RelayRequest, error) {
+	var a RelayRequest
 	if err := decodeFrame("relay ask", b, &a); err != nil {
-		return RelayAsk{}, err
+		return RelayRequest{}, err
 	}
 	if !(a.HoldMS >= 0) || !soundLosses(a.Losses) || !soundSlow(a.Slow) || !soundWork(a.Work) {
-		return RelayAsk{}, &BrokenFrame{what: "relay ask"}
+		return RelayRequest{}, &FrameError{what: "relay ask"}
 	}
 	return a, nil
 }
@@ -155,16 +155,16 @@
 	if err := decodeFrame("relay", b, &f); err != nil {
 		return RelayFrame{}, err
 	}
-	for i := range f.Runs {
-		if r := &f.Runs[i]; r.Kind == "" || r.After >= r.At {
-			return RelayFrame{}, &BrokenFrame{what: "relay"}
+	for i := range f.Deltas {
+		if r := &f.Deltas[i]; r.Kind == "" || r.After >= r.Revision {
+			return RelayFrame{}, &FrameError{what: "relay"}
 		}
 	}
 	if !soundLosses(f.Losses) || !soundSlow(f.Slow) || !soundWork(f.Work) {
-		return RelayFrame{}, &BrokenFrame{what: "relay"}
+		return RelayFrame{}, &FrameError{what: "relay"}
 	}
 	if a := f.Answer; a != nil && (!(a.ConfirmedMS >= 0 || a.ConfirmedMS == -1) || !(a.HeldMS >= 0)) {
-		return RelayFrame{}, &BrokenFrame{what: "relay"}
+		return RelayFrame{}, &FrameError{what: "relay"}
 	}
 	return f, nil
 }
--- a/protocol/routing.go
+++ b/protocol/routing.go
@@ -30,19 +30,19 @@
 // the longest that a request may be held, AimMS the time within which its answer
 // (or first event) is worth most, PauseAimMS the longest pause between events.
 type Route struct {
-	Name       string
-	Host       string
-	Prefix     string
-	Repeat     Repeat
-	TimeoutMS  float64
-	AimMS      float64
-	PauseAimMS float64
-	PatienceMS float64 // silence of a stream after which callers leave, 0 if they don't
-	Priority   int     // 0 is the most urgent
-	Targets    []Target
-	MaxTries   int // endpoints that one request may be sent to
-	Public     bool
-	Resumable  bool // a broken stream may go on elsewhere after its last event
+	Name            string
+	Host            string
+	Prefix          string
+	Repeat          Repeat
+	TimeoutMS       float64
+	TargetLatencyMS float64
+	TargetPauseMS   float64
+	PatienceMS      float64 // silence of a stream after which callers leave, 0 if they don't
+	Priority        int     // 0 is the most urgent
+	Targets         []Target
+	MaxAttempts     int // endpoints that one request may be sent to
+	Public          bool
+	Resumable       bool // a broken stream may go on elsewhere after its last event
 }
 
 // Target is one service of a route and its share of the requests.
@@ -54,8 +54,8 @@
 // Timeout returns when a request that came in then must have its answer.
 func (r *Route) Timeout(from time.Time) time.Time { return from.Add(fromMS(r.TimeoutMS)) }
 
-// Aim returns when a request that came in then should have its first event.
-func (r *Route) Aim(from time.Time) time.Time { return from.Add(fromMS(r.AimMS)) }
+// FirstEventBy returns when a request that came in then should have its first event.
+func (r *Route) FirstEventBy(from time.Time) time.Time { return from.Add(fromMS(r.TargetLatencyMS)) }
 
 // Patience returns when a caller leaves a stream that has said nothing since then.
 func (r *Route) Patience(since time.Time) time.Time { return since.Add(fromMS(r.PatienceMS)) }
@@ -70,33 +70,33 @@
 	Name           string
 	HealthPath     string
 	MaxConnections int // that one endpoint accepts from all callers together
-	Engine         *EngineFacts
+	Engine         *EngineSpec
 }
 
-// EngineFacts are the figures of a service whose endpoints are model engines.
+// EngineSpec are the figures of a service whose endpoints are model engines.
 // Times are in milliseconds for the whole model on the fastest accelerator.
-type EngineFacts struct {
-	Layers          int
-	LayerMB         float64
-	TokenLayerMB    float64 // cache of one token in one layer
-	StepMS          float64 // one token of one sequence
-	SequenceMS      float64 // how much longer for each further one
-	ReadPerSecond   float64 // prompt tokens
-	LoadMS          float64 // the weights of all layers
-	UsualPrompt     int     // mean tokens of a prompt
-	UsualAnswer     int     // mean tokens of an answer
-	ReportDelayMS   float64 // age of a load report
-	EventTokens     int     // tokens that an event holds at least
-	Accelerators    []AcceleratorFacts
-	LoadsAtOnce     int
-	SlotsPerEngine  int
-	ActivationBytes int // that one token takes between two stages
+type EngineSpec struct {
+	Layers           int
+	LayerMB          float64
+	TokenLayerMB     float64 // cache of one token in one layer
+	StepMS           float64 // one token of one sequence
+	SequenceMS       float64 // how much longer for each further one
+	PrefillPerSecond float64 // prompt tokens
+	LoadMS           float64 // the weights of all layers
+	TypicalPrompt    int     // mean tokens of a prompt
+	TypicalAnswer    int     // mean tokens of an answer
+	ReportDelayMS    float64 // age of a load report
+	EventTokens      int     // tokens that an event holds at least
+	Accelerators     []AcceleratorSpec
+	LoadsAtOnce      int
+	SlotsPerEngine   int
+	ActivationBytes  int // that one token takes between two stages
 }
 
-// AcceleratorFacts are the figures of one kind of accelerator. StepFactor and
+// AcceleratorSpec are the figures of one kind of accelerator. StepFactor and
 // ReadFactor say how many times longer than on the fastest a step and reading
 // a prompt take.
-type AcceleratorFacts struct {
+type AcceleratorSpec struct {
 	Name       string
 	MemoryMB   float64
 	StepFactor float64
@@ -104,13 +104,13 @@
 }
 
 // Accelerator returns the figures of a kind, and whether it is known.
-func (e *EngineFacts) Accelerator(name string) (AcceleratorFacts, bool) {
+func (e *EngineSpec) Accelerator(name string) (AcceleratorSpec, bool) {
 	for _, a := range e.Accelerators {
 		if a.Name == name {
 			return a, true
 		}
 	}
-	return AcceleratorFacts{}, false
+	return AcceleratorSpec{}, false
 }
 
 // RoutedTeam is a team with the keys that its callers present.
@@ -166,8 +166,8 @@
 	Incarnation Incarnation
 	// Accelerator is the kind that the engine runs on, "" if it does not tell.
 	Accelerator string
-	// Pace is how many times longer than usual its work takes, 0 if it does not tell.
-	Pace float64
+	// Slowdown is how many times longer than usual its work takes, 0 if it does not tell.
+	Slowdown float64
 	// CapacityUsed is the part of the memory for requests that they hold; RoomKnown says
 	// whether the engine told it.
 	CapacityUsed  float64
--- a/protocol/work.go
+++ b/protocol/work.go
@@ -13,9 +13,9 @@
 const (
 	WorkBroke WorkObservation = iota + 1
 	WorkRan
-	WorkTried
-	WorkTrialOver
-	WorkBrokeBehind
+	WorkIsolatedRun
+	WorkIsolatedRunOver
+	WorkBrokeAtLaterStage
 )
 
 // String returns the sign as logs say it.
@@ -25,11 +25,11 @@
 		return "broke"
 	case WorkRan:
 		return "ran"
-	case WorkTried:
+	case WorkIsolatedRun:
 		return "tried alone"
-	case WorkTrialOver:
+	case WorkIsolatedRunOver:
 		return "trial over"
-	case WorkBrokeBehind:
+	case WorkBrokeAtLaterStage:
 		return "broke at a later stage"
 	default:
 		return "unknown"
@@ -37,14 +37,14 @@
 }
 
 // Known reports whether it is one of the signs.
-func (s WorkObservation) Known() bool { return s >= WorkBroke && s <= WorkBrokeBehind }
+func (s WorkObservation) Known() bool { return s >= WorkBroke && s <= WorkBrokeAtLaterStage }
 
 // Broke reports whether it says that the work was where an endpoint may have ended.
-func (s WorkObservation) Broke() bool { return s == WorkBroke || s == WorkBrokeBehind }
+func (s WorkObservation) Broke() bool { return s == WorkBroke || s == WorkBrokeAtLaterStage }
 
-// RelayWork tells that an entry, the witness, met a sign of some work at one life of an
+// WorkReport tells that an entry, the witness, met a sign of some work at one life of an
 // endpoint, AgoMS milliseconds before the frame was written.
-type RelayWork struct {
+type WorkReport struct {
 	_           struct{} `cbor:",toarray"`
 	Work        Fingerprint
 	Endpoint    string
@@ -55,18 +55,18 @@
 }
 
 // At returns when the witness met it, by the clock of who was told at a time.
-func (w *RelayWork) At(told time.Time) time.Time {
+func (w *WorkReport) At(told time.Time) time.Time {
 	return told.Add(-time.Duration(w.AgoMS * float64(time.Millisecond)))
 }
 
 // sound reports whether the news has the shape that it may have.
-func (w *RelayWork) sound() bool {
+func (w *WorkReport) sound() bool {
 	return !w.Work.IsZero() && w.Endpoint != "" && w.Observer != "" && w.Incarnation >= 0 &&
 		w.Observation.Known() && w.AgoMS >= 0
 }
 
 // soundWork reports whether all news of a frame do.
-func soundWork(all []RelayWork) bool {
+func soundWork(all []WorkReport) bool {
 	for i := range all {
 		if !all[i].sound() {
 			return false
--- a/standin/deployment.go
+++ b/standin/deployment.go
@@ -53,7 +53,7 @@
 	}
 	for _, t := range s.Teams {
 		c.add(protocol.TeamPart, t.Name, protocol.Team{
-			Name: t.Name, KeyHashes: []string{protocol.HashKey(t.Key)}, Share: t.Share, Priority: t.Priority, Open: t.Open,
+			Name: t.Name, KeyHashes: []string{protocol.HashKey(t.Key)}, Share: t.Share, Priority: t.Priority, MaxOpen: t.Open,
 		})
 	}
 	for _, o := range append([]settings.OperatorKey{s.Operator}, s.Others...) {
--- a/standin/runner.go
+++ b/standin/runner.go
@@ -158,7 +158,7 @@
 	return protocol.LoadReport{
 		Runner: r.Spec.Name, Epoch: r.Spec.Epoch, From: r.Spec.From, To: r.Spec.To,
 		Queued: queued, Streams: len(r.sequences), Leaving: r.leaving,
-		UnixMS: time.Now().UnixMilli(), Lifetime: r.born,
+		UnixMS: time.Now().UnixMilli(), Incarnation: r.born,
 	}
 }
 
--- a/standin/runner_batch.go
+++ b/standin/runner_batch.go
@@ -112,14 +112,14 @@
 		return reply
 	}
 	r.Ledger.add(r.Spec.Name, s)
-	reply.Hidden = make([]byte, s.Count*protocol.HiddenBytes)
+	reply.Hidden = make([]byte, s.Count*protocol.HiddenStateBytes)
 	var hidden uint64
 	for i := range s.Count {
 		hidden = stepInput(s, i)
 		for l := range seq.caches {
 			hidden, seq.caches[l] = runLayer(s.Span.From+l, hidden, seq.caches[l])
 		}
-		binary.LittleEndian.PutUint64(reply.Hidden[i*protocol.HiddenBytes:], hidden)
+		binary.LittleEndian.PutUint64(reply.Hidden[i*protocol.HiddenStateBytes:], hidden)
 	}
 	seq.positions = s.Position + s.Count
 	r.prefixes.store(s, seq)
@@ -133,7 +133,7 @@
 // sequenceFor returns the caches that the step goes on from.
 func (r *Runner) sequenceFor(s *protocol.Step) (*sequence, protocol.Fault) {
 	if s.Span.From != r.Spec.From || s.Span.To != r.Spec.To || s.Epoch != r.Spec.Epoch {
-		return nil, protocol.FaultSpan
+		return nil, protocol.FaultWrongLayers
 	}
 	seq := r.sequences[s.Request]
 	if seq != nil && (s.Attempt < seq.attempt || seq.cancelled && s.Attempt == seq.attempt) {
@@ -154,7 +154,7 @@
 		return seq, protocol.FaultNone
 	}
 	if seq == nil || seq.attempt != s.Attempt || seq.positions < s.Position {
-		return nil, protocol.FaultCache
+		return nil, protocol.FaultCacheMissing
 	}
 	if seq.positions > s.Position {
 		return nil, protocol.FaultFenced // ran already
--- a/standin/runner_cache.go
+++ b/standin/runner_cache.go
@@ -95,7 +95,7 @@
 	if s.Span.From == 0 {
 		return embed(s.Tokens[i])
 	}
-	return littleEndian(s.Hidden[i*protocol.HiddenBytes:])
+	return littleEndian(s.Hidden[i*protocol.HiddenStateBytes:])
 }
 
 func (r *Runner) serveEvents(w http.ResponseWriter, q *http.Request) {
--- a/standin/runner_conn.go
+++ b/standin/runner_conn.go
@@ -120,8 +120,8 @@
 			r.Span.To++
 		case hit(m.WrongPosition):
 			r.Position++
-		case hit(m.Truncate) && len(r.Hidden) > protocol.HiddenBytes:
-			r.Hidden = r.Hidden[:len(r.Hidden)-protocol.HiddenBytes]
+		case hit(m.Truncate) && len(r.Hidden) > protocol.HiddenStateBytes:
+			r.Hidden = r.Hidden[:len(r.Hidden)-protocol.HiddenStateBytes]
 			r.Count--
 		}
 		now = append(now, r)
--- a/state/config/config_test.go
+++ b/state/config/config_test.go
@@ -21,7 +21,7 @@
 	contents := map[string][]byte{}
 	for i, share := range shares {
 		name := fmt.Sprint("team-", i)
-		content, err := json.Marshal(protocol.Team{Name: name, KeyHashes: []string{protocol.HashKey(name)}, Share: share, Open: 10})
+		content, err := json.Marshal(protocol.Team{Name: name, KeyHashes: []string{protocol.HashKey(name)}, Share: share, MaxOpen: 10})
 		require.NoError(t, err)
 		hash := protocol.HashPart(content)
 		contents[hash] = content
--- a/state/fleet/cost.go
+++ b/state/fleet/cost.go
@@ -57,8 +57,8 @@
 func (r *Runner) RequestCost(now time.Time, promptTokens, outputTokens int, sharers float64) (fixed, perLayer float64) {
 	slowdown, _ := r.Slowdown(now)
 	fixed = slowdown * (r.QueueDelay(now) + minStepSeconds + linkSeconds[r.link])
-	perLayer = slowdown * (float64(promptTokens)/r.spec.Speed + float64(outputTokens)*r.spec.Step)
-	if r.spec.Room > 0 {
+	perLayer = slowdown * (float64(promptTokens)/r.spec.Speed + float64(outputTokens)*r.spec.StepSeconds)
+	if r.spec.Capacity > 0 {
 		utilization := sharers * float64(r.outstanding.Load()) / r.capacityPasses()
 		if reported := r.Utilization(now, 0); reported > minReportedUtilization {
 			utilization = max(utilization, reported)
--- a/state/fleet/utilization.go
+++ b/state/fleet/utilization.go
@@ -58,4 +58,4 @@
 
 // capacityPasses returns the capacity in layer passes: tokens times the layers that the
 // runner holds.
-func (r *Runner) capacityPasses() float64 { return r.spec.Room * float64(r.Span().Layers()) }
+func (r *Runner) capacityPasses() float64 { return r.spec.Capacity * float64(r.Span().Layers()) }
--- a/state/fleet/utilization_test.go
+++ b/state/fleet/utilization_test.go
@@ -16,9 +16,9 @@
 // the rest.
 func newTestView() *fleet.View {
 	return fleet.NewView(nil, []protocol.Model{{Name: "m", Layers: 10}}, []protocol.Runner{
-		{Name: "a", Model: "m", From: 0, To: 5, Speed: 1000, Step: 0.001, Room: 1000},
-		{Name: "b", Model: "m", From: 0, To: 5, Speed: 1000, Step: 0.001, Room: 1000},
-		{Name: "c", Model: "m", From: 5, To: 10, Speed: 1000, Step: 0.001, Room: 1500},
+		{Name: "a", Model: "m", From: 0, To: 5, Speed: 1000, StepSeconds: 0.001, Capacity: 1000},
+		{Name: "b", Model: "m", From: 0, To: 5, Speed: 1000, StepSeconds: 0.001, Capacity: 1000},
+		{Name: "c", Model: "m", From: 5, To: 10, Speed: 1000, StepSeconds: 0.001, Capacity: 1500},
 	}, fleet.Entry{Name: "e1"})
 }
 
--- a/state/fleet/view_test.go
+++ b/state/fleet/view_test.go
@@ -28,7 +28,7 @@
 			Address: "127.0.0.1:1", Model: "m", From: i % 8, To: i%8 + 1, Speed: 100,
 		})
 	}
-	c, err := config.NewFromModels(1, []protocol.Model{{Name: "m", Version: "1", Layers: 8, Open: 1, Context: 9}}, f)
+	c, err := config.NewFromModels(1, []protocol.Model{{Name: "m", Version: "1", Layers: 8, MaxOpen: 1, Context: 9}}, f)
 	require.NoError(t, err)
 	return c
 }
--- a/state/mirror/mirror.go
+++ b/state/mirror/mirror.go
@@ -41,7 +41,7 @@
 
 // listing returns the objects of a snapshot.
 func (d *Delta) listing() protocol.Listing {
-	l := protocol.Listing{At: d.To}
+	l := protocol.Listing{Revision: d.To}
 	for _, c := range d.Changes {
 		l.Objects = append(l.Objects, c.Object)
 	}
@@ -100,18 +100,18 @@
 func (m *Mirror) applyList(name string, l protocol.Listing) {
 	k := m.state(name)
 	if k.revision == 0 {
-		k.revision = max(1, l.At)
+		k.revision = max(1, l.Revision)
 		for _, o := range l.Objects {
 			k.objects[o.Name] = o
 		}
 		m.changed.Tell()
 		return
 	}
-	if l.At <= k.revision {
+	if l.Revision <= k.revision {
 		return // nothing new, or requested before newer changes arrived
 	}
 	k.append(k.diffTo(l))
-	k.revision = l.At
+	k.revision = l.Revision
 	m.changed.Tell()
 }
 
@@ -123,7 +123,7 @@
 	if k == nil || k.revision == 0 {
 		return protocol.Listing{}, false
 	}
-	l := protocol.Listing{At: k.revision, Objects: make([]protocol.Object, 0, len(k.objects))}
+	l := protocol.Listing{Revision: k.revision, Objects: make([]protocol.Object, 0, len(k.objects))}
 	for _, o := range k.objects {
 		l.Objects = append(l.Objects, o)
 	}
@@ -134,7 +134,7 @@
 // its revision are no longer kept.
 func (m *Mirror) Snapshot(name string) Delta {
 	l, _ := m.List(name)
-	d := Delta{To: l.At, Snapshot: true}
+	d := Delta{To: l.Revision, Snapshot: true}
 	for _, o := range l.Objects {
 		d.Changes = append(d.Changes, protocol.Change{Object: o})
 	}
@@ -234,7 +234,7 @@
 
 // diffTo returns the delta from the known state to a list.
 func (k *kindState) diffTo(l protocol.Listing) Delta {
-	d := Delta{After: k.revision, To: l.At, ListDiff: true}
+	d := Delta{After: k.revision, To: l.Revision, ListDiff: true}
 	listed := make(map[string]bool, len(l.Objects))
 	for _, o := range l.Objects {
 		listed[o.Name] = true
@@ -244,7 +244,7 @@
 	}
 	for _, o := range k.objects {
 		if !listed[o.Name] {
-			d.Changes = append(d.Changes, protocol.Change{Object: o, Gone: true})
+			d.Changes = append(d.Changes, protocol.Change{Object: o, Deleted: true})
 		}
 	}
 	return d
@@ -254,7 +254,7 @@
 func (k *kindState) append(d Delta) {
 	for _, c := range d.Changes {
 		k.bytes += len(c.Object.Value)
-		if c.Gone {
+		if c.Deleted {
 			delete(k.objects, c.Object.Name)
 		} else {
 			k.objects[c.Object.Name] = c.Object
--- a/state/mirror/mirror_test.go
+++ b/state/mirror/mirror_test.go
@@ -34,7 +34,7 @@
 			o.Version = p.revision
 		}
 		delete(p.objects, name)
-		p.history = append(p.history, protocol.Change{Object: o, Gone: true})
+		p.history = append(p.history, protocol.Change{Object: o, Deleted: true})
 	} else {
 		o := protocol.Object{Kind: kind, Name: name, Version: p.revision}
 		p.objects[name] = o
@@ -44,7 +44,7 @@
 }
 
 func (p *platform) list() protocol.Listing {
-	l := protocol.Listing{At: p.revision}
+	l := protocol.Listing{Revision: p.revision}
 	for _, o := range p.objects {
 		l.Objects = append(l.Objects, o)
 	}
@@ -65,7 +65,7 @@
 // apply applies changes to objects.
 func apply(objects map[string]protocol.Object, changes []protocol.Change) {
 	for _, c := range changes {
-		if c.Gone {
+		if c.Deleted {
 			delete(objects, c.Object.Name)
 		} else {
 			objects[c.Object.Name] = c.Object
@@ -135,7 +135,7 @@
 	var source, follower mirror.Mirror
 	_, ok := source.List(kind)
 	require.False(t, ok)
-	source.ApplyList(kind, protocol.Listing{At: 5, Objects: []protocol.Object{{Kind: kind, Name: "b", Version: 3}, {Kind: kind, Name: "a", Version: 4}}})
+	source.ApplyList(kind, protocol.Listing{Revision: 5, Objects: []protocol.Object{{Kind: kind, Name: "b", Version: 3}, {Kind: kind, Name: "a", Version: 4}}})
 	require.True(t, follower.Apply(kind, source.Snapshot(kind)))
 	require.Equal(t, uint64(5), follower.Revision(kind))
 	all, ok := follower.List(kind)
@@ -147,14 +147,14 @@
 func TestDeltaWithGapIsRejected(t *testing.T) {
 	var m mirror.Mirror
 	require.False(t, m.Apply(kind, mirror.Delta{After: 1, To: 2}), "the kind was never listed")
-	m.ApplyList(kind, protocol.Listing{At: 5})
+	m.ApplyList(kind, protocol.Listing{Revision: 5})
 	require.False(t, m.Apply(kind, mirror.Delta{After: 6, To: 8}))
 	require.Equal(t, uint64(5), m.Revision(kind))
 }
 
 func TestSinceFailsForDroppedChanges(t *testing.T) {
 	var m mirror.Mirror
-	m.ApplyList(kind, protocol.Listing{At: 1})
+	m.ApplyList(kind, protocol.Listing{Revision: 1})
 	for n := uint64(2); n < 1000; n++ {
 		o := protocol.Object{Kind: kind, Name: "o", Version: n}
 		require.True(t, m.Apply(kind, mirror.Delta{After: n - 1, To: n, Changes: []protocol.Change{{Object: o}}}))
@@ -170,7 +170,7 @@
 
 func TestLargeValuesAreDroppedEarlier(t *testing.T) {
 	var m mirror.Mirror
-	m.ApplyList(kind, protocol.Listing{At: 1})
+	m.ApplyList(kind, protocol.Listing{Revision: 1})
 	value := make([]byte, 1<<20)
 	for n := uint64(2); n < 12; n++ {
 		o := protocol.Object{Kind: kind, Name: "o", Version: n, Value: value}
@@ -185,7 +185,7 @@
 func TestChangedClosesOnChange(t *testing.T) {
 	var m mirror.Mirror
 	changed := m.Changed()
-	m.ApplyList(kind, protocol.Listing{At: 1})
+	m.ApplyList(kind, protocol.Listing{Revision: 1})
 	<-changed
 }
 
@@ -194,9 +194,9 @@
 // difference of the two lists does not remove it. Rapid found this case.
 func TestListDiffAppliesOnlyToItsBaseRevision(t *testing.T) {
 	var source, follower mirror.Mirror
-	source.ApplyList(kind, protocol.Listing{At: 1})
-	source.ApplyList(kind, protocol.Listing{At: 9})
-	follower.ApplyList(kind, protocol.Listing{At: 5, Objects: []protocol.Object{{Kind: kind, Name: "o", Version: 4}}})
+	source.ApplyList(kind, protocol.Listing{Revision: 1})
+	source.ApplyList(kind, protocol.Listing{Revision: 9})
+	follower.ApplyList(kind, protocol.Listing{Revision: 5, Objects: []protocol.Object{{Kind: kind, Name: "o", Version: 4}}})
 	_, ok := source.Since(kind, 5)
 	require.False(t, ok)
 	delta, ok := source.Since(kind, 1)
--- a/state/registry/registry_test.go
+++ b/state/registry/registry_test.go
@@ -16,9 +16,9 @@
 
 var services = []protocol.RoutedService{
 	{Name: "plain"},
-	{Name: "llm", Engine: &protocol.EngineFacts{
-		Layers: 10, LayerMB: 100, TokenLayerMB: 0.1, ReadPerSecond: 1000,
-		Accelerators: []protocol.AcceleratorFacts{{Name: "t4", MemoryMB: 1000, ReadFactor: 2}},
+	{Name: "llm", Engine: &protocol.EngineSpec{
+		Layers: 10, LayerMB: 100, TokenLayerMB: 0.1, PrefillPerSecond: 1000,
+		Accelerators: []protocol.AcceleratorSpec{{Name: "t4", MemoryMB: 1000, ReadFactor: 2}},
 	}},
 }
 
@@ -52,7 +52,7 @@
 	require.NotNil(t, r.View().Runner("x"))
 	require.Nil(t, r.View().Runner("empty"), "an engine without layers can't serve")
 	require.Len(t, r.View().Model(registry.ModelName("plain", "")).Groups(), 1)
-	require.InDelta(t, 1000.0, r.View().Runner("y").Spec().Room, 1e-9)
+	require.InDelta(t, 1000.0, r.View().Runner("y").Spec().Capacity, 1e-9)
 }
 
 func TestUnchangedRecordKeepsMeasurements(t *testing.T) {
--- a/state/registry/runner.go
+++ b/state/registry/runner.go
@@ -38,8 +38,8 @@
 	spec.From = e.Layers.From
 	spec.To = e.Layers.To
 	spec.Speed = prefillSpeed(s.Engine, e.Accelerator)
-	spec.Room = cacheCapacity(s.Engine, e)
-	spec.Step = decodeSeconds(s.Engine, e.Accelerator)
+	spec.Capacity = cacheCapacity(s.Engine, e)
+	spec.StepSeconds = decodeSeconds(s.Engine, e.Accelerator)
 	return spec, true
 }
 
@@ -56,16 +56,16 @@
 }
 
 // prefillSpeed returns the layer passes per second at which an engine processes a prompt.
-func prefillSpeed(facts *protocol.EngineFacts, accelerator string) float64 {
+func prefillSpeed(facts *protocol.EngineSpec, accelerator string) float64 {
 	factor := 1.0
 	if a, ok := facts.Accelerator(accelerator); ok && a.ReadFactor > 0 {
 		factor = a.ReadFactor
 	}
-	return max(1, facts.ReadPerSecond*float64(facts.Layers)/factor)
+	return max(1, facts.PrefillPerSecond*float64(facts.Layers)/factor)
 }
 
 // decodeSeconds returns the seconds that one output token takes in one layer.
-func decodeSeconds(facts *protocol.EngineFacts, accelerator string) float64 {
+func decodeSeconds(facts *protocol.EngineSpec, accelerator string) float64 {
 	a, ok := facts.Accelerator(accelerator)
 	if !ok || facts.Layers <= 0 {
 		return 0
@@ -75,7 +75,7 @@
 
 // cacheCapacity returns how many tokens fit into an engine's KV cache beside the layers that
 // it holds.
-func cacheCapacity(facts *protocol.EngineFacts, e protocol.Endpoint) float64 {
+func cacheCapacity(facts *protocol.EngineSpec, e protocol.Endpoint) float64 {
 	a, ok := facts.Accelerator(e.Accelerator)
 	layers := float64(e.Layers.Layers())
 	if !ok || facts.TokenLayerMB <= 0 {
--- a/transport/claims/ask.go
+++ b/transport/claims/ask.go
@@ -47,7 +47,7 @@
 	defer cancel()
 	id, answer := k.asks.add()
 	defer k.asks.remove(id)
-	if !k.Mesh.Send(writer, protocol.PeerFrame{Asks: []protocol.ClaimAsk{{ID: id, Record: r}}}) {
+	if !k.Mesh.Send(writer, protocol.PeerFrame{ClaimRequests: []protocol.ClaimRequest{{ID: id, Record: r}}}) {
 		return claim.Result{}, errNoAnswer
 	}
 	select {
@@ -94,10 +94,10 @@
 
 // HandleFrame takes what a peer asks or answers.
 func (k *Store) HandleFrame(from string, f *protocol.PeerFrame) {
-	for _, a := range f.Answers {
+	for _, a := range f.ClaimAnswers {
 		k.asks.answered(a)
 	}
-	for _, a := range f.Asks {
+	for _, a := range f.ClaimRequests {
 		go (&asked{keeper: k, from: from, ask: a}).run()
 	}
 }
@@ -106,7 +106,7 @@
 type asked struct {
 	keeper *Store
 	from   string
-	ask    protocol.ClaimAsk
+	ask    protocol.ClaimRequest
 }
 
 func (a *asked) run() {
@@ -121,7 +121,7 @@
 		answer.Verdict = uint8(result.Verdict())
 		answer.Held = result.Existing()
 	}
-	a.keeper.Mesh.Send(a.from, protocol.PeerFrame{Answers: []protocol.ClaimAnswer{answer}})
+	a.keeper.Mesh.Send(a.from, protocol.PeerFrame{ClaimAnswers: []protocol.ClaimAnswer{answer}})
 }
 
 // keeping is one release or outcome on its way through another entry.
--- a/transport/claims/keeper.go
+++ b/transport/claims/keeper.go
@@ -115,7 +115,7 @@
 		seen = result
 		held := result.Existing()
 		switch {
-		case k.IsGone == nil || held.Holder == "" || !k.IsGone(held.Holder, held.Life):
+		case k.IsGone == nil || held.Holder == "" || !k.IsGone(held.Holder, held.Incarnation):
 			gone = time.Time{}
 		case gone.IsZero():
 			gone = time.Now()
--- a/transport/claims/keeper_test.go
+++ b/transport/claims/keeper_test.go
@@ -207,7 +207,7 @@
 	t.Cleanup(p.Close)
 	p.Unlimited = true
 	taken := record("key")
-	taken.Holder, taken.Life = "e1", 7
+	taken.Holder, taken.Incarnation = "e1", 7
 	result, err := newKeeper(t, p).Claim(context.Background(), taken)
 	require.NoError(t, err)
 	require.Equal(t, claim.Granted, result.Verdict())
--- a/transport/director/director.go
+++ b/transport/director/director.go
@@ -52,7 +52,7 @@
 // Engines is the way to the engines.
 type Engines interface {
 	Report(ctx context.Context, address string) (protocol.EngineReport, error)
-	Place(ctx context.Context, o protocol.PlaceOrder) (protocol.OrderAnswer, error)
+	Place(ctx context.Context, o protocol.PlacementOrder) (protocol.OrderAnswer, error)
 }
 
 // Objects is the platform as far as the lease needs it.
--- a/transport/director/director_test.go
+++ b/transport/director/director_test.go
@@ -95,12 +95,12 @@
 // somebody else.
 func TestAnOrderAfterOthersIsRefusedByItsNumber(t *testing.T) {
 	w := newWorld(2)
-	w.engines["e0"].orders = make([]protocol.PlaceOrder, 3)
-	_, err := w.Place(context.Background(), protocol.PlaceOrder{Address: "e0", Orders: 2})
+	w.engines["e0"].orders = make([]protocol.PlacementOrder, 3)
+	_, err := w.Place(context.Background(), protocol.PlacementOrder{Address: "e0", PriorOrders: 2})
 	require.Error(t, err)
 	play(t, w, 1, 5*time.Second)
 	require.Len(t, w.engines["e0"].orders, 4)
-	require.Equal(t, 3, w.engines["e0"].orders[3].Orders, "the director asks the engine before it orders")
+	require.Equal(t, 3, w.engines["e0"].orders[3].PriorOrders, "the director asks the engine before it orders")
 }
 
 // TestAnIncompleteListAfterAStartMovesNobody starts an entry right when the platform is
--- a/transport/director/moves.go
+++ b/transport/director/moves.go
@@ -118,7 +118,7 @@
 
 // engineOf describes an endpoint that holds layers, with its runner or nil, to the decision on
 // where layers go.
-func engineOf(e *protocol.Endpoint, r *fleet.Runner, f *protocol.EngineFacts, held protocol.Span, now time.Time) placement.Engine {
+func engineOf(e *protocol.Endpoint, r *fleet.Runner, f *protocol.EngineSpec, held protocol.Span, now time.Time) placement.Engine {
 	return placement.Engine{
 		ID: e.ID, DataCenter: e.DataCenter, Accelerator: e.Accelerator, Held: held, Serving: e.Layers,
 		Leaving: e.Leaving || r != nil && r.Lost(now),
@@ -129,7 +129,7 @@
 // slowForLong reports whether an engine has been slow for as long as another takes to load
 // its layers. How much longer it stays slow is not known; the guess is as long again, so that
 // a load pays from then on, and a shorter slowness moves nothing.
-func slowForLong(f *protocol.EngineFacts, r *fleet.Runner, held protocol.Span, now time.Time) bool {
+func slowForLong(f *protocol.EngineSpec, r *fleet.Runner, held protocol.Span, now time.Time) bool {
 	if r == nil || !r.IsSlow(now) || f.Layers <= 0 {
 		return false
 	}
--- a/transport/director/order.go
+++ b/transport/director/order.go
@@ -110,9 +110,9 @@
 func (g *giving) order(ctx context.Context, report *protocol.EngineReport) {
 	d := g.director
 	d.Counters.Ordered(string(g.move.Reason()))
-	answer, err := d.Engines.Place(ctx, protocol.PlaceOrder{
-		EndpointID: g.move.Engine(), Address: g.move.address, Layers: g.move.Span(), Epoch: g.epoch, Orders: report.Orders,
-		Cut: g.move.Interrupts(),
+	answer, err := d.Engines.Place(ctx, protocol.PlacementOrder{
+		EndpointID: g.move.Engine(), Address: g.move.address, Layers: g.move.Span(), Epoch: g.epoch, PriorOrders: report.Orders,
+		Abort: g.move.Interrupts(),
 	})
 	if err != nil {
 		g.misdirected(err)
--- a/transport/director/slow_test.go
+++ b/transport/director/slow_test.go
@@ -15,7 +15,7 @@
 // TestAnEngineIsSlowForLongOnceALoadWouldHaveBeenDone: ten of 80 layers of which all take
 // 14 s to load.
 func TestAnEngineIsSlowForLongOnceALoadWouldHaveBeenDone(t *testing.T) {
-	f := &protocol.EngineFacts{Layers: 80, LoadMS: 14_000}
+	f := &protocol.EngineSpec{Layers: 80, LoadMS: 14_000}
 	held := protocol.Span{From: 20, To: 30}
 	now := time.Unix(100, 0)
 	r := fleet.NewRunner(protocol.Runner{Name: "e", Speed: 1}, "a")
--- a/transport/director/world_test.go
+++ b/transport/director/world_test.go
@@ -37,7 +37,7 @@
 }
 
 type engine struct {
-	orders  []protocol.PlaceOrder
+	orders  []protocol.PlacementOrder
 	reports int
 	silent  bool
 	loads   time.Duration // how long after an order is taken its effect shows
@@ -110,7 +110,7 @@
 	return protocol.EngineReport{Orders: len(e.orders), Layers: e.layers, LayersKnown: e.told, Accelerator: e.kind}, nil
 }
 
-func (w *world) Place(_ context.Context, o protocol.PlaceOrder) (protocol.OrderAnswer, error) {
+func (w *world) Place(_ context.Context, o protocol.PlacementOrder) (protocol.OrderAnswer, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	e := w.engines[o.Address]
@@ -131,12 +131,12 @@
 	if err := w.carryOut(e, o); err != nil {
 		return protocol.OrderRefused, err
 	}
-	return protocol.OrderBegun, nil
+	return protocol.OrderStarted, nil
 }
 
 // carryOut does what an order says if no other came first.
-func (w *world) carryOut(e *engine, o protocol.PlaceOrder) error {
-	if o.Orders != len(e.orders) {
+func (w *world) carryOut(e *engine, o protocol.PlacementOrder) error {
+	if o.PriorOrders != len(e.orders) {
 		return errors.New("another order came first")
 	}
 	e.orders = append(e.orders, o)
@@ -172,9 +172,9 @@
 }
 
 func (w *world) director(t *testing.T, name string) *director.Director {
-	facts := &protocol.EngineFacts{
-		Layers: 10, LayerMB: 100, TokenLayerMB: 0.01, UsualPrompt: 5, UsualAnswer: 5,
-		Accelerators: []protocol.AcceleratorFacts{{Name: "t4", MemoryMB: 700, StepFactor: 1, ReadFactor: 1}},
+	facts := &protocol.EngineSpec{
+		Layers: 10, LayerMB: 100, TokenLayerMB: 0.01, TypicalPrompt: 5, TypicalAnswer: 5,
+		Accelerators: []protocol.AcceleratorSpec{{Name: "t4", MemoryMB: 700, StepFactor: 1, ReadFactor: 1}},
 	}
 	table, err := routing.Build(protocol.Routing{Version: 1, Services: []protocol.RoutedService{{Name: "llm", Engine: facts}}})
 	require.NoError(t, err)
--- a/transport/engine/client.go
+++ b/transport/engine/client.go
@@ -302,7 +302,7 @@
 	fault := c.Runner.Report(l, time.Now())
 	if fault == fleet.ReportAccepted {
 		c.mutex.Lock()
-		c.incarnation = l.Lifetime
+		c.incarnation = l.Incarnation
 		c.mutex.Unlock()
 		return
 	}
--- a/transport/engine/client_test.go
+++ b/transport/engine/client_test.go
@@ -61,7 +61,7 @@
 	}))
 	defer engine.Close()
 	spec := protocol.Runner{Name: "a", Speed: 1e9, To: 1, Model: "m", Address: engine.Listener.Addr().String(), DataCenter: "dc"}
-	c, err := config.NewFromModels(1, []protocol.Model{{Name: "m", Version: "1", Layers: 1, Open: 1, Context: 9}}, protocol.Fleet{
+	c, err := config.NewFromModels(1, []protocol.Model{{Name: "m", Version: "1", Layers: 1, MaxOpen: 1, Context: 9}}, protocol.Fleet{
 		Name: "dc", Runners: []protocol.Runner{{
 			Name: spec.Name, VM: "v", DataCenter: "dc", Accelerator: "x", Address: spec.Address, Model: "m", To: 1, Speed: spec.Speed,
 		}},
--- a/transport/entry/admission.go
+++ b/transport/entry/admission.go
@@ -81,7 +81,7 @@
 // resolve turns a decision into an admitted slot or a refusal.
 func (s *slot) resolve(d admit.Decision) (*slot, error) {
 	if r, ok := d.(admit.Refuse); ok {
-		return nil, protocol.Refuse(r.Kind(), "model "+s.model+" has no room for the request").Again(r.RetryAfter())
+		return nil, protocol.Refuse(r.Kind(), "model "+s.model+" has no room for the request").WithRetryAt(r.RetryAfter())
 	}
 	s.started = time.Now()
 	return s, nil
--- a/transport/entry/caller.go
+++ b/transport/entry/caller.go
@@ -174,11 +174,11 @@
 		return protocol.Refuse(protocol.Stopping, "this entry is stopping")
 	}
 	if openRequests > e.Settings.Limits.OpenRequests {
-		return protocol.Refuse(protocol.TooManyOpen, "this entry has all the open requests that it may").Again(now.Add(time.Second))
+		return protocol.Refuse(protocol.TooManyOpen, "this entry has all the open requests that it may").WithRetryAt(now.Add(time.Second))
 	}
 	k.config = e.follower.Current()
 	if k.config == nil {
-		return protocol.Refuse(protocol.NoConfiguration, "no configuration yet").Again(now.Add(time.Second))
+		return protocol.Refuse(protocol.NoConfiguration, "no configuration yet").WithRetryAt(now.Add(time.Second))
 	}
 	if err := k.readHeaders(c.Request(), e, now); err != nil {
 		return err
@@ -240,7 +240,7 @@
 		return protocol.Refuse(protocol.BodyTooLarge, "the body is longer than "+strconv.FormatInt(tooLarge.Limit, 10)+" bytes")
 	}
 	if err != nil {
-		return protocol.Refuse(protocol.MalformedRequest, "the body was cut off or came too slowly").Because(err)
+		return protocol.Refuse(protocol.MalformedRequest, "the body was cut off or came too slowly").WithCause(err)
 	}
 	k.body = body
 	return nil
--- a/transport/entry/chat.go
+++ b/transport/entry/chat.go
@@ -26,13 +26,13 @@
 		return protocol.Refuse(protocol.UnknownModel, "model "+r.Model+" is not configured")
 	}
 	prompt := r.Prompt()
-	if len(prompt)+r.Limit() > m.Context {
+	if len(prompt)+r.TokenLimit() > m.Context {
 		return protocol.Refuse(protocol.MalformedRequest, "prompt and answer together exceed the model's "+itoa(m.Context)+" tokens")
 	}
 	k.trace.Add(time.Now(), trace.Queued, "")
-	slot, err := e.admission.acquire(c.Request().Context(), m, e.localShare(m.Open), admit.Request{
+	slot, err := e.admission.acquire(c.Request().Context(), m, e.localShare(m.MaxOpen), admit.Request{
 		Team: k.team.Name, Share: k.team.Share, Priority: k.team.Priority,
-		Deadline: clock.Timer(k.deadline), OpenLimit: e.localShare(k.team.Open),
+		Deadline: clock.Timer(k.deadline), OpenLimit: e.localShare(k.team.MaxOpen),
 	})
 	if err != nil {
 		return err
@@ -44,8 +44,8 @@
 		entry: e, id: k.id, model: m, repeatable: k.repeatable != "no",
 		deadline: k.deadline, trace: k.trace, sink: response, slot: slot, call: k,
 	}
-	err = run.serve(c.Request().Context(), prompt, r.Limit(), k.team.Priority)
-	return response.finish(len(prompt), run.machine.Emitted(), r.Limit(), err)
+	err = run.serve(c.Request().Context(), prompt, r.TokenLimit(), k.team.Priority)
+	return response.finish(len(prompt), run.machine.Emitted(), r.TokenLimit(), err)
 }
 
 // localShare returns this entry's share of a limit that applies to all entries
@@ -196,10 +196,10 @@
 	reason := finishReason(len(tokens), limit)
 	counts := newUsage(prompt, len(tokens))
 	if err := s.writeChunk(chunkDelta{}, &reason, &counts); err != nil {
-		return protocol.Uncertain(protocol.CallerGone, "the caller stopped reading").Because(err)
+		return protocol.Uncertain(protocol.CallerGone, "the caller stopped reading").WithCause(err)
 	}
 	if err := s.writeEvent("data: [DONE]\n\n"); err != nil {
-		return protocol.Uncertain(protocol.CallerGone, "the caller stopped reading").Because(err)
+		return protocol.Uncertain(protocol.CallerGone, "the caller stopped reading").WithCause(err)
 	}
 	return nil
 }
--- a/transport/entry/claimed.go
+++ b/transport/entry/claimed.go
@@ -38,7 +38,7 @@
 	result, err := s.entry.claims.Await(ctx, record)
 	if err != nil {
 		return serviceResponse{}, protocol.Refuse(protocol.ClaimUnavailable,
-			"the claim could not be made durable in time").Because(err).Again(time.Now().Add(time.Second))
+			"the claim could not be made durable in time").WithCause(err).WithRetryAt(time.Now().Add(time.Second))
 	}
 	s.call.trace.Add(time.Now(), trace.Claimed, result.Verdict().String())
 	if result.Verdict() != claim.Granted {
@@ -68,7 +68,7 @@
 	return protocol.ClaimRecord{
 		Kind: protocol.ClaimTaken, Key: protocol.NewClaimKey(s.call.team.Name, s.call.idempotencyKey),
 		Digest: digest.Sum64(), Claimant: rand.Uint64(), IssuedMS: issuedAt.UnixMilli(),
-		Holder: s.entry.mesh.Self.Name, Life: s.entry.mesh.Self.Incarnation,
+		Holder: s.entry.mesh.Self.Name, Incarnation: s.entry.mesh.Self.Incarnation,
 	}, nil
 }
 
@@ -84,7 +84,7 @@
 		if protocol.AsRefusal(err).Outcome() == protocol.NotRun {
 			s.recordOutcome(record, protocol.ClaimReleased)
 		} else {
-			s.recordOutcome(record, protocol.ClaimDoubtful)
+			s.recordOutcome(record, protocol.ClaimUncertain)
 		}
 		return response, err
 	}
@@ -116,7 +116,7 @@
 		s.entry.counters.Add(metric.ClaimsReplayed, 1)
 		return serviceResponse{status: existing.Status, contentType: existing.Type, body: existing.Answer}, nil
 	case claim.Held:
-		return serviceResponse{}, protocol.Uncertain(protocol.ClaimHeld, "an earlier try of this key has not ended").Again(retryAt)
+		return serviceResponse{}, protocol.Uncertain(protocol.ClaimHeld, "an earlier try of this key has not ended").WithRetryAt(retryAt)
 	case claim.Doubtful:
 		return serviceResponse{}, protocol.Uncertain(protocol.ServiceFailed, "an earlier try of this key may have run")
 	case claim.Reused:
@@ -124,6 +124,6 @@
 	case claim.Expired:
 		return serviceResponse{}, protocol.Uncertain(protocol.KeyExpired, "the request was issued longer ago than keys are remembered")
 	default:
-		return serviceResponse{}, protocol.Refuse(protocol.ClaimsFull, "no claim can be kept until older ones expire").Again(retryAt)
+		return serviceResponse{}, protocol.Refuse(protocol.ClaimsFull, "no claim can be kept until older ones expire").WithRetryAt(retryAt)
 	}
 }
--- a/transport/entry/confirm.go
+++ b/transport/entry/confirm.go
@@ -68,7 +68,7 @@
 	}
 	var m protocol.Manifest
 	if err := json.Unmarshal(current.Value, &m); err != nil {
-		return 0, false, protocol.Refuse(protocol.StalePlan, "the manifest in the platform is broken").Because(err)
+		return 0, false, protocol.Refuse(protocol.StalePlan, "the manifest in the platform is broken").WithCause(err)
 	}
 	if version, ok := plan.AcceptedVersion(m, id); ok {
 		e.finishPlan(ctx, id, version, o)
--- a/transport/entry/crash_probe.go
+++ b/transport/entry/crash_probe.go
@@ -38,7 +38,7 @@
 	case err != nil:
 		return quarantine.ProbeInconclusive
 	default:
-		return quarantine.ClassifyAnswer(p.incarnation, report.Lifetime, p.sentAt)
+		return quarantine.ClassifyAnswer(p.incarnation, report.Incarnation, p.sentAt)
 	}
 }
 
--- a/transport/entry/entry_test.go
+++ b/transport/entry/entry_test.go
@@ -63,7 +63,7 @@
 func startDeploymentOf(tb testing.TB, speed float64, engines int) *standin.Deployment {
 	s := settings.Standin{
 		Platform: "127.0.0.1:0",
-		Models:   []protocol.Model{{Name: "fares", Version: "1", Layers: layers, Open: 4096, Context: 4096, GapMS: 60_000}},
+		Models:   []protocol.Model{{Name: "fares", Version: "1", Layers: layers, MaxOpen: 4096, Context: 4096, TokenIntervalMS: 60_000}},
 		Teams:    []settings.Team{{Name: "desk", Key: key, Share: 1, Open: 4096}},
 		Operator: settings.OperatorKey{Name: "clerk", Key: "clerk-key-1"},
 	}
@@ -332,7 +332,7 @@
 	for _, r := range d.Runners {
 		specs = append(specs, r.Spec)
 	}
-	c, err := config.NewFromModels(1, []protocol.Model{{Name: "fares", Version: "1", Layers: layers, Open: 1, Context: 9}},
+	c, err := config.NewFromModels(1, []protocol.Model{{Name: "fares", Version: "1", Layers: layers, MaxOpen: 1, Context: 9}},
 		protocol.Fleet{Name: "dc", Runners: specs})
 	require.NoError(b, err)
 	x := &directSource{view: fleet.NewViewFromConfig(nil, c, fleet.Entry{Name: "e1", DataCenter: "dc"})}
--- a/transport/entry/isolation.go
+++ b/transport/entry/isolation.go
@@ -104,7 +104,7 @@
 	if m.mayHaveRun {
 		return protocol.Uncertain(protocol.StageFailed, message)
 	}
-	return protocol.Refuse(protocol.EndsEndpoints, message).Again(refused.Until())
+	return protocol.Refuse(protocol.CrashesEndpoints, message).WithRetryAt(refused.Until())
 }
 
 // isolationRefusal returns the refusal for a request that found no runner for an isolated run in
@@ -114,7 +114,7 @@
 	if m.mayHaveRun {
 		return protocol.Uncertain(protocol.StageFailed, message)
 	}
-	return protocol.Refuse(protocol.QueueFull, message).Again(time.Now().Add(quarantine.IsolationRetryAfter))
+	return protocol.Refuse(protocol.QueueFull, message).WithRetryAt(time.Now().Add(quarantine.IsolationRetryAfter))
 }
 
 // startIsolatedRun reserves the first runner of the path for the work, if the work is suspected.
@@ -125,7 +125,7 @@
 		return
 	}
 	m.isolatedOn = p.Runner(0)
-	m.reportWork(m.isolatedOn, m.incarnationOf(m.isolatedOn), protocol.WorkTried, now)
+	m.reportWork(m.isolatedOn, m.incarnationOf(m.isolatedOn), protocol.WorkIsolatedRun, now)
 }
 
 // endIsolatedRun ends the isolated run of the request, if there is one.
@@ -133,7 +133,7 @@
 	if m.isolatedOn == nil {
 		return
 	}
-	m.reportWork(m.isolatedOn, m.incarnationOf(m.isolatedOn), protocol.WorkTrialOver, clock.Now())
+	m.reportWork(m.isolatedOn, m.incarnationOf(m.isolatedOn), protocol.WorkIsolatedRunOver, clock.Now())
 	m.isolatedOn = nil
 }
 
@@ -177,7 +177,7 @@
 
 // reportWork records an observation of the request's work at a runner.
 func (m *modelRun) reportWork(r *fleet.Runner, incarnation protocol.Incarnation, observation protocol.WorkObservation, now time.Time) {
-	m.entry.quarantine.tracker.Report(protocol.RelayWork{Work: m.fingerprint(), Endpoint: r.Name(), Incarnation: incarnation, Observation: observation}, now)
+	m.entry.quarantine.tracker.Report(protocol.WorkReport{Work: m.fingerprint(), Endpoint: r.Name(), Incarnation: incarnation, Observation: observation}, now)
 }
 
 // incarnationOf returns the incarnation of the runner's process that the entry is connected to.
--- a/transport/entry/leaving_vms.go
+++ b/transport/entry/leaving_vms.go
@@ -118,8 +118,8 @@
 			r.MarkLeaving()
 		}
 	}
-	if heartbeat.AgeMS > 0 {
-		e.setLeaving(heartbeat.VMs, time.Now().Add(-time.Duration(heartbeat.AgeMS)*time.Millisecond))
+	if heartbeat.VMListAgeMS > 0 {
+		e.setLeaving(heartbeat.LeavingVMs, time.Now().Add(-time.Duration(heartbeat.VMListAgeMS)*time.Millisecond))
 	}
 }
 
@@ -131,5 +131,5 @@
 			heartbeat.Leaving = append(heartbeat.Leaving, name)
 		}
 	}
-	heartbeat.VMs, heartbeat.AgeMS = e.leaving.list(time.Now())
+	heartbeat.LeavingVMs, heartbeat.VMListAgeMS = e.leaving.list(time.Now())
 }
--- a/transport/entry/membership.go
+++ b/transport/entry/membership.go
@@ -147,7 +147,7 @@
 }
 
 // UnresolvedWork returns the reports about work that may crash runners.
-func (h *peerHandler) UnresolvedWork() []protocol.RelayWork { return h.entry.quarantine.reports() }
+func (h *peerHandler) UnresolvedWork() []protocol.WorkReport { return h.entry.quarantine.reports() }
 
 // liveEntries returns the number of entries that share the load of callers, at
 // least 1.
--- a/transport/entry/model_run.go
+++ b/transport/entry/model_run.go
@@ -113,9 +113,9 @@
 	message := "no usable runner holds layer " + itoa(layer) + " of model " + m.model.Name
 	retryAt := time.Now().Add(time.Second)
 	if m.mayHaveRun {
-		return protocol.Uncertain(protocol.NoPath, message).Again(retryAt)
+		return protocol.Uncertain(protocol.NoPath, message).WithRetryAt(retryAt)
 	}
-	return protocol.Refuse(protocol.NoPath, message).Again(retryAt)
+	return protocol.Refuse(protocol.NoPath, message).WithRetryAt(retryAt)
 }
 
 // runnerNames returns the names of the runners on a path, separated by spaces.
@@ -206,7 +206,7 @@
 	if len(m.machine.Emitted()) == 1 {
 		m.trace.Add(now, trace.FirstToken, "")
 	} else if !m.lastTokenAt.IsZero() && m.failedAt.IsZero() {
-		m.slot.observeGap(now.Sub(m.lastTokenAt), m.model.Gap())
+		m.slot.observeGap(now.Sub(m.lastTokenAt), m.model.TokenInterval())
 	}
 	m.lastTokenAt = now
 	m.recordToken()
@@ -216,7 +216,7 @@
 		m.failedAt = time.Time{}
 	}
 	if err := m.sink.writeToken(t); err != nil {
-		return protocol.Uncertain(protocol.CallerGone, "the caller stopped reading").Because(err)
+		return protocol.Uncertain(protocol.CallerGone, "the caller stopped reading").WithCause(err)
 	}
 	return nil
 }
--- a/transport/entry/plans.go
+++ b/transport/entry/plans.go
@@ -77,7 +77,7 @@
 	if errors.As(err, &refusal) {
 		return err
 	}
-	return protocol.Refuse(protocol.PlatformDown, "the platform does not answer").Because(err).Again(time.Now().Add(time.Second))
+	return protocol.Refuse(protocol.PlatformDown, "the platform does not answer").WithCause(err).WithRetryAt(time.Now().Add(time.Second))
 }
 
 // writePlan writes a plan over the given version of its object and returns the new
@@ -105,7 +105,7 @@
 	}
 	var p plan.Plan
 	if err := json.Unmarshal(object.Value, &p); err != nil || p.ID != id {
-		return nil, 0, protocol.Refuse(protocol.UnknownPlan, "the object of plan "+id+" is not a plan").Because(err)
+		return nil, 0, protocol.Refuse(protocol.UnknownPlan, "the object of plan "+id+" is not a plan").WithCause(err)
 	}
 	return &p, object.Version, nil
 }
--- a/transport/entry/quarantine.go
+++ b/transport/entry/quarantine.go
@@ -103,7 +103,7 @@
 
 // retain stores reports for peers that connect later. It skips reports of isolated runs, which are
 // over by then and may be so numerous that they would displace the reports of crashes.
-func (q *workQuarantine) retain(reports []protocol.RelayWork, now time.Time) {
+func (q *workQuarantine) retain(reports []protocol.WorkReport, now time.Time) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	for _, r := range reports {
@@ -116,21 +116,21 @@
 
 // retainedReport is a report for peers that connect later, and the time of its observation.
 type retainedReport struct {
-	report protocol.RelayWork
+	report protocol.WorkReport
 	at     time.Time
 }
 
 // reports returns the reports to send to a peer that has just connected.
-func (q *workQuarantine) reports() []protocol.RelayWork {
+func (q *workQuarantine) reports() []protocol.WorkReport {
 	now := clock.Now()
 	return q.reportsSince(now.Add(-quarantine.Retention), now)
 }
 
 // reportsSince returns the retained reports of observations after a time, with their current age.
-func (q *workQuarantine) reportsSince(oldest, now time.Time) []protocol.RelayWork {
+func (q *workQuarantine) reportsSince(oldest, now time.Time) []protocol.WorkReport {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	var reports []protocol.RelayWork
+	var reports []protocol.WorkReport
 	for _, kept := range q.retained {
 		if kept.at.After(oldest) {
 			kept.report.AgoMS = float64(now.Sub(kept.at)) / float64(time.Millisecond)
@@ -142,7 +142,7 @@
 
 // receive applies a peer's reports. This entry probes by itself whether a runner has crashed: a
 // peer's report alone refuses no work.
-func (q *workQuarantine) receive(reports []protocol.RelayWork, from string) {
+func (q *workQuarantine) receive(reports []protocol.WorkReport, from string) {
 	q.tracker.Receive(reports, from)
 	now := clock.Now()
 	q.mutex.Lock()
--- a/transport/entry/quarantine_test.go
+++ b/transport/entry/quarantine_test.go
@@ -24,7 +24,7 @@
 }
 
 func (s *loadServer) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
-	_ = json.NewEncoder(w).Encode(protocol.LoadReport{Lifetime: s.incarnation})
+	_ = json.NewEncoder(w).Encode(protocol.LoadReport{Incarnation: s.incarnation})
 }
 
 // newWorkQuarantine returns the quarantine of an entry with three runners that report the given
@@ -38,7 +38,7 @@
 			Name: name, VM: name, DataCenter: "dc", Accelerator: "x", Model: "m", To: 1, Speed: 1, Epoch: 1, Address: s.Listener.Addr().String(),
 		})
 	}
-	c, err := config.NewFromModels(1, []protocol.Model{{Name: "m", Version: "1", Layers: 1, Open: 1, Context: 9}}, protocol.Fleet{Name: "dc", Runners: specs})
+	c, err := config.NewFromModels(1, []protocol.Model{{Name: "m", Version: "1", Layers: 1, MaxOpen: 1, Context: 9}}, protocol.Fleet{Name: "dc", Runners: specs})
 	require.NoError(t, err)
 	e := &Entry{}
 	e.quarantine.entry, e.quarantine.tracker.Self = e, "e1"
@@ -49,10 +49,10 @@
 
 // crashReports returns reports that the connections of some work broke at incarnation 1000 of each
 // runner, one after the other.
-func crashReports(work protocol.Fingerprint) []protocol.RelayWork {
-	var reports []protocol.RelayWork
+func crashReports(work protocol.Fingerprint) []protocol.WorkReport {
+	var reports []protocol.WorkReport
 	for i, name := range []string{"a", "b", "c"} {
-		reports = append(reports, protocol.RelayWork{
+		reports = append(reports, protocol.WorkReport{
 			Work: work, Endpoint: name, Incarnation: 1000, Observer: "e2", Observation: protocol.WorkBroke, AgoMS: float64(900 - 300*i),
 		})
 	}
--- a/transport/entry/recover.go
+++ b/transport/entry/recover.go
@@ -60,9 +60,9 @@
 		kind, message = protocol.DeadlinePassed, "the deadline passed"
 	}
 	if m.mayHaveRun {
-		return protocol.Uncertain(kind, message).Because(ctx.Err())
+		return protocol.Uncertain(kind, message).WithCause(ctx.Err())
 	}
-	return protocol.Refuse(kind, message).Because(ctx.Err())
+	return protocol.Refuse(kind, message).WithCause(ctx.Err())
 }
 
 // retry starts another attempt on another path, if the outcome so far and the
@@ -104,7 +104,7 @@
 	if m.mayHaveRun {
 		return protocol.Uncertain(stop.Kind(), message)
 	}
-	return protocol.Refuse(stop.Kind(), message).Again(time.Now().Add(time.Second))
+	return protocol.Refuse(stop.Kind(), message).WithRetryAt(time.Now().Add(time.Second))
 }
 
 // sleepUntil sleeps until a time and reports whether ctx is still valid then.
--- a/transport/entry/service.go
+++ b/transport/entry/service.go
@@ -185,7 +185,7 @@
 func (s *serviceCall) callOnce(ctx context.Context, endpoint protocol.ServiceEndpoint) (serviceResponse, error) {
 	req, err := http.NewRequestWithContext(ctx, s.method, "http://"+endpoint.Address+s.target, bytes.NewReader(s.call.body))
 	if err != nil {
-		return serviceResponse{}, protocol.Refuse(protocol.MalformedRequest, "the path is not valid").Because(err)
+		return serviceResponse{}, protocol.Refuse(protocol.MalformedRequest, "the path is not valid").WithCause(err)
 	}
 	copyHeaders(req.Header, s.header)
 	req.Header.Set(headerRequest, s.call.id.String())
@@ -197,7 +197,7 @@
 	s.sent = true
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
 	if err != nil || len(body) > maxResponseBytes {
-		return serviceResponse{}, protocol.Uncertain(protocol.ServiceFailed, "the service's answer was cut off or too long").Because(err)
+		return serviceResponse{}, protocol.Uncertain(protocol.ServiceFailed, "the service's answer was cut off or too long").WithCause(err)
 	}
 	return serviceResponse{
 		status: resp.StatusCode, contentType: resp.Header.Get("Content-Type"), header: resp.Header, body: body,
@@ -209,13 +209,13 @@
 func (s *serviceCall) callError(err error) error {
 	var opErr *net.OpError
 	if errors.As(err, &opErr) && opErr.Op == "dial" {
-		return protocol.Refuse(protocol.ServiceUnreachable, "no connection to the service").Because(err).Again(time.Now().Add(time.Second))
+		return protocol.Refuse(protocol.ServiceUnreachable, "no connection to the service").WithCause(err).WithRetryAt(time.Now().Add(time.Second))
 	}
 	s.sent = true
 	if errors.Is(err, context.DeadlineExceeded) || !clock.Now().Before(s.call.deadline) {
-		return protocol.Uncertain(protocol.DeadlinePassed, "the deadline passed before the service answered").Because(err)
+		return protocol.Uncertain(protocol.DeadlinePassed, "the deadline passed before the service answered").WithCause(err)
 	}
-	return protocol.Uncertain(protocol.ServiceFailed, "the connection to the service broke").Because(err)
+	return protocol.Uncertain(protocol.ServiceFailed, "the connection to the service broke").WithCause(err)
 }
 
 // awaitRetry waits until the next attempt may start and returns nil, or returns
@@ -250,7 +250,7 @@
 // finalError adjusts the outcome so that it covers all attempts.
 func (s *serviceCall) finalError(refusal *protocol.Refusal) error {
 	if s.sent && refusal.Outcome() == protocol.NotRun {
-		return protocol.Uncertain(refusal.Kind(), refusal.Message()).Because(refusal.Unwrap()).Again(refusal.RetryAt())
+		return protocol.Uncertain(refusal.Kind(), refusal.Message()).WithCause(refusal.Unwrap()).WithRetryAt(refusal.RetryAt())
 	}
 	return refusal
 }
--- a/transport/follow/follow.go
+++ b/transport/follow/follow.go
@@ -253,7 +253,7 @@
 		f.applyChange(from, frame.Change)
 	}
 	if frame.Heartbeat != nil {
-		f.compareVersions(from, frame.Heartbeat.Version, frame.Want)
+		f.compareVersions(from, frame.Heartbeat.Version, frame.WantConfig)
 	}
 }
 
@@ -277,7 +277,7 @@
 // requestChange asks a peer for the changes since the version in force.
 func (f *Follower) requestChange(from string) {
 	heartbeat := protocol.PeerHeartbeat{Version: f.Version()}
-	f.Mesh.Send(from, protocol.PeerFrame{Want: true, Heartbeat: &heartbeat})
+	f.Mesh.Send(from, protocol.PeerFrame{WantConfig: true, Heartbeat: &heartbeat})
 }
 
 // compareVersions recovers from a lost change: it requests the change from a peer with a higher
--- a/transport/follow/follow_test.go
+++ b/transport/follow/follow_test.go
@@ -41,7 +41,7 @@
 func (n *node) Heartbeat() protocol.PeerHeartbeat {
 	return protocol.PeerHeartbeat{Version: n.follower.Version()}
 }
-func (n *node) UnresolvedWork() []protocol.RelayWork { return nil }
+func (n *node) UnresolvedWork() []protocol.WorkReport { return nil }
 
 func (n *node) inForce(c *config.Config) {
 	n.mutex.Lock()
@@ -91,7 +91,7 @@
 
 // putTeam writes the part of a team, for the next manifest.
 func (c *cluster) putTeam(t testing.TB, name string, share float64) {
-	team := protocol.Team{Name: name, KeyHashes: []string{protocol.HashKey(name)}, Share: share, Open: 1}
+	team := protocol.Team{Name: name, KeyHashes: []string{protocol.HashKey(name)}, Share: share, MaxOpen: 1}
 	content, err := json.Marshal(team)
 	require.NoError(t, err)
 	hash := protocol.HashPart(content)
--- a/transport/forward/admit.go
+++ b/transport/forward/admit.go
@@ -27,11 +27,11 @@
 	f := x.forwarder
 	x.terms = f.Headers.ParseRequest(x.request.Header, x.begun)
 	if f.refusing.Load() {
-		return protocol.Refuse(protocol.Stopping, "this entry is stopping").Again(x.begun)
+		return protocol.Refuse(protocol.Stopping, "this entry is stopping").WithRetryAt(x.begun)
 	}
 	table := f.Routing.Current()
 	if table == nil || !f.Registry.HasList() {
-		return protocol.Refuse(protocol.NoConfiguration, "no routing table was read yet").Again(x.begun.Add(unconfirmedRetryAfter))
+		return protocol.Refuse(protocol.NoConfiguration, "no routing table was read yet").WithRetryAt(x.begun.Add(unconfirmedRetryAfter))
 	}
 	x.table = table
 	if limit := table.CallerLimits().HeaderBytes; limit > 0 && headBytes(x.request) > limit {
@@ -42,7 +42,7 @@
 	x.route = table.Match(x.request.Host, target)
 	if x.route == nil {
 		if unconfirmed {
-			return protocol.Refuse(protocol.PlatformDown, "the route is unknown, but the table may be old").Again(x.begun.Add(unconfirmedRetryAfter))
+			return protocol.Refuse(protocol.PlatformDown, "the route is unknown, but the table may be old").WithRetryAt(x.begun.Add(unconfirmedRetryAfter))
 		}
 		return protocol.Refuse(protocol.UnknownService, "no route matches the host and path")
 	}
@@ -79,12 +79,12 @@
 	}
 	f := x.forwarder
 	if x.begun.After(f.KeysTrustedUntil(f.Routing.ConfirmedAt())) {
-		return protocol.Refuse(protocol.PlatformDown, "keys can't be confirmed").Again(x.begun.Add(unconfirmedRetryAfter))
+		return protocol.Refuse(protocol.PlatformDown, "keys can't be confirmed").WithRetryAt(x.begun.Add(unconfirmedRetryAfter))
 	}
 	team := x.table.Team(x.terms.Key)
 	if team == nil {
 		if unconfirmed {
-			return protocol.Refuse(protocol.PlatformDown, "the key is unknown, but the table may be old").Again(x.begun.Add(unconfirmedRetryAfter))
+			return protocol.Refuse(protocol.PlatformDown, "the key is unknown, but the table may be old").WithRetryAt(x.begun.Add(unconfirmedRetryAfter))
 		}
 		return protocol.Refuse(protocol.WrongKey, "the key is not known")
 	}
--- a/transport/forward/baseline.go
+++ b/transport/forward/baseline.go
@@ -59,7 +59,7 @@
 	if f.ReportSlowdown == nil || slowdown <= 0 {
 		return
 	}
-	f.ReportSlowdown(protocol.RelaySlow{Endpoint: a.endpoint.Name(), Observation: protocol.SlowSeen, Pace: min(slowdown, protocol.MaxPace)}, now)
+	f.ReportSlowdown(protocol.SlownessReport{Endpoint: a.endpoint.Name(), Observation: protocol.SlowMeasured, Slowdown: min(slowdown, protocol.MaxSlowdown)}, now)
 }
 
 // baseline returns how long a response on a route to a plain service usually takes. Baselines are
--- a/transport/forward/baseline_test.go
+++ b/transport/forward/baseline_test.go
@@ -29,7 +29,7 @@
 	calls := uint64(0)
 	return f, func() *exchange {
 		x := newStreamExchange(t, f, &s)
-		x.route = &protocol.Route{Repeat: protocol.AtMostOnce, MaxTries: 2, AimMS: 200}
+		x.route = &protocol.Route{Repeat: protocol.AtMostOnce, MaxAttempts: 2, TargetLatencyMS: 200}
 		calls++
 		x.rng = rand.New(rand.NewPCG(calls, 2))
 		x.timing = eventTiming{}
@@ -117,7 +117,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f, call := newPlainForwarder(t)
 		var slowdowns []float64
-		f.ReportSlowdown = func(report protocol.RelaySlow, _ time.Time) { slowdowns = append(slowdowns, report.Pace) }
+		f.ReportSlowdown = func(report protocol.SlownessReport, _ time.Time) { slowdowns = append(slowdowns, report.Slowdown) }
 		for i := range 12 {
 			x := call()
 			x.route.Name = "quick"
--- a/transport/forward/body.go
+++ b/transport/forward/body.go
@@ -51,11 +51,11 @@
 		case errors.Is(err, os.ErrDeadlineExceeded):
 			return protocol.Refuse(protocol.RequestLate, "the body did not come in time")
 		case err != nil:
-			return protocol.Refuse(protocol.MalformedRequest, "the body did not come whole").Because(err)
+			return protocol.Refuse(protocol.MalformedRequest, "the body did not come whole").WithCause(err)
 		}
 		if len(body) == cap(body) {
 			if body = x.growBody(body, limit); body == nil {
-				return protocol.Refuse(protocol.TooManyOpen, "the entry holds too many bytes of requests").Again(clock.Now().Add(memoryRetryAfter))
+				return protocol.Refuse(protocol.TooManyOpen, "the entry holds too many bytes of requests").WithRetryAt(clock.Now().Add(memoryRetryAfter))
 			}
 		}
 	}
--- a/transport/forward/body_test.go
+++ b/transport/forward/body_test.go
@@ -36,7 +36,7 @@
 	table, err := routing.Build(protocol.Routing{
 		Version: 1, Services: []protocol.RoutedService{{Name: "plain"}},
 		Routes: []protocol.Route{{
-			Host: "h.example", Prefix: "/", Repeat: protocol.AtMostOnce, TimeoutMS: 4000, MaxTries: 1,
+			Host: "h.example", Prefix: "/", Repeat: protocol.AtMostOnce, TimeoutMS: 4000, MaxAttempts: 1,
 			Targets: []protocol.Target{{Service: "plain", Weight: 1}},
 		}},
 	})
--- a/transport/forward/decide.go
+++ b/transport/forward/decide.go
@@ -79,7 +79,7 @@
 	case retry.Deliver:
 		x.deliver(response)
 	case retry.Refuse:
-		x.fail(protocol.Refuse(protocol.RetriesSpent, "no endpoint could take the request").Again(retryAt))
+		x.fail(protocol.Refuse(protocol.RetriesSpent, "no endpoint could take the request").WithRetryAt(retryAt))
 	case retry.Expire:
 		x.fail(deadlinePassed())
 	default:
@@ -113,5 +113,5 @@
 
 // noPath is the refusal of a request that no path can serve.
 func noPath() *protocol.Refusal {
-	return protocol.Refuse(protocol.NoPath, "no path holds every layer").Again(clock.Now().Add(noPathRetryAfter))
+	return protocol.Refuse(protocol.NoPath, "no path holds every layer").WithRetryAt(clock.Now().Add(noPathRetryAfter))
 }
--- a/transport/forward/dispatch.go
+++ b/transport/forward/dispatch.go
@@ -83,7 +83,7 @@
 	if x.attempts-x.unsent >= maxAttempts {
 		return false
 	}
-	return len(x.reached) < x.route.MaxTries || slices.Contains(x.reached, p.Runner(0))
+	return len(x.reached) < x.route.MaxAttempts || slices.Contains(x.reached, p.Runner(0))
 }
 
 // mayRetry reports whether the route allows any further attempt.
--- a/transport/forward/encode.go
+++ b/transport/forward/encode.go
@@ -58,8 +58,8 @@
 	if x.service.Engine == nil {
 		return s
 	}
-	s.Urgent = true
-	s.Urgency = x.urgency()
+	s.HasPriority = true
+	s.Priority = x.urgency()
 	s.Path = stagesOf(&a.path)
 	return s
 }
--- a/transport/forward/exchange.go
+++ b/transport/forward/exchange.go
@@ -29,7 +29,7 @@
 	request   *http.Request
 	begun     time.Time
 
-	terms       protocol.CallerTerms
+	terms       protocol.RequestTerms
 	table       *routing.Table
 	route       *protocol.Route
 	service     *protocol.RoutedService
--- a/transport/forward/failure_test.go
+++ b/transport/forward/failure_test.go
@@ -27,8 +27,8 @@
 // plainHeaders reads and writes no headers.
 type plainHeaders struct{}
 
-func (plainHeaders) ParseRequest(http.Header, time.Time) protocol.CallerTerms {
-	return protocol.CallerTerms{}
+func (plainHeaders) ParseRequest(http.Header, time.Time) protocol.RequestTerms {
+	return protocol.RequestTerms{}
 }
 func (plainHeaders) SetAttemptHeaders(http.Header, *protocol.AttemptTerms, time.Time) {}
 func (plainHeaders) ParseResponse(int, http.Header) (terms protocol.AnswerTerms)      { return terms }
@@ -42,9 +42,9 @@
 // newForwarder returns a forwarder with n engines that hold the whole model each, and an exchange
 // of a stream with an attempt at the first engine chosen.
 func newForwarder(t *testing.T, n int, reports *[]reportedFailure) (*Forwarder, *exchange) {
-	s := protocol.RoutedService{Name: "llm", Engine: &protocol.EngineFacts{
-		Layers: 10, LayerMB: 100, TokenLayerMB: 0.1, UsualPrompt: 10, UsualAnswer: 10, StepMS: 1, ReadPerSecond: 1e6,
-		Accelerators: []protocol.AcceleratorFacts{{Name: "t4", MemoryMB: 2000, StepFactor: 1, ReadFactor: 1}},
+	s := protocol.RoutedService{Name: "llm", Engine: &protocol.EngineSpec{
+		Layers: 10, LayerMB: 100, TokenLayerMB: 0.1, TypicalPrompt: 10, TypicalAnswer: 10, StepMS: 1, PrefillPerSecond: 1e6,
+		Accelerators: []protocol.AcceleratorSpec{{Name: "t4", MemoryMB: 2000, StepFactor: 1, ReadFactor: 1}},
 	}}
 	f := &Forwarder{
 		Entry: fleet.Entry{Name: "one", DataCenter: "a"}, Registry: &registry.Registry{Entry: fleet.Entry{Name: "one", DataCenter: "a"}},
@@ -70,7 +70,7 @@
 	require.NoError(t, err)
 	x := &exchange{
 		forwarder: f, table: table, writer: httptest.NewRecorder(), request: httptest.NewRequest(http.MethodPost, "/", nil), begun: time.Now(),
-		service: &s, route: &protocol.Route{Repeat: protocol.Stream, Resumable: true, MaxTries: 3}, deadline: time.Now().Add(time.Minute),
+		service: &s, route: &protocol.Route{Repeat: protocol.Stream, Resumable: true, MaxAttempts: 3}, deadline: time.Now().Add(time.Minute),
 		messages: make(chan message, 100), rng: rand.New(rand.NewPCG(1, 2)),
 	}
 	p, found := x.pickPath(time.Now())
@@ -128,7 +128,7 @@
 // waiting for its engine.
 func TestNonRepeatableRequestIsNotRetriedOnLoss(t *testing.T) {
 	f, x := newForwarder(t, 3, nil)
-	x.route = &protocol.Route{Repeat: protocol.Stream, MaxTries: 3}
+	x.route = &protocol.Route{Repeat: protocol.Stream, MaxAttempts: 3}
 	markLost(f, x.open[0].endpoint)
 	x.handleLosses(time.Now())
 	require.Equal(t, 1, x.attempts)
--- a/transport/forward/forwarder.go
+++ b/transport/forward/forwarder.go
@@ -23,7 +23,7 @@
 
 // HeaderCodec translates between HTTP headers and the terms that they carry.
 type HeaderCodec interface {
-	ParseRequest(h http.Header, now time.Time) protocol.CallerTerms
+	ParseRequest(h http.Header, now time.Time) protocol.RequestTerms
 	SetAttemptHeaders(h http.Header, s *protocol.AttemptTerms, now time.Time)
 	ParseResponse(status int, h http.Header) protocol.AnswerTerms
 }
@@ -69,7 +69,7 @@
 	OnResume func(now time.Time)
 	// ReportSlowdown reports an observed slowdown of an endpoint to the other entries. It may be
 	// nil.
-	ReportSlowdown func(report protocol.RelaySlow, at time.Time)
+	ReportSlowdown func(report protocol.SlownessReport, at time.Time)
 
 	done         part.Done
 	retryBudgets serviceBudgets
--- a/transport/forward/idle_test.go
+++ b/transport/forward/idle_test.go
@@ -28,7 +28,7 @@
 			home := fleet.Entry{Name: "one", DataCenter: "a"}
 			endpoints := &registry.Registry{Entry: home}
 			f := &Forwarder{Entry: home, Registry: endpoints, Routing: &routing.Store{}, Headers: plainHeaders{}, Counters: &metric.Set{}}
-			table, err := routing.Build(protocol.Routing{Version: 1, Services: []protocol.RoutedService{{Name: "llm", Engine: &protocol.EngineFacts{Layers: 10}}}})
+			table, err := routing.Build(protocol.Routing{Version: 1, Services: []protocol.RoutedService{{Name: "llm", Engine: &protocol.EngineSpec{Layers: 10}}}})
 			require.NoError(t, err)
 			require.True(t, f.Routing.Offer(table))
 			f.Start()
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -41,7 +41,7 @@
 	// MayStartIsolatedRun reports whether an isolated run may start at this check.
 	MayStartIsolatedRun(now time.Time) bool
 	// Report records an observation of this entry and passes it to the other entries.
-	Report(report protocol.RelayWork, at time.Time)
+	Report(report protocol.WorkReport, at time.Time)
 	// RecordUnresolved records that it may become known soon whether an incarnation of an endpoint
 	// has crashed.
 	RecordUnresolved(endpoint string, incarnation protocol.Incarnation, now time.Time)
@@ -80,7 +80,7 @@
 	if x.mayHaveRun {
 		return protocol.Uncertain(protocol.StageFailed, fmt.Sprintf("%d endpoints ended when they ran this request", r.Crashes()))
 	}
-	return protocol.Refuse(protocol.EndsEndpoints, fmt.Sprintf("%d endpoints ended when they ran the same request", r.Crashes())).Again(r.Until())
+	return protocol.Refuse(protocol.CrashesEndpoints, fmt.Sprintf("%d endpoints ended when they ran the same request", r.Crashes())).WithRetryAt(r.Until())
 }
 
 // cancelRefused ends an open request whose work has been found to crash endpoints, unless an
@@ -193,7 +193,7 @@
 	x.isolation = nil
 	retryAt := clock.Now().Add(quarantine.IsolationRetryAfter)
 	if wait.failed == nil {
-		x.fail(protocol.Refuse(protocol.QueueFull, "endpoints ended when they ran this request, and none is free to run it alone").Again(retryAt))
+		x.fail(protocol.Refuse(protocol.QueueFull, "endpoints ended when they ran this request, and none is free to run it alone").WithRetryAt(retryAt))
 		return
 	}
 	x.endWith(retry.FinalAction(wait.result, x.mayHaveRun), wait.response, retryAt)
@@ -222,7 +222,7 @@
 	a.incarnation = x.forwarder.Registry.Incarnation(a.endpoint.Name())
 	if _, unrestricted := x.quarantineStatus(now).(quarantine.Unrestricted); !unrestricted {
 		a.isolated = true
-		q.Report(x.workReport(a, protocol.WorkTried), now)
+		q.Report(x.workReport(a, protocol.WorkIsolatedRun), now)
 	}
 }
 
@@ -230,7 +230,7 @@
 func (x *exchange) clearIsolated(a *attempt, now time.Time) {
 	if a.isolated {
 		a.isolated = false
-		x.forwarder.Quarantine.Report(x.workReport(a, protocol.WorkTrialOver), now)
+		x.forwarder.Quarantine.Report(x.workReport(a, protocol.WorkIsolatedRunOver), now)
 	}
 }
 
@@ -271,8 +271,8 @@
 }
 
 // workReport returns a report about the request's work at an attempt's endpoint.
-func (x *exchange) workReport(a *attempt, observation protocol.WorkObservation) protocol.RelayWork {
-	return protocol.RelayWork{Work: x.workFingerprint(), Endpoint: a.endpoint.Name(), Incarnation: a.incarnation, Observation: observation}
+func (x *exchange) workReport(a *attempt, observation protocol.WorkObservation) protocol.WorkReport {
+	return protocol.WorkReport{Work: x.workFingerprint(), Endpoint: a.endpoint.Name(), Incarnation: a.incarnation, Observation: observation}
 }
 
 // reportLostEndpoints reports open attempts whose endpoint is lost before their connection breaks,
@@ -302,8 +302,8 @@
 		a.reportedLost = append(a.reportedLost, r)
 		x.forwarder.log(event.StageLost, x.requestAttr(), slog.Int("attempt", a.number), slog.String("endpoint", r.Name()),
 			slog.String("fingerprint", x.workFingerprint().String()))
-		q.Report(protocol.RelayWork{
-			Work: x.workFingerprint(), Endpoint: r.Name(), Incarnation: x.forwarder.Registry.Incarnation(r.Name()), Observation: protocol.WorkBrokeBehind,
+		q.Report(protocol.WorkReport{
+			Work: x.workFingerprint(), Endpoint: r.Name(), Incarnation: x.forwarder.Registry.Incarnation(r.Name()), Observation: protocol.WorkBrokeAtLaterStage,
 		}, now)
 	}
 }
--- a/transport/forward/queue.go
+++ b/transport/forward/queue.go
@@ -247,7 +247,7 @@
 	queued := &queuedRequest{queue: queue, deadline: deadline, since: now, failed: a, result: r, response: response}
 	queued.ticket, queued.dispatches, retryAt, ok = queue.enqueue(admit.Waiter{
 		Team: x.teamName(), Priority: priority, Since: x.begun,
-		TargetStart: x.route.Aim(x.begun).Add(-targetMargin), LatestStart: deadline,
+		TargetStart: x.route.FirstEventBy(x.begun).Add(-targetMargin), LatestStart: deadline,
 	}, now)
 	if !ok {
 		return retryAt, false
@@ -327,5 +327,5 @@
 
 // noCapacity is the refusal of a request for which the engines have no capacity in time.
 func noCapacity(retryAt time.Time) *protocol.Refusal {
-	return protocol.Refuse(protocol.QueueFull, "no engines have room for the request in time").Again(retryAt)
+	return protocol.Refuse(protocol.QueueFull, "no engines have room for the request in time").WithRetryAt(retryAt)
 }
--- a/transport/forward/reroute.go
+++ b/transport/forward/reroute.go
@@ -34,7 +34,7 @@
 
 // PathChanger orders engines to run a request over another path.
 type PathChanger interface {
-	ChangePath(ctx context.Context, o protocol.PathOrder) protocol.PathAnswer
+	ChangePath(ctx context.Context, o protocol.PathChangeOrder) protocol.PathAnswer
 }
 
 // pathAnswered carries the outcome of an order to change the path of an attempt.
@@ -58,7 +58,7 @@
 type pathOrder struct {
 	forwarder *Forwarder
 	attempt   *attempt
-	order     protocol.PathOrder
+	order     protocol.PathChangeOrder
 }
 
 func (c *pathOrder) run() {
@@ -165,7 +165,7 @@
 	f.Counters.Add(metric.PathOrders, 1)
 	f.log(event.PathOrdered, x.requestAttr(), slog.Int("attempt", a.number), slog.String("path", describePath(c.Path())), slog.Int("events", x.events),
 		slog.Int64("silent_ms", now.Sub(x.timing.lastEvent).Milliseconds()), slog.Float64("expected_ms", c.Seconds()*1000))
-	go (&pathOrder{forwarder: f, attempt: a, order: protocol.PathOrder{
+	go (&pathOrder{forwarder: f, attempt: a, order: protocol.PathChangeOrder{
 		EndpointID: a.endpoint.Name(), Address: a.endpoint.Spec().Address, RequestID: a.id, Path: stagesOf(c.Path()),
 	}}).run()
 }
--- a/transport/forward/reroute_answer.go
+++ b/transport/forward/reroute_answer.go
@@ -34,7 +34,7 @@
 		x.switchPath(a, next, now)
 	case reroute.RetryChange, reroute.Abandoned:
 		a.adjustLoad(next, -1)
-		if unfit, ok := m.answer.(protocol.PathUnfit); ok {
+		if unfit, ok := m.answer.(protocol.PathStageUnavailable); ok {
 			x.avoidUnfit(a, next, unfit.Address, now)
 		}
 		x.recoverLost(a, now)
@@ -157,7 +157,7 @@
 		return answer.Cause.Error()
 	case protocol.PathUnanswered:
 		return answer.Cause.Error()
-	case protocol.PathUnfit:
+	case protocol.PathStageUnavailable:
 		return answer.Address
 	default:
 		return ""
--- a/transport/forward/reroute_harness_test.go
+++ b/transport/forward/reroute_harness_test.go
@@ -25,12 +25,12 @@
 // firstEngine stands for the first engine of every path: an order to change a path waits for an
 // answer from the test, and a report says what the test sets.
 type firstEngine struct {
-	orders  chan protocol.PathOrder
+	orders  chan protocol.PathChangeOrder
 	answers chan protocol.PathAnswer
 	stalled bool
 }
 
-func (e *firstEngine) ChangePath(ctx context.Context, o protocol.PathOrder) protocol.PathAnswer {
+func (e *firstEngine) ChangePath(ctx context.Context, o protocol.PathChangeOrder) protocol.PathAnswer {
 	e.orders <- o
 	select {
 	case a := <-e.answers:
@@ -76,12 +76,12 @@
 }
 
 func newPathChangeHarness(t require.TestingT, addresses []string, mayRepeat bool) *pathChangeHarness {
-	service := protocol.RoutedService{Name: "llm", Engine: &protocol.EngineFacts{
-		Layers: 9, LayerMB: 100, TokenLayerMB: 0.1, UsualPrompt: 10, UsualAnswer: 10, StepMS: 1, ReadPerSecond: 1e6,
-		Accelerators: []protocol.AcceleratorFacts{{Name: "t4", MemoryMB: 2000, StepFactor: 1, ReadFactor: 1}},
+	service := protocol.RoutedService{Name: "llm", Engine: &protocol.EngineSpec{
+		Layers: 9, LayerMB: 100, TokenLayerMB: 0.1, TypicalPrompt: 10, TypicalAnswer: 10, StepMS: 1, PrefillPerSecond: 1e6,
+		Accelerators: []protocol.AcceleratorSpec{{Name: "t4", MemoryMB: 2000, StepFactor: 1, ReadFactor: 1}},
 	}}
 	home := fleet.Entry{Name: "one", DataCenter: "a"}
-	s := &pathChangeHarness{t: t, engine: &firstEngine{orders: make(chan protocol.PathOrder, 10), answers: make(chan protocol.PathAnswer, 10)}}
+	s := &pathChangeHarness{t: t, engine: &firstEngine{orders: make(chan protocol.PathChangeOrder, 10), answers: make(chan protocol.PathAnswer, 10)}}
 	f := &Forwarder{Entry: home, Registry: &registry.Registry{Entry: home}, Headers: plainHeaders{}, Counters: &metric.Set{}, PathChanger: s.engine, Reporter: s.engine}
 	f.faultLocator.forwarder, f.poller.forwarder, f.slowdowns.forwarder = f, f, f // as Start does
 	f.InitRetryBudget(RetryBudget{Share: 0.2, Slack: 1000, WindowEnd: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
@@ -99,8 +99,8 @@
 	require.NoError(t, err)
 	x := &exchange{
 		forwarder: f, table: table, writer: httptest.NewRecorder(), request: httptest.NewRequest(http.MethodPost, "/", nil), begun: time.Now(),
-		service: &service, route: &protocol.Route{Repeat: protocol.Stream, Resumable: mayRepeat, MaxTries: 9}, deadline: time.Now().Add(time.Minute),
-		terms: protocol.CallerTerms{RequestID: "r-1", PromptTokens: 100, AnswerTokens: 50}, messages: make(chan message, 100), rng: rand.New(rand.NewPCG(1, 2)),
+		service: &service, route: &protocol.Route{Repeat: protocol.Stream, Resumable: mayRepeat, MaxAttempts: 9}, deadline: time.Now().Add(time.Minute),
+		terms: protocol.RequestTerms{RequestID: "r-1", PromptTokens: 100, AnswerTokens: 50}, messages: make(chan message, 100), rng: rand.New(rand.NewPCG(1, 2)),
 	}
 	x.timing.start(x.route, x.service, x.begun)
 	p, found := x.pickPath(time.Now())
--- a/transport/forward/reroute_test.go
+++ b/transport/forward/reroute_test.go
@@ -25,10 +25,10 @@
 			"lose": func(t *rapid.T) { s.lose(rapid.IntRange(0, 2).Draw(t, "stage")) },
 			"answer": func(t *rapid.T) {
 				s.answer(rapid.SampledFrom([]protocol.PathAnswer{
-					protocol.PathTaken{},
+					protocol.PathAccepted{},
 					protocol.PathUnknown{},
-					protocol.PathUnfit{Address: addresses[1]},
-					protocol.PathUnfit{},
+					protocol.PathStageUnavailable{Address: addresses[1]},
+					protocol.PathStageUnavailable{},
 					protocol.PathRefused{Cause: errNoAnswer},
 					protocol.PathUnanswered{Cause: errNoAnswer},
 				}).Draw(t, "answer"))
@@ -58,7 +58,7 @@
 	s.event() // sent before the loss
 	require.False(t, before.Runner(1).HeardAt().After(s.exchange.begun), "an event proves nothing about a stage that is being replaced")
 	require.True(t, before.Runner(2).HeardAt().After(s.exchange.begun))
-	s.answer(protocol.PathTaken{})
+	s.answer(protocol.PathAccepted{})
 	require.Equal(t, 1, s.exchange.attempts)
 	require.Equal(t, before.Runner(0), a.path.Runner(0))
 	require.NotEqual(t, before.Runner(1), a.path.Runner(1))
@@ -77,9 +77,9 @@
 	s.lose(1)
 	s.lose(2)
 	require.Equal(t, 1, s.changes, "one order at a time")
-	s.answer(protocol.PathTaken{})
+	s.answer(protocol.PathAccepted{})
 	require.Equal(t, 2, s.changes)
-	s.answer(protocol.PathTaken{})
+	s.answer(protocol.PathAccepted{})
 	require.Empty(t, lostRunners(a, time.Now()))
 	require.Equal(t, 1, s.exchange.attempts)
 }
@@ -94,7 +94,7 @@
 		s.lose(1)
 		next, _ := a.pathChange.OrderedPath()
 		unfit := next.Runner(1)
-		answer := protocol.PathUnfit{}
+		answer := protocol.PathStageUnavailable{}
 		if named {
 			answer.Address = unfit.Spec().Address
 		}
--- a/transport/forward/slow_path.go
+++ b/transport/forward/slow_path.go
@@ -37,7 +37,7 @@
 	}
 	seconds := 0.0
 	for i := range p.Len() {
-		seconds += p.Runner(i).Spec().Step * float64(p.Span(i).Layers())
+		seconds += p.Runner(i).Spec().StepSeconds * float64(p.Span(i).Layers())
 	}
 	work := time.Duration(seconds * float64(max(1, s.Engine.EventTokens)) * float64(time.Second))
 	return work + time.Duration(p.Len())*stageOverhead
@@ -49,7 +49,7 @@
 	nominal, actual := 0.0, 0.0
 	for i := range p.Len() {
 		r := p.Runner(i)
-		work := r.Spec().Step * float64(p.Span(i).Layers())
+		work := r.Spec().StepSeconds * float64(p.Span(i).Layers())
 		nominal += work
 		actual += work * r.ReportedSlowdown(now)
 	}
@@ -77,7 +77,7 @@
 // canMeetTarget reports whether the response would still be in time if it continued elsewhere.
 func (x *exchange) canMeetTarget(now time.Time) bool {
 	if !x.timing.started {
-		return now.Add(typicalFirstEvent).Before(x.route.Aim(x.begun))
+		return now.Add(typicalFirstEvent).Before(x.route.FirstEventBy(x.begun))
 	}
 	target := x.timing.pauseTarget
 	return target <= 0 || x.timing.longestPause <= target && now.Add(typicalFirstEvent).Before(x.timing.lastEvent.Add(target))
--- a/transport/forward/slowdown.go
+++ b/transport/forward/slowdown.go
@@ -114,11 +114,11 @@
 // queried.
 func (m *slowdownMonitor) reportSlowdown(r *fleet.Runner, report *protocol.EngineReport, queriedAt time.Time) {
 	f := m.forwarder
-	if report.Pace <= 0 || f.ReportSlowdown == nil {
+	if report.Slowdown <= 0 || f.ReportSlowdown == nil {
 		return
 	}
-	f.ReportSlowdown(protocol.RelaySlow{
-		Endpoint: r.Name(), Incarnation: report.Incarnation, Observation: protocol.SlowTold, Pace: report.Pace,
+	f.ReportSlowdown(protocol.SlownessReport{
+		Endpoint: r.Name(), Incarnation: report.Incarnation, Observation: protocol.SlowReported, Slowdown: report.Slowdown,
 	}, queriedAt.Add(-f.maxReportDelay()))
 }
 
@@ -186,7 +186,7 @@
 		m.forwarder.Counters.Add(metric.EndpointsSlow, 1)
 	}
 	m.slowUntil[endpoint] = until
-	if report.Observer() != m.forwarder.Entry.Name || report.Observation() != protocol.SlowTold {
+	if report.Observer() != m.forwarder.Entry.Name || report.Observation() != protocol.SlowReported {
 		delete(m.nextQuery, endpoint)
 		return
 	}
--- a/transport/forward/slowdown_harness_test.go
+++ b/transport/forward/slowdown_harness_test.go
@@ -39,7 +39,7 @@
 	if !known {
 		slowdown = 1
 	}
-	return protocol.EngineReport{Pace: slowdown}, nil
+	return protocol.EngineReport{Slowdown: slowdown}, nil
 }
 
 func (r *reporter) totalQueries() int {
@@ -60,7 +60,7 @@
 	number     uint64
 }
 
-func (l *localRelay) deliver(f *Forwarder, report protocol.RelaySlow, at time.Time) {
+func (l *localRelay) deliver(f *Forwarder, report protocol.SlownessReport, at time.Time) {
 	l.mutex.Lock()
 	l.number++
 	if report.Observer == "" {
@@ -78,7 +78,7 @@
 func applyOwnReports(f *Forwarder) {
 	relay := &localRelay{}
 	f.slowdowns.forwarder = f
-	f.ReportSlowdown = func(report protocol.RelaySlow, at time.Time) { relay.deliver(f, report, at) }
+	f.ReportSlowdown = func(report protocol.SlownessReport, at time.Time) { relay.deliver(f, report, at) }
 }
 
 // markSlow applies a report by which a runner is slow by a factor of twelve.
@@ -86,16 +86,16 @@
 	now := time.Now()
 	f.slowdowns.forwarder = f
 	var tracker slow.Tracker
-	report := slow.NewReport(protocol.RelaySlow{Endpoint: r.Name(), Observer: "another", Number: 1, Observation: protocol.SlowTold, Pace: 12}, now)
+	report := slow.NewReport(protocol.SlownessReport{Endpoint: r.Name(), Observer: "another", Number: 1, Observation: protocol.SlowReported, Slowdown: 12}, now)
 	f.ApplySlownessReport(report, tracker.Apply(report, now))
 }
 
 // newStagedForwarder returns a forwarder with an engine service of three stages, each held by the
 // given number of engines, and an exchange of a stream sent over one of the paths.
 func newStagedForwarder(t *testing.T, each int) (*Forwarder, *exchange, *reporter) {
-	s := protocol.RoutedService{Name: "llm", Engine: &protocol.EngineFacts{
-		Layers: 9, LayerMB: 100, TokenLayerMB: 0.1, UsualPrompt: 10, UsualAnswer: 10, StepMS: 9, ReadPerSecond: 1e6, EventTokens: 3,
-		Accelerators: []protocol.AcceleratorFacts{{Name: "t4", MemoryMB: 2000, StepFactor: 1, ReadFactor: 1}},
+	s := protocol.RoutedService{Name: "llm", Engine: &protocol.EngineSpec{
+		Layers: 9, LayerMB: 100, TokenLayerMB: 0.1, TypicalPrompt: 10, TypicalAnswer: 10, StepMS: 9, PrefillPerSecond: 1e6, EventTokens: 3,
+		Accelerators: []protocol.AcceleratorSpec{{Name: "t4", MemoryMB: 2000, StepFactor: 1, ReadFactor: 1}},
 	}}
 	reports := &reporter{slowdowns: map[string]float64{}}
 	f := &Forwarder{
@@ -130,7 +130,7 @@
 	now := time.Now()
 	x := &exchange{
 		forwarder: f, table: table, writer: httptest.NewRecorder(), request: httptest.NewRequest(http.MethodPost, "/", nil), begun: now,
-		service: s, route: &protocol.Route{Repeat: protocol.Stream, Resumable: true, MaxTries: 3, AimMS: 500, PauseAimMS: 250},
+		service: s, route: &protocol.Route{Repeat: protocol.Stream, Resumable: true, MaxAttempts: 3, TargetLatencyMS: 500, TargetPauseMS: 250},
 		deadline: now.Add(20 * time.Second), messages: make(chan message, 100), rng: rand.New(rand.NewPCG(1, 2)),
 	}
 	x.timing.start(x.route, s, now)
--- a/transport/forward/timing.go
+++ b/transport/forward/timing.go
@@ -44,10 +44,10 @@
 // start starts the timing when a request is received.
 func (t *eventTiming) start(route *protocol.Route, s *protocol.RoutedService, now time.Time) {
 	t.lastEvent = now
-	t.firstEventLimit = time.Duration(firstEventShare * float64(route.Aim(now).Sub(now)))
+	t.firstEventLimit = time.Duration(firstEventShare * float64(route.FirstEventBy(now).Sub(now)))
 	t.overdue = now.Add(t.firstEventLimit)
-	if s.Engine != nil && route.PauseAimMS > 0 {
-		t.pauseTarget = time.Duration(route.PauseAimMS * float64(time.Millisecond))
+	if s.Engine != nil && route.TargetPauseMS > 0 {
+		t.pauseTarget = time.Duration(route.TargetPauseMS * float64(time.Millisecond))
 	}
 }
 
--- a/transport/forward/timing_test.go
+++ b/transport/forward/timing_test.go
@@ -18,8 +18,8 @@
 )
 
 func TestSilenceLimitFollowsMeanPause(t *testing.T) {
-	route := &protocol.Route{AimMS: 500, PauseAimMS: 200}
-	service := &protocol.RoutedService{Engine: &protocol.EngineFacts{}}
+	route := &protocol.Route{TargetLatencyMS: 500, TargetPauseMS: 200}
+	service := &protocol.RoutedService{Engine: &protocol.EngineSpec{}}
 	now := time.Unix(100, 0)
 	var r eventTiming
 	r.start(route, service, now)
@@ -44,7 +44,7 @@
 func TestNonStreamResponseIsOverdueAtHalfTarget(t *testing.T) {
 	var r eventTiming
 	now := time.Unix(100, 0)
-	r.start(&protocol.Route{AimMS: 300}, &protocol.RoutedService{}, now)
+	r.start(&protocol.Route{TargetLatencyMS: 300}, &protocol.RoutedService{}, now)
 	require.Equal(t, now.Add(150*time.Millisecond), r.overdueAt())
 	r.recheckLater(now)
 	require.Equal(t, now.Add(silenceRecheckInterval), r.overdueAt())
--- a/transport/front/address_probe_test.go
+++ b/transport/front/address_probe_test.go
@@ -50,7 +50,7 @@
 		f := &Front{Counters: &metric.Set{}, Dependencies: Dependencies{Engines: &c.engine}}
 		f.forwarder = forward.Forwarder{Registry: &f.endpoints, Counters: f.Counters}
 		f.source.OnLossChange = f.applyLossChange
-		services := []protocol.RoutedService{{Name: "llm", HealthPath: "/health", Engine: &protocol.EngineFacts{Layers: 5}}}
+		services := []protocol.RoutedService{{Name: "llm", HealthPath: "/health", Engine: &protocol.EngineSpec{Layers: 5}}}
 		table, err := routing.Build(protocol.Routing{Version: 1, Services: services})
 		require.NoError(t, err)
 		f.routing.Offer(table)
--- a/transport/front/coordination_sink.go
+++ b/transport/front/coordination_sink.go
@@ -32,7 +32,7 @@
 	switch {
 	case c.Object.Name != director.LeaseName:
 		s.front.refusals.applyChange(c, now)
-	case !c.Gone:
+	case !c.Deleted:
 		s.front.director.ObserveLease(c.Object.Version, c.Object.Value, now)
 	}
 }
--- a/transport/front/endpoint_sink.go
+++ b/transport/front/endpoint_sink.go
@@ -39,7 +39,7 @@
 // Changed applies the change or removal of one endpoint record.
 func (s *endpointSink) Changed(c protocol.Change, now time.Time) {
 	f := s.front
-	if c.Gone {
+	if c.Deleted {
 		f.records.forget(c.Object.Name)
 		f.source.Quarantine().RecordCrash(c.Object.Name, f.endpoints.Incarnation(c.Object.Name), now)
 		if f.endpoints.Remove(c.Object.Name, now) {
--- a/transport/front/fleet.go
+++ b/transport/front/fleet.go
@@ -24,12 +24,12 @@
 	for _, u := range f.endpoints.Unusable() {
 		e := u.Endpoint()
 		d := statusFromRecord(&e)
-		d.State, d.Reason = protocol.EndpointMisfit, u.Fault()
+		d.State, d.Reason = protocol.EndpointUnusable, u.Fault()
 		s.Endpoints = append(s.Endpoints, d)
 	}
 	for _, n := range f.endpoints.SupersededRecords() {
 		s.Endpoints = append(s.Endpoints, protocol.EndpointStatus{
-			ID: n.Endpoint(), Address: n.Address(), Occupant: n.Owner(), State: protocol.EndpointSuperseded,
+			ID: n.Endpoint(), Address: n.Address(), AddressOwner: n.Owner(), State: protocol.EndpointSuperseded,
 		})
 	}
 	s.Waiting = f.forwarder.QueueStatus(now)
@@ -41,7 +41,7 @@
 func statusFromRecord(e *protocol.Endpoint) protocol.EndpointStatus {
 	return protocol.EndpointStatus{
 		ID: e.ID, Service: e.Service, DataCenter: e.DataCenter, Address: e.Address, Accelerator: e.Accelerator,
-		From: e.Layers.From, To: e.Layers.To, StartedMS: int64(e.Incarnation), State: protocol.EndpointServes,
+		From: e.Layers.From, To: e.Layers.To, StartedMS: int64(e.Incarnation), State: protocol.EndpointServing,
 	}
 }
 
@@ -52,18 +52,18 @@
 		s.OrderedFrom, s.OrderedTo = span.From, span.To
 	}
 	if r != nil {
-		s.Fill = r.Utilization(now, 0)
-		s.Open = r.Outstanding()
+		s.Utilization = r.Utilization(now, 0)
+		s.OpenLayerPasses = r.Outstanding()
 	}
 	switch {
 	case e.Leaving:
-		s.State = protocol.EndpointLeaves
+		s.State = protocol.EndpointLeaving
 	case r == nil:
 		s.State = protocol.EndpointEmpty
 	case r.Lost(now):
 		s.State = protocol.EndpointLost
 	case !r.Usable(now):
-		s.State = protocol.EndpointRests
+		s.State = protocol.EndpointEjected
 	case r.IsSlow(now):
 		s.State = protocol.EndpointSlow
 	}
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -194,7 +194,7 @@
 	l.Callers = f.callers.socket.Addr().String()
 	l.Readiness = f.readiness.socket.Addr().String()
 	l.Metrics = f.metrics.socket.Addr().String()
-	f.source.Self.Callers = l.Callers
+	f.source.Self.CallerAddress = l.Callers
 	return nil
 }
 
@@ -210,7 +210,7 @@
 		return err
 	}
 	l.Peers = f.peers.socket.Addr().String()
-	f.source.Self.Peers = l.Peers
+	f.source.Self.PeerAddress = l.Peers
 	f.source.Self.Key = rand.Text()
 	return nil
 }
--- a/transport/front/gauges.go
+++ b/transport/front/gauges.go
@@ -57,10 +57,10 @@
 		g.states = append(g.states, stateCount{state: e.State})
 	}
 	g.states[at].count++
-	g.open += e.Open
-	if e.State == protocol.EndpointServes || e.State == protocol.EndpointSlow {
+	g.open += e.OpenLayerPasses
+	if e.State == protocol.EndpointServing || e.State == protocol.EndpointSlow {
 		g.serving++
-		g.utilizationSum += e.Fill
+		g.utilizationSum += e.Utilization
 	}
 }
 
--- a/transport/front/gauges_test.go
+++ b/transport/front/gauges_test.go
@@ -16,10 +16,10 @@
 func TestGaugesAreGroupedByDataCenterAndTeam(t *testing.T) {
 	s := protocol.FleetStatus{
 		Endpoints: []protocol.EndpointStatus{
-			{Service: "llm", DataCenter: "b", State: protocol.EndpointServes, Fill: 0.25, Open: 8},
-			{Service: "llm", DataCenter: "a", State: protocol.EndpointLost, Fill: 1},
-			{Service: "llm", DataCenter: "b", State: protocol.EndpointSlow, Fill: 0.75},
-			{Service: "llm", DataCenter: "b", State: protocol.EndpointServes, Fill: 0.5, Open: 2},
+			{Service: "llm", DataCenter: "b", State: protocol.EndpointServing, Utilization: 0.25, OpenLayerPasses: 8},
+			{Service: "llm", DataCenter: "a", State: protocol.EndpointLost, Utilization: 1},
+			{Service: "llm", DataCenter: "b", State: protocol.EndpointSlow, Utilization: 0.75},
+			{Service: "llm", DataCenter: "b", State: protocol.EndpointServing, Utilization: 0.5, OpenLayerPasses: 2},
 		},
 		Waiting: []protocol.WaitingStatus{{Service: "llm", Priority: 1, Team: "desk \"a\"", Requests: 3, OldestMS: 1500}},
 	}
--- a/transport/front/records.go
+++ b/transport/front/records.go
@@ -33,7 +33,7 @@
 // setDecodeFault notes that a record can't be decoded.
 func (r *recordFaults) setDecodeFault(o protocol.Object, err error) {
 	fault := protocol.RecordUnreadable
-	var unusable *protocol.UnusableRecord
+	var unusable *protocol.RecordError
 	if errors.As(err, &unusable) {
 		fault = unusable.Fault()
 	}
--- a/transport/front/records_test.go
+++ b/transport/front/records_test.go
@@ -23,7 +23,7 @@
 
 func (valueDecoder) Endpoint(o protocol.Object) (protocol.Endpoint, error) {
 	if fault, bad := strings.CutPrefix(string(o.Value), "!"); bad {
-		return protocol.Endpoint{}, protocol.Unusable(protocol.RecordFault(fault), nil)
+		return protocol.Endpoint{}, protocol.NewRecordError(protocol.RecordFault(fault), nil)
 	}
 	return protocol.Endpoint{ID: o.Name, Service: string(o.Value), Address: o.Name, DataCenter: "a"}, nil
 }
--- a/transport/front/refusals.go
+++ b/transport/front/refusals.go
@@ -203,7 +203,7 @@
 	work, ok := workFromName(c.Object.Name)
 	switch {
 	case !ok:
-	case c.Gone:
+	case c.Deleted:
 		r.applyRemoval(work, now)
 	default:
 		r.applyRefusal(work, c.Object, now)
--- a/transport/front/registration.go
+++ b/transport/front/registration.go
@@ -123,7 +123,7 @@
 // does so, it also removes the records that are no longer renewed.
 func (r *registration) applyList(ctx context.Context, list protocol.Listing) {
 	now := time.Now()
-	r.revision = list.At
+	r.revision = list.Revision
 	r.census.Observe(list.Objects, now)
 	r.updateCount(now)
 	records := r.learnEntries(list.Objects, true)
--- a/transport/front/registration_test.go
+++ b/transport/front/registration_test.go
@@ -80,7 +80,7 @@
 }
 
 func (s *lateStore) List(context.Context, string) (protocol.Listing, error) {
-	l := protocol.Listing{At: s.revision}
+	l := protocol.Listing{Revision: s.revision}
 	for _, o := range s.objects {
 		l.Objects = append(l.Objects, o)
 	}
--- a/transport/front/routing_sink.go
+++ b/transport/front/routing_sink.go
@@ -33,7 +33,7 @@
 
 // Changed applies a changed table.
 func (s *routingSink) Changed(c protocol.Change, _ time.Time) {
-	if !c.Gone {
+	if !c.Deleted {
 		s.apply(c.Object)
 	}
 }
--- a/transport/front/search.go
+++ b/transport/front/search.go
@@ -38,7 +38,7 @@
 			return protocol.Listing{}, false, err
 		}
 		all := s.addPage(&p, start)
-		list := protocol.Listing{Objects: s.objects, At: s.revision}
+		list := protocol.Listing{Objects: s.objects, Revision: s.revision}
 		if all {
 			s.started = false
 			return list, true, nil
@@ -51,8 +51,8 @@
 
 // addPage adds the records of a page, and reports whether it was the last page that was missing.
 func (s *peerSearch) addPage(p *protocol.Page, start string) bool {
-	if s.revision == 0 || p.At < s.revision {
-		s.revision = p.At
+	if s.revision == 0 || p.Revision < s.revision {
+		s.revision = p.Revision
 	}
 	for _, o := range p.Objects {
 		if s.wrapped && o.Name > start {
--- a/transport/front/search_test.go
+++ b/transport/front/search_test.go
@@ -39,7 +39,7 @@
 
 func (s *pagedStore) PageLately(_ context.Context, _, after string) (protocol.Page, error) {
 	s.pages++
-	p := protocol.Page{Listing: protocol.Listing{At: uint64(100 - s.pages)}}
+	p := protocol.Page{Listing: protocol.Listing{Revision: uint64(100 - s.pages)}}
 	for _, o := range s.records {
 		switch {
 		case o.Name <= after:
@@ -68,7 +68,7 @@
 		s := &pagedStore{size: rapid.IntRange(1, 4).Draw(t, "size")}
 		names := rapid.SliceOfNDistinct(rapid.StringMatching(`[a-c0-2~-]{1,3}`), 0, 12, rapid.ID[string]).Draw(t, "names")
 		for _, n := range names {
-			s.put(t, protocol.EntryRecord{Name: n, DataCenter: "a", Peers: n, MemoryMB: float64(rapid.IntRange(1, 3).Draw(t, "memory"))})
+			s.put(t, protocol.EntryRecord{Name: n, DataCenter: "a", PeerAddress: n, MemoryMB: float64(rapid.IntRange(1, 3).Draw(t, "memory"))})
 		}
 		self := protocol.EntryRecord{Name: rapid.StringMatching(`[a-c0-2~-]{0,3}`).Draw(t, "self"), DataCenter: "a", MemoryMB: 2}
 		var search peerSearch
@@ -81,7 +81,7 @@
 				continue
 			}
 			require.ElementsMatch(t, s.records, list.Objects)
-			require.Equal(t, uint64(100-s.pages), list.At, "the list is as old as its oldest page")
+			require.Equal(t, uint64(100-s.pages), list.Revision, "the list is as old as its oldest page")
 			return
 		}
 	})
@@ -92,7 +92,7 @@
 func TestSearchStartsWithOwnRecord(t *testing.T) {
 	s := &pagedStore{size: 5}
 	for i := range 200 {
-		s.put(t, protocol.EntryRecord{Name: fmt.Sprint("entry-", i), DataCenter: "a", Peers: "p", MemoryMB: 1})
+		s.put(t, protocol.EntryRecord{Name: fmt.Sprint("entry-", i), DataCenter: "a", PeerAddress: "p", MemoryMB: 1})
 	}
 	for _, name := range []string{"entry-0", "entry-99", "entry-100", "entry-57"} {
 		var search peerSearch
@@ -110,7 +110,7 @@
 func TestStartWithPeersNeverListsAllRecords(t *testing.T) {
 	s := &pagedStore{lateStore: *newLateStore(), size: 20}
 	for i := range 400 {
-		s.put(t, protocol.EntryRecord{Name: fmt.Sprint("entry-", i), DataCenter: "a", Peers: "p", MemoryMB: 1})
+		s.put(t, protocol.EntryRecord{Name: fmt.Sprint("entry-", i), DataCenter: "a", PeerAddress: "p", MemoryMB: 1})
 	}
 	r := newRegistration(&s.lateStore, "entry-57")
 	r.front.Dependencies.Objects = s
@@ -129,7 +129,7 @@
 	s := &pagedStore{lateStore: *newLateStore(), size: 20}
 	var all []protocol.EntryRecord
 	for i := range 100 {
-		all = append(all, protocol.EntryRecord{Name: fmt.Sprint("entry-", i), DataCenter: "a", Peers: "p", MemoryMB: 1})
+		all = append(all, protocol.EntryRecord{Name: fmt.Sprint("entry-", i), DataCenter: "a", PeerAddress: "p", MemoryMB: 1})
 		s.put(t, all[i])
 	}
 	first := newRegistration(&s.lateStore, "first")
--- a/transport/front/startup_test.go
+++ b/transport/front/startup_test.go
@@ -19,8 +19,8 @@
 // noHeaders is a header codec that reads and sets no headers.
 type noHeaders struct{}
 
-func (noHeaders) ParseRequest(http.Header, time.Time) protocol.CallerTerms {
-	return protocol.CallerTerms{}
+func (noHeaders) ParseRequest(http.Header, time.Time) protocol.RequestTerms {
+	return protocol.RequestTerms{}
 }
 func (noHeaders) SetAttemptHeaders(http.Header, *protocol.AttemptTerms, time.Time) {}
 func (noHeaders) ParseResponse(int, http.Header) (terms protocol.AnswerTerms)      { return terms }
--- a/transport/peer/mesh.go
+++ b/transport/peer/mesh.go
@@ -49,7 +49,7 @@
 	// Heartbeat returns what to tell peers now.
 	Heartbeat() protocol.PeerHeartbeat
 	// UnresolvedWork returns what to tell a peer that has just been met of work that may end runners.
-	UnresolvedWork() []protocol.RelayWork
+	UnresolvedWork() []protocol.WorkReport
 }
 
 // Mesh is an entry's links to its peers. Set the exported fields before Start.
@@ -112,7 +112,7 @@
 func (m *Mesh) SendHeartbeats() {
 	beat := m.Handler.Heartbeat()
 	m.mutex.Lock()
-	beat.Stops = m.stops
+	beat.Stopping = m.stops
 	m.mutex.Unlock()
 	m.Broadcast(protocol.PeerFrame{Heartbeat: &beat})
 }
@@ -230,7 +230,7 @@
 	if f.Hello != nil {
 		m.table.Learn([]protocol.Member{*f.Hello}, time.Now())
 	}
-	if f.Heartbeat != nil && f.Heartbeat.Stops {
+	if f.Heartbeat != nil && f.Heartbeat.Stopping {
 		m.table.Forget(l.name)
 	}
 	if len(f.Members) > 0 {
--- a/transport/relay/codec.go
+++ b/transport/relay/codec.go
@@ -26,19 +26,19 @@
 // deltaEncoder encodes deltas. It compresses each long one once for all followers.
 type deltaEncoder struct {
 	mutex      sync.Mutex
-	compressed map[string]protocol.RelayRun // latest compressed delta by kind
-	snapshots  map[string]protocol.RelayRun // latest snapshot by kind
-	writer     *flate.Writer                // reused, since a new one allocates much memory
+	compressed map[string]protocol.RelayDelta // latest compressed delta by kind
+	snapshots  map[string]protocol.RelayDelta // latest snapshot by kind
+	writer     *flate.Writer                  // reused, since a new one allocates much memory
 }
 
 // snapshot returns a snapshot of a kind for a follower that knows it up to a revision. It reuses
 // the last one as long as the mirror still has the changes since, which the follower gets next:
 // hundreds of followers may connect at once while the kind changes all the time.
-func (e *deltaEncoder) snapshot(m *mirror.Mirror, kind string, known uint64) (protocol.RelayRun, error) {
+func (e *deltaEncoder) snapshot(m *mirror.Mirror, kind string, known uint64) (protocol.RelayDelta, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if last, ok := e.snapshots[kind]; ok && last.At > known {
-		if _, inHistory := m.Since(kind, last.At); inHistory {
+	if last, ok := e.snapshots[kind]; ok && last.Revision > known {
+		if _, inHistory := m.Since(kind, last.Revision); inHistory {
 			return last, nil
 		}
 	}
@@ -49,14 +49,14 @@
 		}
 	}
 	if e.snapshots == nil {
-		e.snapshots = make(map[string]protocol.RelayRun)
+		e.snapshots = make(map[string]protocol.RelayDelta)
 	}
 	e.snapshots[kind] = encoded
 	return encoded, nil
 }
 
 // encode returns a delta in wire form, compressed if it is long.
-func (e *deltaEncoder) encode(kind string, r mirror.Delta) (protocol.RelayRun, error) {
+func (e *deltaEncoder) encode(kind string, r mirror.Delta) (protocol.RelayDelta, error) {
 	encoded, bytes := uncompressed(kind, r)
 	if bytes < minCompressSize {
 		return encoded, nil
@@ -66,11 +66,11 @@
 
 // uncompressed returns a delta in wire form without compression, and the total length of its
 // values.
-func uncompressed(kind string, r mirror.Delta) (encoded protocol.RelayRun, bytes int) {
-	encoded = protocol.RelayRun{Kind: kind, After: r.After, At: r.To, Difference: r.ListDiff, Whole: r.Snapshot}
+func uncompressed(kind string, r mirror.Delta) (encoded protocol.RelayDelta, bytes int) {
+	encoded = protocol.RelayDelta{Kind: kind, After: r.After, Revision: r.To, ListDiff: r.ListDiff, Snapshot: r.Snapshot}
 	for _, c := range r.Changes {
-		change := protocol.RelayChange{Name: c.Object.Name, Version: c.Object.Version, Gone: c.Gone}
-		if !c.Gone {
+		change := protocol.RelayChange{Name: c.Object.Name, Version: c.Object.Version, Deleted: c.Deleted}
+		if !c.Deleted {
 			change.Value = c.Object.Value
 			bytes += len(change.Value)
 		}
@@ -81,24 +81,24 @@
 
 // compressCached returns a delta with its changes compressed. It reuses the result if the last
 // delta of the kind was the same.
-func (e *deltaEncoder) compressCached(r protocol.RelayRun) (protocol.RelayRun, error) {
+func (e *deltaEncoder) compressCached(r protocol.RelayDelta) (protocol.RelayDelta, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if latest, ok := e.compressed[r.Kind]; ok && latest.After == r.After && latest.At == r.At && latest.Difference == r.Difference && latest.Whole == r.Whole {
+	if latest, ok := e.compressed[r.Kind]; ok && latest.After == r.After && latest.Revision == r.Revision && latest.ListDiff == r.ListDiff && latest.Snapshot == r.Snapshot {
 		return latest, nil
 	}
 	if err := e.compress(&r); err != nil {
 		return r, err
 	}
 	if e.compressed == nil {
-		e.compressed = make(map[string]protocol.RelayRun)
+		e.compressed = make(map[string]protocol.RelayDelta)
 	}
 	e.compressed[r.Kind] = r
 	return r, nil
 }
 
 // compress replaces the changes of a delta by their compressed form. The caller holds the mutex.
-func (e *deltaEncoder) compress(r *protocol.RelayRun) error {
+func (e *deltaEncoder) compress(r *protocol.RelayDelta) error {
 	changes, err := protocol.EncodeRelay(r.Changes)
 	if err != nil {
 		return err
@@ -130,7 +130,7 @@
 }
 
 // valueBytes returns about how many bytes a delta takes in a frame.
-func valueBytes(r *protocol.RelayRun) int {
+func valueBytes(r *protocol.RelayDelta) int {
 	n := len(r.Packed)
 	for i := range r.Changes {
 		n += len(r.Changes[i].Value)
@@ -142,8 +142,8 @@
 var errTooLarge = errors.New("compressed delta exceeds the size limit after decompression")
 
 // decode returns the delta that a peer sent.
-func decode(r *protocol.RelayRun) (mirror.Delta, error) {
-	delta := mirror.Delta{After: r.After, To: r.At, ListDiff: r.Difference, Snapshot: r.Whole}
+func decode(r *protocol.RelayDelta) (mirror.Delta, error) {
+	delta := mirror.Delta{After: r.After, To: r.Revision, ListDiff: r.ListDiff, Snapshot: r.Snapshot}
 	changes := r.Changes
 	if len(r.Packed) > 0 {
 		decompressed, err := decompress(r.Packed)
@@ -154,7 +154,7 @@
 	}
 	for _, c := range changes {
 		object := protocol.Object{Kind: r.Kind, Name: c.Name, Version: c.Version, Value: c.Value}
-		delta.Changes = append(delta.Changes, protocol.Change{Object: object, Gone: c.Gone})
+		delta.Changes = append(delta.Changes, protocol.Change{Object: object, Deleted: c.Deleted})
 	}
 	return delta, nil
 }
--- a/transport/relay/codec_test.go
+++ b/transport/relay/codec_test.go
@@ -24,7 +24,7 @@
 			if !gone {
 				o.Value = bytes.Repeat([]byte{byte('a' + i)}, rapid.IntRange(1, 2*minCompressSize).Draw(t, "length"))
 			}
-			delta.Changes = append(delta.Changes, protocol.Change{Object: o, Gone: gone})
+			delta.Changes = append(delta.Changes, protocol.Change{Object: o, Deleted: gone})
 		}
 		var encoder deltaEncoder
 		for range 2 { // the second time from the cache
@@ -48,14 +48,14 @@
 	delta.ListDiff = true
 	sent, err := encoder.encode("k", delta)
 	require.NoError(t, err)
-	require.True(t, sent.Difference)
+	require.True(t, sent.ListDiff)
 }
 
 func TestOversizedDeltaIsRejected(t *testing.T) {
 	var encoder deltaEncoder
 	packed, err := encoder.deflate(make([]byte, maxUnpackedSize+1))
 	require.NoError(t, err)
-	_, err = decode(&protocol.RelayRun{Kind: "k", At: 1, Packed: packed})
+	_, err = decode(&protocol.RelayDelta{Kind: "k", Revision: 1, Packed: packed})
 	require.ErrorIs(t, err, errTooLarge)
 }
 
@@ -67,7 +67,7 @@
 // newSourceWithObjects returns a source that has a number of objects.
 func newSourceWithObjects(objects int) *Source {
 	s := &Source{}
-	list := protocol.Listing{At: 1}
+	list := protocol.Listing{Revision: 1}
 	for i := range objects {
 		list.Objects = append(list.Objects, testObject(i, 1))
 	}
@@ -91,7 +91,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				changeObject(b, s)
-				f := &follower{source: s, encoder: encoder, known: []protocol.RelayMark{{Kind: "k"}}}
+				f := &follower{source: s, encoder: encoder, known: []protocol.KindRevision{{Kind: "k"}}}
 				for range 2 {
 					var frame protocol.RelayFrame
 					if err := f.addDeltas(&frame); err != nil {
@@ -109,20 +109,20 @@
 	const followers = 100
 	s := newSourceWithObjects(500)
 	encoder := &deltaEncoder{}
-	var snapshots []protocol.RelayRun
+	var snapshots []protocol.RelayDelta
 	for range followers {
 		changeObject(t, s)
-		f := &follower{source: s, encoder: encoder, known: []protocol.RelayMark{{Kind: "k"}}}
+		f := &follower{source: s, encoder: encoder, known: []protocol.KindRevision{{Kind: "k"}}}
 		var known mirror.Mirror
 		for known.Revision("k") < s.mirror.Revision("k") {
 			var frame protocol.RelayFrame
 			require.NoError(t, f.addDeltas(&frame))
-			require.Len(t, frame.Runs, 1)
-			delta, err := decode(&frame.Runs[0])
+			require.Len(t, frame.Deltas, 1)
+			delta, err := decode(&frame.Deltas[0])
 			require.NoError(t, err)
 			require.True(t, known.Apply("k", delta))
 			if delta.Snapshot {
-				snapshots = append(snapshots, frame.Runs[0])
+				snapshots = append(snapshots, frame.Deltas[0])
 			}
 		}
 		require.Equal(t, s.mirror.Snapshot("k"), known.Snapshot("k"))
--- a/transport/relay/entry_test.go
+++ b/transport/relay/entry_test.go
@@ -47,7 +47,7 @@
 	if r.objects == nil {
 		r.objects = map[string]protocol.Object{}
 	}
-	if c.Gone {
+	if c.Deleted {
 		delete(r.objects, c.Object.Name)
 	} else {
 		r.objects[c.Object.Name] = c.Object
@@ -153,7 +153,7 @@
 		},
 	}
 	e.server = s.network.serve(name+":1", &transport.Server{Source: e.source})
-	e.source.Self = protocol.EntryRecord{Name: name, DataCenter: "a", Key: key, Peers: name + ":1"}
+	e.source.Self = protocol.EntryRecord{Name: name, DataCenter: "a", Key: key, PeerAddress: name + ":1"}
 	e.watcher = &watch.Watcher{Source: e.source, Kind: kind, Sink: e.state}
 	e.confirmer = &watch.Confirmer{Source: e.source, Kind: kind, Name: table, Sink: e.state, Watchers: []*watch.Watcher{e.watcher}}
 	t.Cleanup(e.close)
--- a/transport/relay/follower.go
+++ b/transport/relay/follower.go
@@ -21,11 +21,11 @@
 	name      string
 	encoder   *deltaEncoder
 	socket    *websocket.Conn
-	known     []protocol.RelayMark // revisions that were sent
-	questions chan protocol.RelayAsk
+	known     []protocol.KindRevision // revisions that were sent
+	questions chan protocol.RelayRequest
 	readErr   chan error // receives the error that ended the reading
 
-	question         *protocol.RelayAsk // not answered yet, nil for none
+	question         *protocol.RelayRequest // not answered yet, nil for none
 	askedAt          time.Time
 	holdUntil        time.Time // when the question is answered at the latest
 	sentConfirmation time.Time // time of the last confirmation that was sent
@@ -43,7 +43,7 @@
 			f.readErr <- err
 			return
 		}
-		a, err := protocol.DecodeRelayAsk(b)
+		a, err := protocol.DecodeRelayRequest(b)
 		if err != nil {
 			f.readErr <- err
 			return
@@ -89,7 +89,7 @@
 		if err != nil {
 			return err
 		}
-		if first || len(frame.Runs) > 0 || len(frame.Losses) > 0 || len(frame.Slow) > 0 || len(frame.Work) > 0 || frame.Answer != nil {
+		if first || len(frame.Deltas) > 0 || len(frame.Losses) > 0 || len(frame.Slow) > 0 || len(frame.Work) > 0 || frame.Answer != nil {
 			if err := f.write(ctx, &frame); err != nil {
 				return err
 			}
@@ -145,27 +145,27 @@
 		if err != nil {
 			return err
 		}
-		if delta.At <= mark.At {
+		if delta.Revision <= mark.Revision {
 			continue
 		}
 		bytes += valueBytes(&delta)
 		if bytes > maxFrameValueBytes {
 			return errExceedsFrame
 		}
-		frame.Runs = append(frame.Runs, delta)
-		mark.At = delta.At
+		frame.Deltas = append(frame.Deltas, delta)
+		mark.Revision = delta.Revision
 	}
 	return nil
 }
 
 // deltaFor returns the changes of a kind that the follower lacks, in wire form.
-func (f *follower) deltaFor(mark *protocol.RelayMark) (protocol.RelayRun, error) {
-	delta, ok := f.source.mirror.Since(mark.Kind, mark.At)
+func (f *follower) deltaFor(mark *protocol.KindRevision) (protocol.RelayDelta, error) {
+	delta, ok := f.source.mirror.Since(mark.Kind, mark.Revision)
 	switch {
 	case !ok:
-		return f.encoder.snapshot(&f.source.mirror, mark.Kind, mark.At)
-	case delta.To <= mark.At:
-		return protocol.RelayRun{At: mark.At}, nil
+		return f.encoder.snapshot(&f.source.mirror, mark.Kind, mark.Revision)
+	case delta.To <= mark.Revision:
+		return protocol.RelayDelta{Revision: mark.Revision}, nil
 	default:
 		return f.encoder.encode(mark.Kind, delta)
 	}
@@ -208,7 +208,7 @@
 	if err != nil {
 		return err
 	}
-	a.Ahead = &delta
+	a.Unsent = &delta
 	f.aheadVersion = o.Version
 	return nil
 }
--- a/transport/relay/follower_test.go
+++ b/transport/relay/follower_test.go
@@ -19,7 +19,7 @@
 	s := &Source{ConfirmedKind: "k", ConfirmedName: "n"}
 	f := &follower{source: s}
 	ask := func(number uint64, at time.Time) {
-		f.question, f.askedAt, f.holdUntil = &protocol.RelayAsk{Number: number}, at, at.Add(300*time.Millisecond)
+		f.question, f.askedAt, f.holdUntil = &protocol.RelayRequest{Number: number}, at, at.Add(300*time.Millisecond)
 	}
 	require.Nil(t, f.dueAnswer(asked), "no question is open")
 
--- a/transport/relay/link.go
+++ b/transport/relay/link.go
@@ -63,7 +63,7 @@
 // dial connects to a peer and sends a hello, which reports the known revisions and whether the peer
 // is followed for reports only.
 func dial(ctx context.Context, s *Source, peer protocol.EntryRecord, reportsOnly bool) (*link, error) {
-	socket, res, err := websocket.Dial(ctx, "ws://"+peer.Peers+Path, &websocket.DialOptions{
+	socket, res, err := websocket.Dial(ctx, "ws://"+peer.PeerAddress+Path, &websocket.DialOptions{
 		HTTPHeader: http.Header{keyHeader: {keyPrefix + peer.Key}},
 		HTTPClient: &s.selector.client,
 	})
@@ -89,12 +89,12 @@
 // hello returns the first message to a peer. It lists the known revisions, or none after an earlier
 // peer's changes did not continue from them.
 func (s *Source) hello(reportsOnly bool) protocol.RelayHello {
-	hello := protocol.RelayHello{Name: s.Self.Name, NewsOnly: reportsOnly}
+	hello := protocol.RelayHello{Name: s.Self.Name, ReportsOnly: reportsOnly}
 	empty := s.sendEmptyHello.Swap(false)
 	for _, k := range s.Kinds {
-		mark := protocol.RelayMark{Kind: k}
+		mark := protocol.KindRevision{Kind: k}
 		if !empty {
-			mark.At = s.mirror.Revision(k)
+			mark.Revision = s.mirror.Revision(k)
 		}
 		hello.Known = append(hello.Known, mark)
 	}
@@ -184,8 +184,8 @@
 	l.source.receiveLosses(f.Losses, l.peer.Name)
 	l.source.receiveSlowness(f.Slow, l.peer.Name)
 	l.source.receiveWork(f.Work, l.peer.Name)
-	for i := range f.Runs {
-		if err := l.applyDelta(&f.Runs[i]); err != nil {
+	for i := range f.Deltas {
+		if err := l.applyDelta(&f.Deltas[i]); err != nil {
 			return err
 		}
 	}
@@ -196,7 +196,7 @@
 }
 
 // applyDelta applies the changes of one kind.
-func (l *link) applyDelta(r *protocol.RelayRun) error {
+func (l *link) applyDelta(r *protocol.RelayDelta) error {
 	delta, err := decode(r)
 	if err != nil {
 		return err
@@ -220,7 +220,7 @@
 	number := l.nextQuestion()
 	askedAt := clock.Now()
 	hold := milliseconds(max(minHold, trustedUntil.Sub(askedAt)))
-	if err := write(ctx, l.socket, protocol.RelayAsk{Number: number, HoldMS: hold}); err != nil {
+	if err := write(ctx, l.socket, protocol.RelayRequest{Number: number, HoldMS: hold}); err != nil {
 		l.source.dropPeer(l, err.Error())
 		return confirmation{}
 	}
@@ -249,10 +249,10 @@
 // does not contain the object.
 func (l *link) confirmedObject(a *protocol.RelayAnswer) protocol.Object {
 	o := protocol.Object{Kind: l.source.ConfirmedKind, Name: l.source.ConfirmedName, Version: a.Version}
-	if a.Ahead == nil {
+	if a.Unsent == nil {
 		return o
 	}
-	delta, err := decode(a.Ahead)
+	delta, err := decode(a.Unsent)
 	if err != nil || len(delta.Changes) != 1 || delta.Changes[0].Object.Name != o.Name {
 		event.FrameBroken.Log(l.source.Logger, slog.String("peer", l.peer.Name), slog.String("cause", "the answer does not contain the object that it confirms"))
 		return o
--- a/transport/relay/losses.go
+++ b/transport/relay/losses.go
@@ -32,7 +32,7 @@
 // ReportAddressOwner passes on which process answers at an endpoint's address. The owner is "" for a
 // process that does not hold the layers of the endpoint's record.
 func (s *Source) ReportAddressOwner(endpoint, owner string, at time.Time) {
-	observation := protocol.LossMisplaced
+	observation := protocol.LossMismatch
 	if owner == endpoint {
 		observation = protocol.LossAnswered
 	}
@@ -65,11 +65,11 @@
 }
 
 // receiveLosses applies the reports that a peer sent.
-func (s *Source) receiveLosses(messages []protocol.RelayLoss, from string) {
+func (s *Source) receiveLosses(messages []protocol.LossReport, from string) {
 	now := clock.Now()
 	for _, m := range messages {
 		at := now.Add(-time.Duration(m.AgoMS * float64(time.Millisecond)))
-		s.applyLoss(loss.NewReport(m.Endpoint, m.Observer, m.Observation, at).WithIncarnation(m.Incarnation).WithOccupant(m.Occupant), from)
+		s.applyLoss(loss.NewReport(m.Endpoint, m.Observer, m.Observation, at).WithIncarnation(m.Incarnation).WithOccupant(m.AddressOwner), from)
 	}
 }
 
@@ -87,16 +87,16 @@
 
 // since returns the reports after a number that must be sent to a peer, and the number of the last
 // report.
-func (n *lossReports) since(number uint64, peer string, now time.Time) ([]protocol.RelayLoss, uint64) {
+func (n *lossReports) since(number uint64, peer string, now time.Time) ([]protocol.LossReport, uint64) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	reports, last := n.log.since(number, peer, now.Add(-loss.ReportTTL))
-	var messages []protocol.RelayLoss
+	var messages []protocol.LossReport
 	for _, logged := range reports {
 		r := logged.(loss.Report)
-		messages = append(messages, protocol.RelayLoss{
+		messages = append(messages, protocol.LossReport{
 			Endpoint: r.Endpoint(), Incarnation: r.Incarnation(), Observer: r.Observer(), Observation: r.Observation(),
-			AgoMS: max(0, milliseconds(now.Sub(r.At()))), Occupant: r.Occupant(),
+			AgoMS: max(0, milliseconds(now.Sub(r.At()))), AddressOwner: r.Occupant(),
 		})
 	}
 	return messages, last
@@ -135,16 +135,16 @@
 
 // send writes the reports that the peer does not have yet.
 func (u *upstreamReporter) send(ctx context.Context) error {
-	var losses []protocol.RelayLoss
+	var losses []protocol.LossReport
 	losses, u.lossesSent = u.link.source.losses.since(u.lossesSent, u.link.peer.Name, clock.Now())
-	var slow []protocol.RelaySlow
+	var slow []protocol.SlownessReport
 	slow, u.slownessSent = u.link.source.slowness.since(u.slownessSent, u.link.peer.Name, clock.Now())
-	var work []protocol.RelayWork
+	var work []protocol.WorkReport
 	work, u.workSent = u.link.source.quarantine.messagesFor(u.workSent, u.link.peer.Name, clock.Now())
 	if len(losses) == 0 && len(slow) == 0 && len(work) == 0 {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportWriteTimeout)
 	defer cancel()
-	return write(ctx, u.link.socket, protocol.RelayAsk{Losses: losses, Slow: slow, Work: work})
+	return write(ctx, u.link.socket, protocol.RelayRequest{Losses: losses, Slow: slow, Work: work})
 }
