--- a/transport/relay/losses_test.go
+++ b/transport/relay/losses_test.go
@@ -144,7 +144,7 @@
 		for name, reports := range received {
 			require.Len(t, reports, 1, name)
 			require.Equal(t, "other", reports[0].Occupant())
-			require.Equal(t, protocol.LossMisplaced, reports[0].Observation())
+			require.Equal(t, protocol.LossMismatch, reports[0].Observation())
 			require.Equal(t, protocol.Incarnation(7), reports[0].Incarnation())
 		}
 	})
--- a/transport/relay/quarantine.go
+++ b/transport/relay/quarantine.go
@@ -40,7 +40,7 @@
 // Report records an observation of this entry and fills in the observer. It passes the report on as
 // soon as the endpoint is confirmed to have crashed: answers break off for other reasons all the
 // time, and each report goes to every entry.
-func (q *Quarantine) Report(message protocol.RelayWork, at time.Time) {
+func (q *Quarantine) Report(message protocol.WorkReport, at time.Time) {
 	message.Observer = q.Self
 	r := quarantine.NewReport(message, at)
 	now := clock.Now()
@@ -188,7 +188,7 @@
 }
 
 // receiveWork applies the work reports that a peer sent.
-func (s *Source) receiveWork(messages []protocol.RelayWork, from string) {
+func (s *Source) receiveWork(messages []protocol.WorkReport, from string) {
 	now := clock.Now()
 	for _, m := range messages {
 		at := m.At(now)
@@ -207,7 +207,7 @@
 }
 
 // Receive applies the reports that a peer just sent.
-func (q *Quarantine) Receive(messages []protocol.RelayWork, from string) {
+func (q *Quarantine) Receive(messages []protocol.WorkReport, from string) {
 	now := clock.Now()
 	for _, m := range messages {
 		q.applyFrom(quarantine.NewReport(m, m.At(now)).AsUnresolved(), from)
@@ -216,7 +216,7 @@
 
 // ReportsSince returns the reports of this entry and of others after a number, to be sent to peers,
 // and the number of the last.
-func (q *Quarantine) ReportsSince(after uint64, now time.Time) ([]protocol.RelayWork, uint64) {
+func (q *Quarantine) ReportsSince(after uint64, now time.Time) ([]protocol.WorkReport, uint64) {
 	return q.messagesFor(after, q.Self, now)
 }
 
@@ -240,11 +240,11 @@
 
 // messagesFor returns the reports after a number that must be sent to a peer, and the number of the
 // last report.
-func (q *Quarantine) messagesFor(number uint64, peer string, now time.Time) ([]protocol.RelayWork, uint64) {
+func (q *Quarantine) messagesFor(number uint64, peer string, now time.Time) ([]protocol.WorkReport, uint64) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	reports, last := q.log.since(number, peer, now.Add(-quarantine.Retention))
-	var messages []protocol.RelayWork
+	var messages []protocol.WorkReport
 	for _, r := range reports {
 		messages = append(messages, r.(*quarantine.Report).Message(now))
 	}
--- a/transport/relay/quarantine_test.go
+++ b/transport/relay/quarantine_test.go
@@ -22,7 +22,7 @@
 func reportCrash(e *entry, engine string) {
 	time.Sleep(time.Second)
 	now := time.Now()
-	e.source.Quarantine().Report(protocol.RelayWork{Work: crashingWork, Endpoint: engine, Incarnation: 1, Observation: protocol.WorkBroke}, now)
+	e.source.Quarantine().Report(protocol.WorkReport{Work: crashingWork, Endpoint: engine, Incarnation: 1, Observation: protocol.WorkBroke}, now)
 	e.source.ReportLoss(engine, protocol.LossRefused, now)
 }
 
@@ -69,7 +69,7 @@
 		s.put(table, "one")
 		all := newEntries(t, s, 5)
 		setIncarnation(all, 1)
-		report := protocol.RelayWork{Work: crashingWork, Endpoint: "engine", Incarnation: 1, Observation: protocol.WorkBroke}
+		report := protocol.WorkReport{Work: crashingWork, Endpoint: "engine", Incarnation: 1, Observation: protocol.WorkBroke}
 		all[2].source.Quarantine().Report(report, time.Now())
 		time.Sleep(time.Second)
 		for i, e := range all {
--- a/transport/relay/relay_test.go
+++ b/transport/relay/relay_test.go
@@ -346,7 +346,7 @@
 		s.put(table, "one")
 		e := newEntries(t, s, 1)[0]
 		c := http.Client{Transport: &http.Transport{DialContext: s.network.dial, DisableKeepAlives: true}}
-		res, err := c.Get("http://" + e.source.Self.Peers + transport.Path)
+		res, err := c.Get("http://" + e.source.Self.PeerAddress + transport.Path)
 		require.NoError(t, err)
 		defer res.Body.Close()
 		require.Equal(t, http.StatusUnauthorized, res.StatusCode)
--- a/transport/relay/selector.go
+++ b/transport/relay/selector.go
@@ -101,7 +101,7 @@
 // search follows the first peer that it reaches, unless that one is followed already. An entry that
 // serves no peers follows none.
 func (s *peerSelector) search() searchResult {
-	if s.source.Self.Peers == "" {
+	if s.source.Self.PeerAddress == "" {
 		return searchResult{}
 	}
 	s.resetBackoff(clock.Now())
--- a/transport/relay/server.go
+++ b/transport/relay/server.go
@@ -75,14 +75,14 @@
 	if err != nil {
 		return err
 	}
-	if !source.acceptFollower(ctx, hello.NewsOnly) {
+	if !source.acceptFollower(ctx, hello.ReportsOnly) {
 		return errStale
 	}
 	source.addFollower()
 	defer source.followers.Add(-1)
 	f := &follower{
 		source: source, name: hello.Name, encoder: &s.encoder, socket: socket, known: hello.Known,
-		questions: make(chan protocol.RelayAsk, maxQueuedQuestions), readErr: make(chan error, 1),
+		questions: make(chan protocol.RelayRequest, maxQueuedQuestions), readErr: make(chan error, 1),
 	}
 	go f.readLoop(ctx)
 	return f.serve(ctx)
--- a/transport/relay/slowness.go
+++ b/transport/relay/slowness.go
@@ -27,7 +27,7 @@
 
 // ReportSlowdown passes on an observation of an endpoint's slowdown by this entry. It fills in the
 // observer and the number.
-func (s *Source) ReportSlowdown(report protocol.RelaySlow, at time.Time) {
+func (s *Source) ReportSlowdown(report protocol.SlownessReport, at time.Time) {
 	report.Observer = s.Self.Name
 	report.Number = s.slowness.nextNumber()
 	s.applySlowness(slow.NewReport(report, at), "")
@@ -43,7 +43,7 @@
 }
 
 // receiveSlowness applies the reports that a peer sent.
-func (s *Source) receiveSlowness(messages []protocol.RelaySlow, from string) {
+func (s *Source) receiveSlowness(messages []protocol.SlownessReport, from string) {
 	now := clock.Now()
 	for _, m := range messages {
 		at := now.Add(-time.Duration(m.AgoMS * float64(time.Millisecond)))
@@ -74,11 +74,11 @@
 
 // since returns the reports after a number that must be sent to a peer, and the number of the last
 // report.
-func (p *slownessReports) since(number uint64, peer string, now time.Time) ([]protocol.RelaySlow, uint64) {
+func (p *slownessReports) since(number uint64, peer string, now time.Time) ([]protocol.SlownessReport, uint64) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	reports, last := p.log.since(number, peer, now.Add(-slow.ReportTTL))
-	var messages []protocol.RelaySlow
+	var messages []protocol.SlownessReport
 	for _, r := range reports {
 		messages = append(messages, r.(slow.Report).Message(now))
 	}
--- a/transport/relay/slowness_test.go
+++ b/transport/relay/slowness_test.go
@@ -44,8 +44,8 @@
 	return len(r.slowAt)
 }
 
-func twelvefoldSlowdown() protocol.RelaySlow {
-	return protocol.RelaySlow{Endpoint: "engine", Incarnation: 7, Observation: protocol.SlowTold, Pace: 12}
+func twelvefoldSlowdown() protocol.SlownessReport {
+	return protocol.SlownessReport{Endpoint: "engine", Incarnation: 7, Observation: protocol.SlowReported, Slowdown: 12}
 }
 
 // TestSlowEndpointReachesAllEntries has one of thirty entries learn of a slowdown of twelve. Within
@@ -71,7 +71,7 @@
 		time.Sleep(time.Second)
 		require.Equal(t, len(all), recorder.changes, "a known slowdown is not reported again")
 		recovered := twelvefoldSlowdown()
-		recovered.Pace = 1
+		recovered.Slowdown = 1
 		all[3].source.ReportSlowdown(recovered, time.Now())
 		eventually(t, "all entries know of the recovery", func() bool { return recorder.count() == 0 })
 	})
@@ -86,7 +86,7 @@
 		all := newEntries(t, s, 6)
 		var recorder slownessRecorder
 		recorder.observe(all)
-		late := protocol.RelaySlow{Endpoint: "plain", Observation: protocol.SlowSeen, Pace: 5}
+		late := protocol.SlownessReport{Endpoint: "plain", Observation: protocol.SlowMeasured, Slowdown: 5}
 		all[2].source.ReportSlowdown(late, time.Now())
 		time.Sleep(300 * time.Millisecond)
 		require.Zero(t, recorder.count())
--- a/transport/relay/source.go
+++ b/transport/relay/source.go
@@ -262,7 +262,7 @@
 			return protocol.Changes{}, &platform.Compacted{}
 		}
 		if delta.To > after {
-			return protocol.Changes{Changes: delta.Changes, At: delta.To, Relayed: true}, nil
+			return protocol.Changes{Changes: delta.Changes, Revision: delta.To, Relayed: true}, nil
 		}
 		peer, linkChanged := s.linkAndChange()
 		if peer == nil && s.selector.awaitSearch(ctx) {
@@ -278,7 +278,7 @@
 		case <-changed:
 		case <-linkChanged:
 		case <-t.C:
-			return protocol.Changes{At: after, Relayed: true}, nil
+			return protocol.Changes{Revision: after, Relayed: true}, nil
 		case <-ctx.Done():
 			return protocol.Changes{}, ctx.Err()
 		}
@@ -288,7 +288,7 @@
 func (s *Source) watchPlatform(ctx context.Context, kind string, after uint64, wait time.Duration) (protocol.Changes, error) {
 	c, err := s.Platform.Watch(ctx, kind, after, wait)
 	s.recordPlatformResult(ctx, err)
-	if err == nil && len(c.Changes) > 0 && !s.mirror.Apply(kind, mirror.Delta{After: after, To: c.At, Changes: c.Changes}) {
+	if err == nil && len(c.Changes) > 0 && !s.mirror.Apply(kind, mirror.Delta{After: after, To: c.Revision, Changes: c.Changes}) {
 		return protocol.Changes{}, &platform.Compacted{}
 	}
 	return c, err
--- a/transport/relay/start.go
+++ b/transport/relay/start.go
@@ -60,7 +60,7 @@
 		return false
 	default:
 	}
-	alone := s.source.Self.Peers == "" || result.complete && (!result.retry || now.After(s.retryUntil))
+	alone := s.source.Self.PeerAddress == "" || result.complete && (!result.retry || now.After(s.retryUntil))
 	if s.source.Following() || alone || now.After(s.startDeadline) {
 		close(s.started)
 		return false
--- a/transport/relay/start_test.go
+++ b/transport/relay/start_test.go
@@ -23,14 +23,14 @@
 // decision it did so in 15 of 32 starts, and in none of 32 since the decision depends on the
 // records that the search used.
 func TestStartPeriodLastsUntilAllRecordsAreTried(t *testing.T) {
-	s := &Source{Self: protocol.EntryRecord{Name: "e-1", Peers: "127.0.0.1:1", MemoryMB: 100}}
+	s := &Source{Self: protocol.EntryRecord{Name: "e-1", PeerAddress: "127.0.0.1:1", MemoryMB: 100}}
 	s.selector.source = s
 	now := clock.Now()
 	s.selector.start(now)
 	late := now.Add(startRetryPeriod + startRetryInterval)
 
 	result := s.selector.search()
-	s.Learn([]protocol.EntryRecord{{Name: "e-2", Peers: "127.0.0.1:2", MemoryMB: 200}}, true)
+	s.Learn([]protocol.EntryRecord{{Name: "e-2", PeerAddress: "127.0.0.1:2", MemoryMB: 200}}, true)
 	require.True(t, s.selector.stillStarting(result, late), "a known peer was not tried")
 }
 
--- a/transport/relay/store_test.go
+++ b/transport/relay/store_test.go
@@ -50,7 +50,7 @@
 	s.revision++
 	o := s.objects[name]
 	delete(s.objects, name)
-	s.record(protocol.Change{Object: o, Gone: true})
+	s.record(protocol.Change{Object: o, Deleted: true})
 }
 
 // removeWithoutHistory removes an object and drops the history that contains the removal.
@@ -123,7 +123,7 @@
 	s := o.store
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	l := protocol.Listing{At: s.revision}
+	l := protocol.Listing{Revision: s.revision}
 	for _, o := range s.objects {
 		l.Objects = append(l.Objects, o)
 	}
@@ -139,7 +139,7 @@
 	s := o.store
 	for {
 		s.mutex.Lock()
-		c := protocol.Changes{At: s.revision}
+		c := protocol.Changes{Revision: s.revision}
 		for i, h := range s.history {
 			if s.revisions[i] > after {
 				c.Changes = append(c.Changes, h)
@@ -188,8 +188,8 @@
 			return
 		}
 		defer socket.CloseNow()
-		frame := protocol.RelayFrame{FailedMS: -1, Runs: []protocol.RelayRun{{
-			Kind: kind, At: o.Version, Whole: true, Changes: []protocol.RelayChange{{Name: o.Name, Version: o.Version, Value: o.Value}},
+		frame := protocol.RelayFrame{FailedMS: -1, Deltas: []protocol.RelayDelta{{
+			Kind: kind, Revision: o.Version, Snapshot: true, Changes: []protocol.RelayChange{{Name: o.Name, Version: o.Version, Value: o.Value}},
 		}}}
 		b, err := protocol.EncodeRelay(frame)
 		if err != nil {
@@ -204,5 +204,5 @@
 		}
 	}))
 	t.Cleanup(func() { _ = server.Close() })
-	return protocol.EntryRecord{Name: "silent", DataCenter: "a", Key: "k", Peers: "silent:1"}
+	return protocol.EntryRecord{Name: "silent", DataCenter: "a", Key: "k", PeerAddress: "silent:1"}
 }
--- a/transport/relay/unreadable_test.go
+++ b/transport/relay/unreadable_test.go
@@ -24,11 +24,11 @@
 		var encoder deltaEncoder
 		delta, err := encoder.encode("servers", sent)
 		require.NoError(t, err)
-		b, err := protocol.EncodeRelay(protocol.RelayFrame{Runs: []protocol.RelayRun{delta}})
+		b, err := protocol.EncodeRelay(protocol.RelayFrame{Deltas: []protocol.RelayDelta{delta}})
 		require.NoError(t, err)
 		frame, err := protocol.DecodeRelayFrame(b)
 		require.NoError(t, err)
-		got, err := decode(&frame.Runs[0])
+		got, err := decode(&frame.Deltas[0])
 		require.NoError(t, err)
 		require.Len(t, got.Changes, len(sent.Changes))
 		for i, c := range got.Changes {
--- a/transport/watch/watch.go
+++ b/transport/watch/watch.go
@@ -131,7 +131,7 @@
 	if err != nil {
 		return err
 	}
-	w.revision = max(1, l.At)
+	w.revision = max(1, l.Revision)
 	w.failures = 0
 	w.Sink.Listed(l.Objects, clock.Now())
 	if !l.Relayed {
@@ -153,11 +153,11 @@
 	}
 	switch {
 	case c.Relayed:
-		w.revision = max(w.revision, c.At)
+		w.revision = max(w.revision, c.Revision)
 	case len(c.Changes) > 0:
 		// Only changes advance the revision: a watch without changes may have missed
 		// one, and the next call from its old revision then fails with Compacted.
-		w.revision = max(w.revision, c.At)
+		w.revision = max(w.revision, c.Revision)
 		w.Sink.Confirmed(askedAt)
 		w.pause(w.batchDelay(now))
 	default:
--- a/wire_test.go
+++ b/wire_test.go
@@ -39,7 +39,7 @@
 		{"peer", &protocol.PeerFrame{}, func(m any) ([]byte, error) { return protocol.EncodePeer(*m.(*protocol.PeerFrame)) }},
 		{"claims", &protocol.ClaimBatch{}, func(m any) ([]byte, error) { return protocol.EncodeClaims(*m.(*protocol.ClaimBatch)) }},
 		{"relay-hello", &protocol.RelayHello{}, protocol.EncodeRelay},
-		{"relay-ask", &protocol.RelayAsk{}, protocol.EncodeRelay},
+		{"relay-ask", &protocol.RelayRequest{}, protocol.EncodeRelay},
 		{"relay-frame", &protocol.RelayFrame{}, protocol.EncodeRelay},
 		{"relay-changes", &[]protocol.RelayChange{}, protocol.EncodeRelay},
 	}
@@ -60,7 +60,7 @@
 		{"first-entries", &protocol.SeedEntries{}},
 		{"refused-work", &protocol.RefusedWork{}},
 		{"order", &protocol.Order{}},
-		{"holding", &protocol.Holding{}},
+		{"holding", &protocol.LayerLoad{}},
 		{"object", &protocol.Object{}},
 		{"vm", &protocol.VM{}},
 		{"manifest", &protocol.Manifest{}},
