--- a/command/bound.go
+++ b/command/bound.go
@@ -49,7 +49,7 @@
 	const kBPerMB = 1000
 	facts := &protocol.EngineSpec{
 		Layers: f.Layers, LayerMB: f.LayerMB, TokenLayerMB: f.TokenKB / kBPerMB / float64(f.Layers),
-		StepMS: f.StepMS, SequenceMS: f.SequenceMS, PrefillPerSecond: f.ReadPerSecond, TypicalPrompt: f.Prompt, TypicalAnswer: f.Answer,
+		StepMS: f.StepMS, SequenceMS: f.SequenceMS, PrefillPerSecond: f.PrefillPerSecond, TypicalPrompt: f.Prompt, TypicalAnswer: f.Answer,
 	}
 	for _, a := range f.Accelerators {
 		facts.Accelerators = append(facts.Accelerators, protocol.AcceleratorSpec{
--- a/command/demo_setup.go
+++ b/command/demo_setup.go
@@ -65,7 +65,7 @@
 		if i < 3 {
 			share = 4 // a few large teams
 		}
-		s.Teams = append(s.Teams, settings.Team{Name: "team-" + strconv.Itoa(i+1), Key: key, Share: share, Priority: 1, Open: 600})
+		s.Teams = append(s.Teams, settings.Team{Name: "team-" + strconv.Itoa(i+1), Key: key, Share: share, Priority: 1, MaxOpen: 600})
 	}
 	return s
 }
--- a/command/front.go
+++ b/command/front.go
@@ -42,7 +42,7 @@
 		return o.fail(exitUsage, errors.New(`the settings have no section "front"; add it`))
 	}
 	s := *file.Front
-	if limit := s.HeapBytes(); limit > 0 {
+	if limit := s.HeapLimitBytes(); limit > 0 {
 		debug.SetMemoryLimit(limit)
 	}
 	counters := &metric.Set{}
--- a/settings/fleet.go
+++ b/settings/fleet.go
@@ -10,9 +10,9 @@
 	TokenKB float64 `json:"token_kb" validate:"gt=0"`
 	// StepMS is how long one token takes in all layers of the fastest accelerator, and
 	// SequenceMS how much longer for each request that is open.
-	StepMS        float64 `json:"step_ms" validate:"gt=0"`
-	SequenceMS    float64 `json:"sequence_ms" validate:"gte=0"`
-	ReadPerSecond float64 `json:"read_per_second" validate:"gt=0"`
+	StepMS           float64 `json:"step_ms" validate:"gt=0"`
+	SequenceMS       float64 `json:"sequence_ms" validate:"gte=0"`
+	PrefillPerSecond float64 `json:"read_per_second" validate:"gt=0"`
 	// Prompt and Answer are the usual tokens of a request.
 	Prompt int `json:"prompt" validate:"gt=0"`
 	Answer int `json:"answer" validate:"gt=0"`
--- a/settings/front.go
+++ b/settings/front.go
@@ -53,9 +53,9 @@
 	return before.Add(fractions(f.RetryWindowMS))
 }
 
-// KeyTrust returns until when a key that was known to be good then may be used,
+// KeyUsableUntil returns until when a key that was known to be good then may be used,
 // the share of the bound left for a request's own way to its endpoint taken off.
-func (f *Front) KeyTrust(confirmed time.Time) time.Time {
+func (f *Front) KeyUsableUntil(confirmed time.Time) time.Time {
 	return confirmed.Add(fractions(f.KeyWithdrawnMS * keyTrustShare))
 }
 
@@ -79,17 +79,17 @@
 	connectionsLeast = 64
 )
 
-// HeapBytes returns the size of the heap from which the collector works harder, 0 if the
+// HeapLimitBytes returns the size of the heap from which the collector works harder, 0 if the
 // memory is not known.
-func (f *Front) HeapBytes() int64 { return int64(f.MemoryMB * heapShare * (1 << 20)) }
+func (f *Front) HeapLimitBytes() int64 { return int64(f.MemoryMB * heapShare * (1 << 20)) }
 
-// HeldBytes returns how many bytes of answers and request bodies may be held, 0 if the memory
+// BufferLimitBytes returns how many bytes of answers and request bodies may be held, 0 if the memory
 // is not known.
-func (f *Front) HeldBytes() int64 { return int64(f.MemoryMB * heldShare * (1 << 20)) }
+func (f *Front) BufferLimitBytes() int64 { return int64(f.MemoryMB * heldShare * (1 << 20)) }
 
-// Connections returns how many connections callers may have open together, 0 for any
+// MaxConnections returns how many connections callers may have open together, 0 for any
 // number.
-func (f *Front) Connections() int {
+func (f *Front) MaxConnections() int {
 	most := 0.0
 	if f.MemoryMB > 0 {
 		most = f.MemoryMB * connectionShare * (1 << 10) / connectionKB
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -109,9 +109,9 @@
 	}
 }
 
-// SlowCaller returns the time by which a caller must have taken a write made
+// WriteDeadline returns the time by which a caller must have taken a write made
 // now.
-func (l *Limits) SlowCaller(now time.Time) time.Time { return now.Add(milliseconds(l.SlowCallerMS)) }
+func (l *Limits) WriteDeadline(now time.Time) time.Time { return now.Add(milliseconds(l.SlowCallerMS)) }
 
 // DefaultDeadline returns the deadline of a request that names none.
 func (l *Limits) DefaultDeadline(now time.Time) time.Time {
@@ -140,11 +140,11 @@
 	Models   []protocol.Model   `json:"models" validate:"required,dive"`
 	Runners  []RunnerGroup      `json:"runners" validate:"required,dive"`
 	Services []protocol.Service `json:"services" validate:"dive"`
-	// Elsewhere are services that run already and are only configured.
-	Elsewhere []protocol.Service `json:"elsewhere" validate:"dive"`
-	Teams     []Team             `json:"teams" validate:"required,dive"`
-	Operator  OperatorKey        `json:"operator"`
-	Others    []OperatorKey      `json:"other_operators" validate:"dive"`
+	// ExternalServices are services that run already and are only configured.
+	ExternalServices []protocol.Service `json:"elsewhere" validate:"dive"`
+	Teams            []Team             `json:"teams" validate:"required,dive"`
+	Operator         OperatorKey        `json:"operator"`
+	OtherOperators   []OperatorKey      `json:"other_operators" validate:"dive"`
 }
 
 // RunnerGroup is Count stand-in engines alike, on ports that follow each other.
@@ -167,7 +167,7 @@
 	Key      string  `json:"key" validate:"required,min=8"`
 	Share    float64 `json:"share" validate:"gt=0"`
 	Priority uint8   `json:"priority" validate:"max=9"`
-	Open     int     `json:"open" validate:"gt=0"`
+	MaxOpen  int     `json:"open" validate:"gt=0"`
 }
 
 // OperatorKey is the operator of a stand-in deployment with the key in clear.
--- a/standin/deployment.go
+++ b/standin/deployment.go
@@ -53,10 +53,10 @@
 	}
 	for _, t := range s.Teams {
 		c.add(protocol.TeamPart, t.Name, protocol.Team{
-			Name: t.Name, KeyHashes: []string{protocol.HashKey(t.Key)}, Share: t.Share, Priority: t.Priority, MaxOpen: t.Open,
+			Name: t.Name, KeyHashes: []string{protocol.HashKey(t.Key)}, Share: t.Share, Priority: t.Priority, MaxOpen: t.MaxOpen,
 		})
 	}
-	for _, o := range append([]settings.OperatorKey{s.Operator}, s.Others...) {
+	for _, o := range append([]settings.OperatorKey{s.Operator}, s.OtherOperators...) {
 		c.add(protocol.OperatorPart, o.Name, protocol.Operator{
 			Name: o.Name, KeyHash: protocol.HashKey(o.Key), Role: cmp.Or(o.Role, "editor"),
 		})
@@ -131,7 +131,7 @@
 		}
 		c.add(protocol.ServicePart, v.Name, v)
 	}
-	for _, v := range s.Elsewhere {
+	for _, v := range s.ExternalServices {
 		c.add(protocol.ServicePart, v.Name, v)
 	}
 	return nil
--- a/transport/entry/caller.go
+++ b/transport/entry/caller.go
@@ -232,7 +232,7 @@
 // readBody reads the body within the limits on its size and on slow callers.
 func (k *call) readBody(c echo.Context, e *Entry, now time.Time) error {
 	control := http.NewResponseController(c.Response())
-	_ = control.SetReadDeadline(e.Settings.Limits.SlowCaller(now))
+	_ = control.SetReadDeadline(e.Settings.Limits.WriteDeadline(now))
 	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, e.Settings.Limits.BodyBytes))
 	_ = control.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
--- a/transport/entry/chat.go
+++ b/transport/entry/chat.go
@@ -182,7 +182,7 @@
 // slowly.
 func (s *streamedResponse) writeEvent(event string) error {
 	control := http.NewResponseController(s.context.Response())
-	_ = control.SetWriteDeadline(s.entry.Settings.Limits.SlowCaller(time.Now()))
+	_ = control.SetWriteDeadline(s.entry.Settings.Limits.WriteDeadline(time.Now()))
 	if _, err := s.context.Response().Write([]byte(event)); err != nil {
 		return err
 	}
--- a/transport/entry/entry_test.go
+++ b/transport/entry/entry_test.go
@@ -64,7 +64,7 @@
 	s := settings.Standin{
 		Platform: "127.0.0.1:0",
 		Models:   []protocol.Model{{Name: "fares", Version: "1", Layers: layers, MaxOpen: 4096, Context: 4096, TokenIntervalMS: 60_000}},
-		Teams:    []settings.Team{{Name: "desk", Key: key, Share: 1, Open: 4096}},
+		Teams:    []settings.Team{{Name: "desk", Key: key, Share: 1, MaxOpen: 4096}},
 		Operator: settings.OperatorKey{Name: "clerk", Key: "clerk-key-1"},
 	}
 	for i := range stages {
@@ -148,9 +148,9 @@
 	d := &standin.Deployment{AnyPorts: true}
 	require.NoError(t, d.Start(settings.Standin{
 		Platform: "127.0.0.1:0",
-		Teams:    []settings.Team{{Name: "desk", Key: key, Share: 1, Open: 9}},
+		Teams:    []settings.Team{{Name: "desk", Key: key, Share: 1, MaxOpen: 9}},
 		Operator: settings.OperatorKey{Name: "clerk", Key: "clerk-key-1"},
-		Elsewhere: []protocol.Service{{Name: "cards", Endpoints: []protocol.ServiceEndpoint{
+		ExternalServices: []protocol.Service{{Name: "cards", Endpoints: []protocol.ServiceEndpoint{
 			{Name: "c1", VM: "v", DataCenter: "dc", Address: service.Listener.Addr().String()},
 		}}},
 	}))
--- a/transport/entry/listener.go
+++ b/transport/entry/listener.go
@@ -44,7 +44,7 @@
 	l.server = http.Server{
 		Handler:           h,
 		MaxHeaderBytes:    s.Limits.HeaderBytes,
-		ReadHeaderTimeout: time.Until(s.Limits.SlowCaller(time.Now())),
+		ReadHeaderTimeout: time.Until(s.Limits.WriteDeadline(time.Now())),
 		IdleTimeout:       idleTimeout,
 	}
 	return nil
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -100,11 +100,11 @@
 	f.endpoints.DataCenters = s.DataCenters
 	f.records = recordFaults{counters: f.Counters, logger: f.Logger}
 	f.memoryBudget.Counters, f.memoryBudget.Logger = f.Counters, f.Logger
-	f.memoryBudget.SetLimit(s.HeldBytes())
+	f.memoryBudget.SetLimit(s.BufferLimitBytes())
 	f.forwarder = forward.Forwarder{
 		Entry: local, Routing: &f.routing, Registry: &f.endpoints, Headers: f.Dependencies.Headers, Reporter: f.Dependencies.Engines,
 		Counters: f.Counters, Logger: f.Logger,
-		KeysTrustedUntil: s.KeyTrust, ReportLoss: f.source.ReportLoss, ReportAddressOwner: f.source.ReportAddressOwner, MemoryBudget: &f.memoryBudget, ReportSlowdown: f.source.ReportSlowdown,
+		KeysTrustedUntil: s.KeyUsableUntil, ReportLoss: f.source.ReportLoss, ReportAddressOwner: f.source.ReportAddressOwner, MemoryBudget: &f.memoryBudget, ReportSlowdown: f.source.ReportSlowdown,
 		Quarantine: f.source.Quarantine(), OnResume: f.handleResume,
 	}
 	if s.ChangePaths {
@@ -219,7 +219,7 @@
 func (f *Front) serve() {
 	f.callers.limits = f.callerLimits
 	f.callers.memoryBudget = &f.memoryBudget
-	f.callers.maxConnections = f.Settings.Connections()
+	f.callers.maxConnections = f.Settings.MaxConnections()
 	f.callers.counters = f.Counters
 	f.callers.serve(&f.forwarder)
 	f.readiness.serve(f.readinessHandler())
@@ -272,7 +272,7 @@
 // confirmed. If most entries have no capacity left, the load balancer uses all of them.
 func (f *Front) isReady(now time.Time) bool {
 	return !f.stopping.Load() && !f.memoryBudget.NearLimit() && f.routing.Current() != nil && f.endpoints.HasList() &&
-		now.Before(f.Settings.KeyTrust(f.routing.ConfirmedAt()))
+		now.Before(f.Settings.KeyUsableUntil(f.routing.ConfirmedAt()))
 }
 
 // endStartupWaitIfReady lets requests be served once the table, the endpoints, the refusals and the
