--- a/docs_test.go
+++ b/docs_test.go
@@ -46,7 +46,7 @@
 	for _, n := range metric.Names() {
 		require.Contains(t, page, "`"+string(n)+"`")
 	}
-	for _, what := range metric.AllTimed() {
+	for _, what := range metric.Latencies() {
 		require.Contains(t, page, "`"+string(what)+"_seconds`")
 	}
 	for _, r := range metric.Reasons() {
--- a/internal/metric/ejection.go
+++ b/internal/metric/ejection.go
@@ -26,14 +26,14 @@
 	}
 }
 
-// Ejected counts a runner that is left out for a while, in all and by why.
-func (s *Set) Ejected(why Ejection) {
+// CountEjection counts a runner that is left out for a while, in all and by why.
+func (s *Set) CountEjection(why Ejection) {
 	s.Add(RunnersEjected, 1)
 	s.counters.Add(string(RunnersEjected)+"_by."+string(why), 1)
 }
 
-// Ordered counts an order to hold layers, in all and by the name of why it was given.
-func (s *Set) Ordered(why string) {
+// CountOrder counts an order to hold layers, in all and by the name of why it was given.
+func (s *Set) CountOrder(why string) {
 	s.Add(OrdersGiven, 1)
 	s.counters.Add(string(OrdersGiven)+"_by."+why, 1)
 }
--- a/internal/metric/ejection_test.go
+++ b/internal/metric/ejection_test.go
@@ -13,12 +13,12 @@
 func TestEjectionsAndOrdersAreCountedInAllAndByWhy(t *testing.T) {
 	var s metric.Set
 	for _, e := range metric.Ejections() {
-		s.Ejected(e)
+		s.CountEjection(e)
 		require.EqualValues(t, 1, s.Value("runners_ejected_by."+string(e)))
 	}
 	require.EqualValues(t, len(metric.Ejections()), s.Value("runners_ejected"))
-	s.Ordered("hole")
-	s.Ordered("copy")
+	s.CountOrder("hole")
+	s.CountOrder("copy")
 	require.EqualValues(t, 1, s.Value("orders_given_by.hole"))
 	require.EqualValues(t, 2, s.Value("orders_given"))
 }
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -70,11 +70,11 @@
 	PeerBytes       Name = "peer_bytes_sent"
 
 	EndpointConnections Name = "endpoint_connections"
-	ReportsAsked        Name = "reports_asked"
-	PlansWorkedOut      Name = "plans_worked_out"
+	ReportRequests      Name = "reports_asked"
+	PlansComputed       Name = "plans_worked_out"
 	OrdersGiven         Name = "orders_given"
 	LinesDropped        Name = "log_lines_dropped"
-	RequestsHeld        Name = "requests_held"
+	RequestsQueued      Name = "requests_held"
 	RecordsSuperseded   Name = "records_superseded"
 	RecordsDisproved    Name = "records_disproved"
 	RestartsSeen        Name = "restarts_seen"
@@ -85,9 +85,9 @@
 	PressureEnded       Name = "pressure_ended"
 	ConnectionsClosed   Name = "connections_closed"
 	EndpointsSlow       Name = "endpoints_slow"
-	SlowNews            Name = "slow_news"
+	SlownessReports     Name = "slow_news"
 	PathOrders          Name = "path_orders"
-	RequestsTried       Name = "requests_tried_alone"
+	IsolatedRuns        Name = "requests_tried_alone"
 	WorkRefused         Name = "work_refused"
 )
 
@@ -98,10 +98,10 @@
 		RepliesDropped, FramesBroken, ReportsIgnored, PlatformCalls, PlatformFaults,
 		ClaimsGranted, ClaimsReplayed, ClaimWrites, ConfigAccepted, ConfigIgnored,
 		RunnersEjected, PeerConnections, PeerFrames, PeerBytes,
-		EndpointConnections, ReportsAsked, PlansWorkedOut, OrdersGiven, LinesDropped, RequestsHeld,
+		EndpointConnections, ReportRequests, PlansComputed, OrdersGiven, LinesDropped, RequestsQueued,
 		RecordsSuperseded, RecordsDisproved, RestartsSeen,
 		HeldAnswerBytes, HeldBodyBytes, PressureStopped, PressureDropped, PressureEnded, ConnectionsClosed,
-		EndpointsSlow, SlowNews, PathOrders, RequestsTried, WorkRefused,
+		EndpointsSlow, SlownessReports, PathOrders, IsolatedRuns, WorkRefused,
 	}
 }
 
@@ -111,13 +111,13 @@
 // The calls, each with a counter "platform_calls_by.CALL KIND", where KIND is that of the
 // objects.
 const (
-	Read       Call = "read"
-	Write      Call = "write"
-	List       Call = "list"
-	ListLately Call = "list_lately" // as the platform held it some seconds ago
-	ReadLately Call = "read_lately" // likewise
-	Watch      Call = "watch"
-	Delete     Call = "delete"
+	Read      Call = "read"
+	Write     Call = "write"
+	List      Call = "list"
+	ListStale Call = "list_lately" // as the platform held it some seconds ago
+	ReadStale Call = "read_lately" // likewise
+	Watch     Call = "watch"
+	Delete    Call = "delete"
 )
 
 // Set is one entry's counters and latencies. The zero value counts from nothing.
@@ -126,29 +126,31 @@
 	times    sync.Map // of *Times by Timed
 }
 
-// Took records how long something took.
-func (s *Set) Took(what Timed, d time.Duration) { s.timesOf(what).Record(d) }
+// RecordDuration records how long something took.
+func (s *Set) RecordDuration(what Latency, d time.Duration) { s.timesOf(what).Record(d) }
 
-func (s *Set) timesOf(what Timed) *Times {
+func (s *Set) timesOf(what Latency) *Histogram {
 	t, ok := s.times.Load(what)
 	if !ok {
-		t, _ = s.times.LoadOrStore(what, &Times{})
+		t, _ = s.times.LoadOrStore(what, &Histogram{})
 	}
-	return t.(*Times)
+	return t.(*Histogram)
 }
 
-// Refused counts a refusal of that kind.
-func (s *Set) Refused(k protocol.Kind) { s.counters.Add("refused."+string(k), 1) }
+// CountRefusal counts a refusal of that kind.
+func (s *Set) CountRefusal(k protocol.Kind) { s.counters.Add("refused."+string(k), 1) }
 
-// Retried counts a further try for that reason.
-func (s *Set) Retried(r Reason) { s.counters.Add("retried."+string(r), 1) }
+// CountRetry counts a further try for that reason.
+func (s *Set) CountRetry(r Reason) { s.counters.Add("retried."+string(r), 1) }
 
-// Unusable counts a record that was found to name no endpoint to use, for a reason that
+// CountUnusableRecord counts a record that was found to name no endpoint to use, for a reason that
 // it did not have before.
-func (s *Set) Unusable(f protocol.RecordFault) { s.counters.Add("records_unusable."+string(f), 1) }
+func (s *Set) CountUnusableRecord(f protocol.RecordFault) {
+	s.counters.Add("records_unusable."+string(f), 1)
+}
 
-// Called counts a call to the platform for objects of a kind.
-func (s *Set) Called(what Call, kind string) {
+// CountPlatformCall counts a call to the platform for objects of a kind.
+func (s *Set) CountPlatformCall(what Call, kind string) {
 	s.Add(PlatformCalls, 1)
 	s.counters.Add("platform_calls_by."+string(what)+" "+kind, 1)
 }
--- a/internal/metric/path.go
+++ b/internal/metric/path.go
@@ -21,5 +21,7 @@
 	}
 }
 
-// PathAnswered counts an answer to an order to change a path.
-func (s *Set) PathAnswered(a protocol.PathAnswer) { s.counters.Add("path_orders_by."+AnswerName(a), 1) }
+// CountPathAnswer counts an answer to an order to change a path.
+func (s *Set) CountPathAnswer(a protocol.PathAnswer) {
+	s.counters.Add("path_orders_by."+AnswerName(a), 1)
+}
--- a/internal/metric/text.go
+++ b/internal/metric/text.go
@@ -28,7 +28,7 @@
 			failed = err
 		}
 	})
-	for _, what := range AllTimed() {
+	for _, what := range Latencies() {
 		if failed == nil {
 			failed = s.timesOf(what).writeText(w, string(what))
 		}
@@ -37,7 +37,7 @@
 }
 
 // writeText writes the percentiles of what was recorded, in seconds.
-func (t *Times) writeText(w io.Writer, name string) error {
+func (t *Histogram) writeText(w io.Writer, name string) error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.histogram == nil {
--- a/internal/metric/times.go
+++ b/internal/metric/times.go
@@ -15,14 +15,14 @@
 	timesAccuracy       = 2
 )
 
-// Times records how long something took. The zero value has recorded nothing.
-type Times struct {
+// Histogram records how long something took. The zero value has recorded nothing.
+type Histogram struct {
 	mutex     sync.Mutex
 	histogram *hdrhistogram.Histogram
 }
 
 // Record adds one duration; it is kept to the microsecond.
-func (t *Times) Record(d time.Duration) {
+func (t *Histogram) Record(d time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.histogram == nil {
@@ -32,7 +32,7 @@
 }
 
 // AddTo merges what was recorded into a histogram of microseconds.
-func (t *Times) AddTo(h *hdrhistogram.Histogram) {
+func (t *Histogram) AddTo(h *hdrhistogram.Histogram) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.histogram != nil {
@@ -40,8 +40,8 @@
 	}
 }
 
-// Timed names what a Set records the time of.
-type Timed string
+// Latency names what a Set records the time of.
+type Latency string
 
 // FirstEvent and WholeAnswer are counted from when a request came in; Pause is the
 // longest between two events of a stream; Detection is how long a stream was silent
@@ -49,19 +49,19 @@
 // (watches left out, which wait) and to engines; PathChange is the pause of a stream whose
 // path changed.
 const (
-	FirstEvent  Timed = "first_event"
-	WholeAnswer Timed = "whole_answer"
-	Pause       Timed = "pause"
-	Detection   Timed = "detection"
-	StoreCall   Timed = "store_call"
-	EngineCall  Timed = "engine_call"
-	Held        Timed = "held"
-	PathChange  Timed = "path_change"
+	FirstEvent  Latency = "first_event"
+	WholeAnswer Latency = "whole_answer"
+	Pause       Latency = "pause"
+	Detection   Latency = "detection"
+	StoreCall   Latency = "store_call"
+	EngineCall  Latency = "engine_call"
+	QueueWait   Latency = "held"
+	PathChange  Latency = "path_change"
 )
 
-// AllTimed returns everything that a Set records the time of.
-func AllTimed() []Timed {
-	return []Timed{FirstEvent, WholeAnswer, Pause, Detection, StoreCall, EngineCall, Held, PathChange}
+// Latencies returns everything that a Set records the time of.
+func Latencies() []Latency {
+	return []Latency{FirstEvent, WholeAnswer, Pause, Detection, StoreCall, EngineCall, QueueWait, PathChange}
 }
 
 // Summary is a snapshot in milliseconds.
@@ -72,7 +72,7 @@
 }
 
 // Summary returns the percentiles so far.
-func (t *Times) Summary() Summary {
+func (t *Histogram) Summary() Summary {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.histogram == nil {
--- a/transport/claims/shard_store.go
+++ b/transport/claims/shard_store.go
@@ -93,11 +93,11 @@
 		s.log.WriteSucceeded(version)
 	case errors.As(err, &conflict):
 		s.pause = 0
-		s.keeper.Counters.Retried(metric.ClaimRace)
+		s.keeper.Counters.CountRetry(metric.ClaimRace)
 		event.ClaimWriteRaced.Log(s.keeper.Logger, slog.Int("shard", s.number))
 		s.log.WriteUncertain()
 	case errors.As(err, &uncertain):
-		s.keeper.Counters.Retried(metric.ClaimLost)
+		s.keeper.Counters.CountRetry(metric.ClaimLost)
 		event.ClaimAnswerLost.Log(s.keeper.Logger, slog.Int("shard", s.number), slog.Any("cause", err))
 		s.log.WriteUncertain()
 	default:
--- a/transport/director/director_test.go
+++ b/transport/director/director_test.go
@@ -176,7 +176,7 @@
 			}
 			d.Close()
 			synctest.Wait()
-			plans[follows] = d.Counters.Value(string(metric.PlansWorkedOut))
+			plans[follows] = d.Counters.Value(string(metric.PlansComputed))
 		})
 	}
 	require.Greater(t, plans[false], int64(50))
--- a/transport/director/moves.go
+++ b/transport/director/moves.go
@@ -195,7 +195,7 @@
 		return last.moves
 	}
 	moves := placement.Plan(q)
-	d.Counters.Add(metric.PlansWorkedOut, 1)
+	d.Counters.Add(metric.PlansComputed, 1)
 	if d.plans == nil {
 		d.plans = make(map[string]planned)
 	}
--- a/transport/director/order.go
+++ b/transport/director/order.go
@@ -109,7 +109,7 @@
 // order gives the order to the engine that made a report.
 func (g *giving) order(ctx context.Context, report *protocol.EngineReport) {
 	d := g.director
-	d.Counters.Ordered(string(g.move.Reason()))
+	d.Counters.CountOrder(string(g.move.Reason()))
 	answer, err := d.Engines.Place(ctx, protocol.PlacementOrder{
 		EndpointID: g.move.Engine(), Address: g.move.address, Layers: g.move.Span(), Epoch: g.epoch, PriorOrders: report.Orders,
 		Abort: g.move.Interrupts(),
--- a/transport/engine/client.go
+++ b/transport/engine/client.go
@@ -249,7 +249,7 @@
 // connectionFailed ejects the runner and reports the loss to every pending request.
 func (c *Client) connectionFailed(err error) {
 	ejectedUntil := c.Runner.Failed(time.Now())
-	c.Counters.Ejected(metric.EjectedConnection)
+	c.Counters.CountEjection(metric.EjectedConnection)
 	event.RunnerLost.Log(c.Logger, slog.String("runner", c.Runner.Name()),
 		slog.Any("cause", err), slog.Time("ejected_till", ejectedUntil))
 	c.failPending()
--- a/transport/entry/caller.go
+++ b/transport/entry/caller.go
@@ -129,7 +129,7 @@
 // refuse records a refusal and sends it as the response, unless a response has
 // already started.
 func (e *Entry) refuse(c echo.Context, r *protocol.Refusal) error {
-	e.counters.Refused(r.Kind())
+	e.counters.CountRefusal(r.Kind())
 	event.RequestRefused.Log(e.Logger, slog.String("request", c.Response().Header().Get(headerRequest)),
 		slog.String("kind", string(r.Kind())), slog.String("outcome", r.Outcome().String()), slog.Any("cause", r.Unwrap()))
 	if c.Response().Committed {
--- a/transport/entry/entry.go
+++ b/transport/entry/entry.go
@@ -42,8 +42,8 @@
 	Logger   *slog.Logger
 
 	counters       metric.Set
-	detectionTimes metric.Times // from the dispatch of a step until it is abandoned
-	recoveryTimes  metric.Times // from an abandoned step to the next token
+	detectionTimes metric.Histogram // from the dispatch of a step until it is abandoned
+	recoveryTimes  metric.Histogram // from an abandoned step to the next token
 	traces         trace.Log
 	view           atomic.Pointer[fleet.View]
 	pool           engine.Pool
@@ -189,10 +189,10 @@
 func (e *Entry) Counters() *metric.Set { return &e.counters }
 
 // Detection returns the times from the dispatch of a step until it is abandoned.
-func (e *Entry) Detection() *metric.Times { return &e.detectionTimes }
+func (e *Entry) Detection() *metric.Histogram { return &e.detectionTimes }
 
 // Recovery returns the times from an abandoned step to the next token.
-func (e *Entry) Recovery() *metric.Times { return &e.recoveryTimes }
+func (e *Entry) Recovery() *metric.Histogram { return &e.recoveryTimes }
 
 // Ready reports whether the entry accepts requests.
 func (e *Entry) Ready() bool { return e.follower.Current() != nil && !e.stopping.Load() }
--- a/transport/entry/isolation.go
+++ b/transport/entry/isolation.go
@@ -46,7 +46,7 @@
 		}
 		if !waited {
 			waited = true
-			m.entry.counters.Add(metric.RequestsTried, 1)
+			m.entry.counters.Add(metric.IsolatedRuns, 1)
 		}
 		if !now.Before(deadline) {
 			return p, m.isolationRefusal()
--- a/transport/entry/model_run.go
+++ b/transport/entry/model_run.go
@@ -230,7 +230,7 @@
 	if restart.Reason() == metric.BadReply {
 		m.mayHaveRun = true
 		restart.Runner().Failed(time.Now())
-		m.entry.counters.Ejected(metric.EjectedBadReply)
+		m.entry.counters.CountEjection(metric.EjectedBadReply)
 		event.RunnerEjected.Log(m.entry.Logger, slog.String("runner", restart.Runner().Name()), slog.String("cause", "a reply that was not asked for"))
 	}
 	return m.retry(ctx, restart.Reason(), restart.Runner())
--- a/transport/entry/recover.go
+++ b/transport/entry/recover.go
@@ -46,7 +46,7 @@
 	if lost.Dead() {
 		cause = "silence"
 		inFlight.runner.Failed(time.Now())
-		m.entry.counters.Ejected(metric.EjectedSilent)
+		m.entry.counters.CountEjection(metric.EjectedSilent)
 	}
 	event.RunnerEjected.Log(m.entry.Logger, slog.String("runner", inFlight.runner.Name()), slog.String("cause", cause))
 	return m.retry(ctx, metric.Silence, inFlight.runner)
@@ -88,7 +88,7 @@
 	if !ok {
 		return m.retryDenied(d.(retry.Stop), reason)
 	}
-	m.entry.counters.Retried(reason)
+	m.entry.counters.CountRetry(reason)
 	m.trace.Add(now, trace.Retried, string(reason)+" at "+runnerName(failed))
 	event.RequestRetried.Log(m.entry.Logger, slog.String("request", m.id.String()),
 		slog.String("reason", string(reason)), slog.String("runner", runnerName(failed)))
--- a/transport/entry/service.go
+++ b/transport/entry/service.go
@@ -234,7 +234,7 @@
 	if refusal.Outcome() != protocol.NotRun {
 		reason = metric.StreamError
 	}
-	s.entry.counters.Retried(reason)
+	s.entry.counters.CountRetry(reason)
 	s.call.trace.Add(time.Now(), trace.Retried, string(reason)+" at "+endpoint.Name)
 	event.RequestRetried.Log(s.entry.Logger, slog.String("request", s.call.id.String()), slog.String("reason", string(reason)))
 	t := time.NewTimer(time.Until(wait.Until()))
--- a/transport/forward/decide.go
+++ b/transport/forward/decide.go
@@ -51,7 +51,7 @@
 	})
 	switch next {
 	case retry.Resend:
-		x.forwarder.Counters.Retried(retryReason(r))
+		x.forwarder.Counters.CountRetry(retryReason(r))
 		x.startAttempt(&p)
 		x.timing.restart(now)
 	case retry.Enqueue:
--- a/transport/forward/eject.go
+++ b/transport/forward/eject.go
@@ -27,7 +27,7 @@
 		}
 		until := r.Failed(now)
 		x.avoid = append(x.avoid, r)
-		x.forwarder.Counters.Ejected(reason)
+		x.forwarder.Counters.CountEjection(reason)
 		x.forwarder.log(event.RunnerEjected, slog.String("runner", r.Name()), slog.String("reason", string(reason)), x.requestAttr(),
 			slog.Int64("till_ms", until.Sub(now).Milliseconds()))
 	}
--- a/transport/forward/exchange.go
+++ b/transport/forward/exchange.go
@@ -165,7 +165,7 @@
 
 // recordCallerLeft counts and logs a caller that disconnected.
 func (x *exchange) recordCallerLeft() {
-	x.forwarder.Counters.Refused(protocol.CallerGone)
+	x.forwarder.Counters.CountRefusal(protocol.CallerGone)
 	x.forwarder.log(event.CallerLeft, x.requestAttr(), slog.Int("events", x.events), slog.Int64("after_ms", clock.Since(x.begun).Milliseconds()))
 }
 
--- a/transport/forward/failure.go
+++ b/transport/forward/failure.go
@@ -82,7 +82,7 @@
 	switch v := change.(type) {
 	case loss.Lost:
 		r.MarkLost(v.At(), v.Until())
-		f.Counters.Ejected(metric.EjectedLost)
+		f.Counters.CountEjection(metric.EjectedLost)
 		f.losses.Tell()
 	case loss.Suspected:
 		r.Suspect(now.Add(suspectDuration))
--- a/transport/forward/fault_locator.go
+++ b/transport/forward/fault_locator.go
@@ -98,7 +98,7 @@
 func (q *stallQuery) eject(r *fleet.Runner, reason metric.Ejection, cause error, now time.Time) {
 	f := q.locator.forwarder
 	until := r.Failed(now)
-	f.Counters.Ejected(reason)
+	f.Counters.CountEjection(reason)
 	attrs := []slog.Attr{
 		slog.String("runner", r.Name()), slog.String("reason", string(reason)),
 		slog.Int64("till_ms", until.Sub(now).Milliseconds()), slog.Int64("silent_ms", now.Sub(q.since).Milliseconds()),
@@ -128,7 +128,7 @@
 	now := clock.Now()
 	f.reportError(p.runner, err, queriedAt, now)
 	until := p.runner.Failed(now)
-	f.Counters.Ejected(metric.EjectedUnanswered)
+	f.Counters.CountEjection(metric.EjectedUnanswered)
 	f.log(event.RunnerEjected, slog.String("runner", p.runner.Name()), slog.String("reason", string(metric.EjectedUnanswered)), slog.String("cause", err.Error()),
 		slog.Int64("till_ms", until.Sub(now).Milliseconds()))
 }
--- a/transport/forward/handle.go
+++ b/transport/forward/handle.go
@@ -56,7 +56,7 @@
 	}
 	if !x.headSent {
 		x.writeStreamHead(m.attempt.head)
-		x.forwarder.Counters.Took(metric.FirstEvent, now.Sub(x.begun))
+		x.forwarder.Counters.RecordDuration(metric.FirstEvent, now.Sub(x.begun))
 	}
 	x.events++
 	if m.event.id != "" {
--- a/transport/forward/poll.go
+++ b/transport/forward/poll.go
@@ -86,7 +86,7 @@
 func (f *Forwarder) queryReport(r *fleet.Runner) (protocol.EngineReport, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 	defer cancel()
-	f.Counters.Add(metric.ReportsAsked, 1)
+	f.Counters.Add(metric.ReportRequests, 1)
 	queriedAt := clock.Now()
 	report, err := f.Reporter.Report(ctx, r.Spec().Address)
 	if err == nil {
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -115,7 +115,7 @@
 		return true
 	case quarantine.RequireIsolation, quarantine.Waiting:
 		x.isolation = &isolationWait{deadline: x.isolationDeadline(now), recheckAt: now, failed: a, result: r, response: response}
-		x.forwarder.Counters.Add(metric.RequestsTried, 1)
+		x.forwarder.Counters.Add(metric.IsolatedRuns, 1)
 		x.forwarder.log(event.TrialAwaited, x.requestAttr(), slog.String("fingerprint", x.workFingerprint().String()),
 			slog.Int64("till_ms", x.isolation.deadline.Sub(now).Milliseconds()))
 		return true
@@ -179,7 +179,7 @@
 		return false
 	}
 	if wait.failed != nil {
-		f.Counters.Retried(retryReason(wait.result))
+		f.Counters.CountRetry(retryReason(wait.result))
 	}
 	x.isolation = nil
 	x.startAttempt(&p)
--- a/transport/forward/queue.go
+++ b/transport/forward/queue.go
@@ -253,7 +253,7 @@
 		return retryAt, false
 	}
 	x.queued = queued
-	x.forwarder.Counters.Add(metric.RequestsHeld, 1)
+	x.forwarder.Counters.Add(metric.RequestsQueued, 1)
 	x.forwarder.log(event.HoldBegun, x.requestAttr(), slog.Int("sends", x.attempts), slog.Int("priority", priority),
 		slog.Int64("most_ms", deadline.Sub(now).Milliseconds()))
 	return time.Time{}, true
@@ -267,7 +267,7 @@
 		queued.queue.dispatch(position+1, now)
 		return
 	}
-	x.forwarder.Counters.Took(metric.Held, now.Sub(queued.since))
+	x.forwarder.Counters.RecordDuration(metric.QueueWait, now.Sub(queued.since))
 	queued.queue.dispatch(0, now)
 }
 
@@ -288,7 +288,7 @@
 	x.dequeue()
 	queued.queue.recordStart(x.teamName(), now)
 	if queued.failed != nil {
-		x.forwarder.Counters.Retried(retryReason(queued.result))
+		x.forwarder.Counters.CountRetry(retryReason(queued.result))
 	}
 	x.startAttempt(&p)
 	x.timing.restart(now)
--- a/transport/forward/reply.go
+++ b/transport/forward/reply.go
@@ -87,9 +87,9 @@
 func (x *exchange) recordAnswered(status int) {
 	f := x.forwarder
 	took := clock.Since(x.begun)
-	f.Counters.Took(metric.WholeAnswer, took)
+	f.Counters.RecordDuration(metric.WholeAnswer, took)
 	if x.events > 1 {
-		f.Counters.Took(metric.Pause, x.timing.longestPause)
+		f.Counters.RecordDuration(metric.Pause, x.timing.longestPause)
 	}
 	f.Counters.Add(metric.AnsweredInTime, 1)
 	f.log(event.RequestAnswered, x.requestAttr(), slog.Int("status", status), slog.Int("events", x.events),
@@ -105,7 +105,7 @@
 		x.closeAttempts()
 		x.flush() // the events received so far belong to the caller
 		x.drain()
-		x.forwarder.Counters.Refused(r.Kind())
+		x.forwarder.Counters.CountRefusal(r.Kind())
 		x.forwarder.log(event.StreamCut, x.requestAttr(), slog.String("kind", string(r.Kind())), slog.Int("events", x.events),
 			slog.Int64("took_ms", clock.Since(x.begun).Milliseconds()), slog.Int("sends", x.attempts))
 		panic(http.ErrAbortHandler)
@@ -130,7 +130,7 @@
 // refuse responds with a refusal.
 func (x *exchange) refuse(r *protocol.Refusal) {
 	f := x.forwarder
-	f.Counters.Refused(r.Kind())
+	f.Counters.CountRefusal(r.Kind())
 	h := x.writer.Header()
 	h.Set("Content-Type", "application/json")
 	if !r.RetryAt().IsZero() {
--- a/transport/forward/reroute_answer.go
+++ b/transport/forward/reroute_answer.go
@@ -26,7 +26,7 @@
 	a := m.attempt
 	next, _ := a.pathChange.OrderedPath()
 	outcome := a.pathChange.HandleAnswer(m.answer, now)
-	x.forwarder.Counters.PathAnswered(m.answer)
+	x.forwarder.Counters.CountPathAnswer(m.answer)
 	x.forwarder.log(event.PathAnswered, x.requestAttr(), slog.Int("attempt", a.number), slog.String("answer", metric.AnswerName(m.answer)),
 		slog.String("cause", answerCause(m.answer)))
 	switch outcome {
@@ -103,7 +103,7 @@
 	if a.pathChangedAt.IsZero() {
 		return
 	}
-	x.forwarder.Counters.Took(metric.PathChange, now.Sub(x.timing.lastEvent))
+	x.forwarder.Counters.RecordDuration(metric.PathChange, now.Sub(x.timing.lastEvent))
 	a.pathChangedAt = time.Time{}
 }
 
--- a/transport/forward/silence.go
+++ b/transport/forward/silence.go
@@ -210,8 +210,8 @@
 		x.avoid = avoidBefore
 		return action
 	}
-	x.forwarder.Counters.Retried(metric.Silence)
-	x.forwarder.Counters.Took(metric.Detection, now.Sub(x.timing.lastEvent))
+	x.forwarder.Counters.CountRetry(metric.Silence)
+	x.forwarder.Counters.RecordDuration(metric.Detection, now.Sub(x.timing.lastEvent))
 	x.closeUnresolved()
 	if second := x.secondOnReusedConn(now); second != nil {
 		x.forwarder.pool.closeIdle(second.endpoint.Name())
--- a/transport/forward/slowdown.go
+++ b/transport/forward/slowdown.go
@@ -146,7 +146,7 @@
 		return false
 	}
 	now := clock.Now()
-	f.Counters.Add(metric.SlowNews, 1)
+	f.Counters.Add(metric.SlownessReports, 1)
 	switch v := change.(type) {
 	case slow.Slow:
 		wasSlow := r.IsSlow(now)
--- a/transport/front/address_probe.go
+++ b/transport/front/address_probe.go
@@ -113,7 +113,7 @@
 	if s == nil || s.HealthPath == "" {
 		return ""
 	}
-	f.Counters.Add(metric.ReportsAsked, 1)
+	f.Counters.Add(metric.ReportRequests, 1)
 	id, err := f.Dependencies.Engines.Identify(ctx, p.Address(), s.HealthPath)
 	if err != nil {
 		return ""
@@ -125,7 +125,7 @@
 // all. In the second case only requests can show which layers it holds.
 func (a *addressProbe) holdsRecordedLayers(ctx context.Context) bool {
 	f, p := a.front, a.probe
-	f.Counters.Add(metric.ReportsAsked, 1)
+	f.Counters.Add(metric.ReportRequests, 1)
 	report, err := f.Dependencies.Engines.Report(ctx, p.Address())
 	if err != nil {
 		return false
--- a/transport/front/records.go
+++ b/transport/front/records.go
@@ -55,7 +55,7 @@
 		return false
 	}
 	if r.counters != nil {
-		r.counters.Unusable(fault)
+		r.counters.CountUnusableRecord(fault)
 	}
 	if _, known := faults[id]; !known && len(faults) >= maxRecordFaults {
 		return false
