--- a/explain/judge.go
+++ b/explain/judge.go
@@ -79,7 +79,7 @@
 
 // judgeRoom says what became of a request for which the engines had no room.
 func (r *Report) judgeRoom() string {
-	if l := last(r.lines, event.HoldEnded); l != nil {
+	if l := last(r.lines, event.QueueWaitFailed); l != nil {
 		return fmt.Sprintf("it waited %d ms in vain; look for events 3008, 3003 and 8003 before it", l.HeldMS)
 	}
 	return "refused at once, since those ahead of it would take longer than its caller waits"
--- a/explain/summary.go
+++ b/explain/summary.go
@@ -116,7 +116,7 @@
 		p.Sent++
 	case event.AttemptNotRun.Number():
 		p.NotRun++
-	case event.HoldEnded.Number():
+	case event.QueueWaitFailed.Number():
 		p.Held++
 	case event.RequestAnswered.Number():
 		p.Answered++
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -20,75 +20,75 @@
 
 // The events of an entry, by number.
 var (
-	EntryReady         = Event{1001, "entry ready", slog.LevelInfo}
-	EntryStopping      = Event{1002, "entry stopping", slog.LevelInfo}
-	EntryStopped       = Event{1003, "entry stopped", slog.LevelInfo}
-	RequestRefused     = Event{2001, "request refused", slog.LevelInfo}
-	RequestRetried     = Event{2002, "request retried", slog.LevelWarn}
-	RequestSent        = Event{2003, "request sent", slog.LevelInfo}
-	RequestAnswered    = Event{2004, "request answered", slog.LevelInfo}
-	SilenceSuspected   = Event{2005, "silence suspected", slog.LevelWarn}
-	AttemptBroken      = Event{2006, "attempt broken", slog.LevelWarn}
-	StreamCut          = Event{2007, "stream cut", slog.LevelWarn}
-	CallerLeft         = Event{2008, "caller left", slog.LevelInfo}
-	AttemptNotRun      = Event{2010, "attempt not run", slog.LevelInfo}
-	CallerUnbounded    = Event{2009, "caller unbounded", slog.LevelWarn}
-	HoldEnded          = Event{2011, "waited in vain", slog.LevelInfo}
-	HoldBegun          = Event{2012, "waits for room", slog.LevelInfo}
-	AnswerStopped      = Event{2013, "caller reads slowly", slog.LevelInfo}
-	AnswerEnded        = Event{2014, "answer ended for room", slog.LevelWarn}
-	PathOrdered        = Event{2015, "change of path ordered", slog.LevelInfo}
-	PathAnswered       = Event{2016, "change of path answered", slog.LevelInfo}
-	WorkRefused        = Event{2017, "work refused", slog.LevelWarn}
-	WorkReleased       = Event{2018, "work released", slog.LevelInfo}
-	RefusalIgnored     = Event{2019, "refusal ignored", slog.LevelWarn}
-	EndInDoubt         = Event{2020, "end in doubt", slog.LevelWarn}
-	TrialAwaited       = Event{2021, "waits to run alone", slog.LevelInfo}
-	StageLost          = Event{2022, "waits for a lost stage", slog.LevelWarn}
-	RunnerConnected    = Event{3001, "runner connected", slog.LevelInfo}
-	RunnerLost         = Event{3002, "runner lost", slog.LevelWarn}
-	RunnerEjected      = Event{3003, "runner ejected", slog.LevelWarn}
-	FrameBroken        = Event{3004, "frame broken", slog.LevelWarn}
-	ReportIgnored      = Event{3005, "load report ignored", slog.LevelWarn}
-	EndpointJoined     = Event{3006, "endpoint joined", slog.LevelInfo}
-	EndpointLeaving    = Event{3007, "endpoint leaving", slog.LevelInfo}
-	EndpointGone       = Event{3008, "endpoint gone", slog.LevelInfo}
-	LayersChanged      = Event{3010, "layers changed", slog.LevelInfo}
-	LossTold           = Event{3011, "loss told", slog.LevelWarn}
-	RecordSuperseded   = Event{3012, "record superseded", slog.LevelWarn}
-	RecordDisproved    = Event{3013, "record disproved", slog.LevelWarn}
-	RecordUnusable     = Event{3014, "record unusable", slog.LevelWarn}
-	RecordUsable       = Event{3015, "record usable", slog.LevelInfo}
-	EndpointSlow       = Event{3016, "endpoint slow", slog.LevelWarn}
-	EndpointFast       = Event{3017, "endpoint fast again", slog.LevelInfo}
-	EndpointRestarted  = Event{3018, "endpoint restarted", slog.LevelInfo}
-	ConfigInForce      = Event{4001, "configuration in force", slog.LevelInfo}
-	ConfigIgnored      = Event{4002, "configuration ignored", slog.LevelWarn}
-	PlatformUnreached  = Event{5001, "platform unreached", slog.LevelWarn}
-	PlatformBack       = Event{5002, "platform back", slog.LevelInfo}
-	PlatformCalled     = Event{5003, "platform called", slog.LevelDebug}
-	ClaimShardLoaded   = Event{6001, "claim shard loaded", slog.LevelInfo}
-	ClaimWriteRaced    = Event{6002, "claim write raced", slog.LevelInfo}
-	ClaimAnswerLost    = Event{6003, "claim write answer lost", slog.LevelWarn}
-	ClaimOutcomeUnkept = Event{6004, "claim outcome not kept", slog.LevelError}
-	PeerConnected      = Event{7001, "peer connected", slog.LevelInfo}
-	PeerLost           = Event{7002, "peer lost", slog.LevelWarn}
-	EntriesCounted     = Event{7003, "entries counted", slog.LevelInfo}
-	PeerFollowed       = Event{7004, "peer followed", slog.LevelInfo}
-	PeerLeft           = Event{7005, "peer left", slog.LevelInfo}
-	FollowerGone       = Event{7006, "follower gone", slog.LevelInfo}
-	EntryIgnored       = Event{7007, "entry ignored", slog.LevelWarn}
-	LeaseTaken         = Event{8001, "lease taken", slog.LevelInfo}
-	LeaseLost          = Event{8002, "lease lost", slog.LevelWarn}
-	OrderGiven         = Event{8003, "order given", slog.LevelInfo}
-	OrderFailed        = Event{8004, "order failed", slog.LevelWarn}
-	LeaseReleased      = Event{8005, "lease given up", slog.LevelInfo}
-	LeaseUnsure        = Event{8006, "lease write unsure", slog.LevelWarn}
-	LinesDropped       = Event{9101, "lines dropped", slog.LevelWarn}
-	VMSuspended        = Event{1006, "suspension noticed", slog.LevelWarn}
-	SettingsRead       = Event{1004, "settings read", slog.LevelInfo}
-	SettingsIgnored    = Event{1005, "settings ignored", slog.LevelWarn}
-	PlanConfirmed      = Event{9001, "plan confirmed", slog.LevelInfo}
+	EntryReady          = Event{1001, "entry ready", slog.LevelInfo}
+	EntryStopping       = Event{1002, "entry stopping", slog.LevelInfo}
+	EntryStopped        = Event{1003, "entry stopped", slog.LevelInfo}
+	RequestRefused      = Event{2001, "request refused", slog.LevelInfo}
+	RequestRetried      = Event{2002, "request retried", slog.LevelWarn}
+	RequestSent         = Event{2003, "request sent", slog.LevelInfo}
+	RequestAnswered     = Event{2004, "request answered", slog.LevelInfo}
+	SilenceSuspected    = Event{2005, "silence suspected", slog.LevelWarn}
+	AttemptBroken       = Event{2006, "attempt broken", slog.LevelWarn}
+	StreamCut           = Event{2007, "stream cut", slog.LevelWarn}
+	CallerLeft          = Event{2008, "caller left", slog.LevelInfo}
+	AttemptNotRun       = Event{2010, "attempt not run", slog.LevelInfo}
+	CallerUnbounded     = Event{2009, "caller unbounded", slog.LevelWarn}
+	QueueWaitFailed     = Event{2011, "waited in vain", slog.LevelInfo}
+	QueueWaitStarted    = Event{2012, "waits for room", slog.LevelInfo}
+	AnswerStopped       = Event{2013, "caller reads slowly", slog.LevelInfo}
+	AnswerAborted       = Event{2014, "answer ended for room", slog.LevelWarn}
+	PathOrdered         = Event{2015, "change of path ordered", slog.LevelInfo}
+	PathAnswered        = Event{2016, "change of path answered", slog.LevelInfo}
+	WorkRefused         = Event{2017, "work refused", slog.LevelWarn}
+	WorkReleased        = Event{2018, "work released", slog.LevelInfo}
+	RefusalIgnored      = Event{2019, "refusal ignored", slog.LevelWarn}
+	CrashUnresolved     = Event{2020, "end in doubt", slog.LevelWarn}
+	IsolatedRunAwaited  = Event{2021, "waits to run alone", slog.LevelInfo}
+	StageLost           = Event{2022, "waits for a lost stage", slog.LevelWarn}
+	RunnerConnected     = Event{3001, "runner connected", slog.LevelInfo}
+	RunnerLost          = Event{3002, "runner lost", slog.LevelWarn}
+	RunnerEjected       = Event{3003, "runner ejected", slog.LevelWarn}
+	FrameBroken         = Event{3004, "frame broken", slog.LevelWarn}
+	ReportIgnored       = Event{3005, "load report ignored", slog.LevelWarn}
+	EndpointJoined      = Event{3006, "endpoint joined", slog.LevelInfo}
+	EndpointLeaving     = Event{3007, "endpoint leaving", slog.LevelInfo}
+	EndpointGone        = Event{3008, "endpoint gone", slog.LevelInfo}
+	LayersChanged       = Event{3010, "layers changed", slog.LevelInfo}
+	LossReported        = Event{3011, "loss told", slog.LevelWarn}
+	RecordSuperseded    = Event{3012, "record superseded", slog.LevelWarn}
+	RecordDisproved     = Event{3013, "record disproved", slog.LevelWarn}
+	RecordUnusable      = Event{3014, "record unusable", slog.LevelWarn}
+	RecordUsable        = Event{3015, "record usable", slog.LevelInfo}
+	EndpointSlow        = Event{3016, "endpoint slow", slog.LevelWarn}
+	EndpointRecovered   = Event{3017, "endpoint fast again", slog.LevelInfo}
+	EndpointRestarted   = Event{3018, "endpoint restarted", slog.LevelInfo}
+	ConfigInForce       = Event{4001, "configuration in force", slog.LevelInfo}
+	ConfigIgnored       = Event{4002, "configuration ignored", slog.LevelWarn}
+	PlatformUnreached   = Event{5001, "platform unreached", slog.LevelWarn}
+	PlatformBack        = Event{5002, "platform back", slog.LevelInfo}
+	PlatformCalled      = Event{5003, "platform called", slog.LevelDebug}
+	ClaimShardLoaded    = Event{6001, "claim shard loaded", slog.LevelInfo}
+	ClaimWriteRaced     = Event{6002, "claim write raced", slog.LevelInfo}
+	ClaimAnswerLost     = Event{6003, "claim write answer lost", slog.LevelWarn}
+	ClaimOutcomeUnkept  = Event{6004, "claim outcome not kept", slog.LevelError}
+	PeerConnected       = Event{7001, "peer connected", slog.LevelInfo}
+	PeerLost            = Event{7002, "peer lost", slog.LevelWarn}
+	EntriesCounted      = Event{7003, "entries counted", slog.LevelInfo}
+	PeerFollowed        = Event{7004, "peer followed", slog.LevelInfo}
+	PeerLeft            = Event{7005, "peer left", slog.LevelInfo}
+	FollowerGone        = Event{7006, "follower gone", slog.LevelInfo}
+	EntryIgnored        = Event{7007, "entry ignored", slog.LevelWarn}
+	LeaseTaken          = Event{8001, "lease taken", slog.LevelInfo}
+	LeaseLost           = Event{8002, "lease lost", slog.LevelWarn}
+	OrderGiven          = Event{8003, "order given", slog.LevelInfo}
+	OrderFailed         = Event{8004, "order failed", slog.LevelWarn}
+	LeaseReleased       = Event{8005, "lease given up", slog.LevelInfo}
+	LeaseWriteUncertain = Event{8006, "lease write unsure", slog.LevelWarn}
+	LinesDropped        = Event{9101, "lines dropped", slog.LevelWarn}
+	VMSuspended         = Event{1006, "suspension noticed", slog.LevelWarn}
+	SettingsRead        = Event{1004, "settings read", slog.LevelInfo}
+	SettingsIgnored     = Event{1005, "settings ignored", slog.LevelWarn}
+	PlanConfirmed       = Event{9001, "plan confirmed", slog.LevelInfo}
 )
 
 // All returns the whole catalogue in order of number.
@@ -96,17 +96,17 @@
 	return []Event{
 		EntryReady, EntryStopping, EntryStopped, SettingsRead, SettingsIgnored, VMSuspended,
 		RequestRefused, RequestRetried, RequestSent, RequestAnswered, SilenceSuspected, AttemptBroken,
-		StreamCut, CallerLeft, CallerUnbounded, AttemptNotRun, HoldEnded, HoldBegun, AnswerStopped, AnswerEnded,
-		PathOrdered, PathAnswered, WorkRefused, WorkReleased, RefusalIgnored, EndInDoubt, TrialAwaited, StageLost,
+		StreamCut, CallerLeft, CallerUnbounded, AttemptNotRun, QueueWaitFailed, QueueWaitStarted, AnswerStopped, AnswerAborted,
+		PathOrdered, PathAnswered, WorkRefused, WorkReleased, RefusalIgnored, CrashUnresolved, IsolatedRunAwaited, StageLost,
 		RunnerConnected, RunnerLost, RunnerEjected, FrameBroken, ReportIgnored,
-		EndpointJoined, EndpointLeaving, EndpointGone, LayersChanged, LossTold,
-		RecordSuperseded, RecordDisproved, RecordUnusable, RecordUsable, EndpointSlow, EndpointFast, EndpointRestarted,
+		EndpointJoined, EndpointLeaving, EndpointGone, LayersChanged, LossReported,
+		RecordSuperseded, RecordDisproved, RecordUnusable, RecordUsable, EndpointSlow, EndpointRecovered, EndpointRestarted,
 		ConfigInForce, ConfigIgnored,
 		PlatformUnreached, PlatformBack, PlatformCalled,
 		ClaimShardLoaded, ClaimWriteRaced, ClaimAnswerLost, ClaimOutcomeUnkept,
 		PeerConnected, PeerLost,
 		EntriesCounted, PeerFollowed, PeerLeft, FollowerGone, EntryIgnored,
-		LeaseTaken, LeaseLost, OrderGiven, OrderFailed, LeaseReleased, LeaseUnsure,
+		LeaseTaken, LeaseLost, OrderGiven, OrderFailed, LeaseReleased, LeaseWriteUncertain,
 		PlanConfirmed, LinesDropped,
 	}
 }
--- a/transport/backlog/held.go
+++ b/transport/backlog/held.go
@@ -174,7 +174,7 @@
 
 // breakOff ends the connection, with what is held for its caller.
 func (c *Conn) breakOff() {
-	event.AnswerEnded.Log(c.budget.Logger, slog.Int64("held_bytes", c.budget.Held()), slog.String("caller", c.RemoteAddr().String()))
+	event.AnswerAborted.Log(c.budget.Logger, slog.Int64("held_bytes", c.budget.Held()), slog.String("caller", c.RemoteAddr().String()))
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.failure == nil {
--- a/transport/crashcheck/crashcheck.go
+++ b/transport/crashcheck/crashcheck.go
@@ -117,7 +117,7 @@
 		sentAt := clock.Now()
 		result := k.suspect.Prober.Probe()
 		if result != previous && (result == quarantine.ProbeInconclusive || previous == quarantine.ProbeInconclusive) {
-			event.EndInDoubt.Log(k.suspect.Logger, slog.String("endpoint", k.suspect.Endpoint), slog.Int64("lifetime", int64(k.suspect.Incarnation)),
+			event.CrashUnresolved.Log(k.suspect.Logger, slog.String("endpoint", k.suspect.Endpoint), slog.Int64("lifetime", int64(k.suspect.Incarnation)),
 				slog.String("state", result.String()), slog.Int64("after_ms", clock.Since(startedAt).Milliseconds()))
 		}
 		previous = result
--- a/transport/director/lease.go
+++ b/transport/director/lease.go
@@ -161,7 +161,7 @@
 func (d *Director) decodeLease(value []byte) record {
 	var r record
 	if err := json.Unmarshal(value, &r); err != nil {
-		event.LeaseUnsure.Log(d.Logger, slog.String("lease", LeaseName), slog.String("cause", err.Error()))
+		event.LeaseWriteUncertain.Log(d.Logger, slog.String("lease", LeaseName), slog.String("cause", err.Error()))
 		return record{}
 	}
 	return r
@@ -183,7 +183,7 @@
 // unsure notes that a write of the lease had no effect or no answer.
 func (d *Director) unsure(err error) {
 	d.lease.WriteUncertain()
-	event.LeaseUnsure.Log(d.Logger, slog.String("lease", LeaseName), slog.String("cause", err.Error()))
+	event.LeaseWriteUncertain.Log(d.Logger, slog.String("lease", LeaseName), slog.String("cause", err.Error()))
 }
 
 // putLease writes the lease under its condition and returns the new version.
--- a/transport/forward/failure.go
+++ b/transport/forward/failure.go
@@ -91,7 +91,7 @@
 	default:
 		return false
 	}
-	f.log(event.LossTold, slog.String("runner", r.Name()), slog.String("witness", report.Observer()),
+	f.log(event.LossReported, slog.String("runner", r.Name()), slog.String("witness", report.Observer()),
 		slog.String("sign", report.Observation().String()), slog.Int64("age_ms", now.Sub(report.At()).Milliseconds()),
 		slog.Bool("lost", r.Lost(now)))
 	return true
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -116,7 +116,7 @@
 	case quarantine.RequireIsolation, quarantine.Waiting:
 		x.isolation = &isolationWait{deadline: x.isolationDeadline(now), recheckAt: now, failed: a, result: r, response: response}
 		x.forwarder.Counters.Add(metric.IsolatedRuns, 1)
-		x.forwarder.log(event.TrialAwaited, x.requestAttr(), slog.String("fingerprint", x.workFingerprint().String()),
+		x.forwarder.log(event.IsolatedRunAwaited, x.requestAttr(), slog.String("fingerprint", x.workFingerprint().String()),
 			slog.Int64("till_ms", x.isolation.deadline.Sub(now).Milliseconds()))
 		return true
 	default:
--- a/transport/forward/queue.go
+++ b/transport/forward/queue.go
@@ -254,7 +254,7 @@
 	}
 	x.queued = queued
 	x.forwarder.Counters.Add(metric.RequestsQueued, 1)
-	x.forwarder.log(event.HoldBegun, x.requestAttr(), slog.Int("sends", x.attempts), slog.Int("priority", priority),
+	x.forwarder.log(event.QueueWaitStarted, x.requestAttr(), slog.Int("sends", x.attempts), slog.Int("priority", priority),
 		slog.Int64("most_ms", deadline.Sub(now).Milliseconds()))
 	return time.Time{}, true
 }
@@ -307,7 +307,7 @@
 func (x *exchange) expireQueued(now time.Time) {
 	queued := x.queued
 	x.dequeue()
-	x.forwarder.log(event.HoldEnded, x.requestAttr(), slog.Int64("held_ms", now.Sub(queued.since).Milliseconds()), slog.Int("sends", x.attempts))
+	x.forwarder.log(event.QueueWaitFailed, x.requestAttr(), slog.Int64("held_ms", now.Sub(queued.since).Milliseconds()), slog.Int("sends", x.attempts))
 	if queued.failed == nil {
 		x.fail(noCapacity(queued.queue.retryAfter(now)))
 		return
--- a/transport/forward/slowdown.go
+++ b/transport/forward/slowdown.go
@@ -165,7 +165,7 @@
 		}
 		r.ClearSlow()
 		f.slowdowns.untrack(r.Name())
-		f.log(event.EndpointFast, slog.String("runner", r.Name()), slog.String("witness", report.Observer()),
+		f.log(event.EndpointRecovered, slog.String("runner", r.Name()), slog.String("witness", report.Observer()),
 			slog.Int64("slow_ms", now.Sub(since).Milliseconds()))
 		return true
 	default:
