--- a/command/demo_setup.go
+++ b/command/demo_setup.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"pinerun.example/pinerun/internal/part"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/settings"
 	"pinerun.example/pinerun/standin"
@@ -77,7 +77,7 @@
 	demo  *demo
 	began time.Time
 	ends  time.Time // of the load, if it is offered as planned
-	done  part.Done
+	done  lifecycle.Done
 }
 
 func (f *demoFaults) run() {
--- a/internal/part/context.go
+++ b/internal/lifecycle/context.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package part
+package lifecycle
 
 import "context"
 
--- a/internal/part/context_test.go
+++ b/internal/lifecycle/context_test.go
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package part_test
+package lifecycle_test
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
-	"pinerun.example/pinerun/internal/part"
+	"pinerun.example/pinerun/internal/lifecycle"
 )
 
 func TestTheContextEndsWithThePiece(t *testing.T) {
-	var d part.Done
+	var d lifecycle.Done
 	ctx, cancel := d.Context()
 	defer cancel()
 	require.NoError(t, ctx.Err())
--- a/internal/part/part.go
+++ b/internal/lifecycle/part.go
@@ -7,7 +7,7 @@
 //	type Relay struct{ done part.Done }
 //	func (r *Relay) run() { <-r.done.Done() }
 //	func (r *Relay) Close() { r.done.Close() }
-package part
+package lifecycle
 
 import "sync"
 
--- a/internal/part/signal.go
+++ b/internal/lifecycle/signal.go
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package part
+package lifecycle
 
 import "sync"
 
@@ -18,8 +18,8 @@
 	next  chan struct{}
 }
 
-// Awaited returns a channel that closes at the next Tell.
-func (s *Signal) Awaited() <-chan struct{} {
+// Changed returns a channel that closes at the next Tell.
+func (s *Signal) Changed() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.next == nil {
@@ -28,8 +28,8 @@
 	return s.next
 }
 
-// Tell wakes all who wait.
-func (s *Signal) Tell() {
+// Broadcast wakes all who wait.
+func (s *Signal) Broadcast() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.next != nil {
--- a/internal/part/signal_test.go
+++ b/internal/lifecycle/signal_test.go
@@ -1,24 +1,24 @@
 // SPDX-License-Identifier: Apache-2.0
 
-package part_test
+package lifecycle_test
 
 import (
 	"testing"
 
 	"github.com/stretchr/testify/require"
 
-	"pinerun.example/pinerun/internal/part"
+	"pinerun.example/pinerun/internal/lifecycle"
 )
 
 func TestASignalWakesAllWhoWaitAndNobodyAfter(t *testing.T) {
-	var s part.Signal
-	s.Tell() // nobody waits
-	one, two := s.Awaited(), s.Awaited()
-	s.Tell()
+	var s lifecycle.Signal
+	s.Broadcast() // nobody waits
+	one, two := s.Changed(), s.Changed()
+	s.Broadcast()
 	<-one
 	<-two
 	select {
-	case <-s.Awaited():
+	case <-s.Changed():
 		require.Fail(t, "what was told before wakes nobody")
 	default:
 	}
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -19,8 +19,8 @@
 	"sync/atomic"
 	"time"
 
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/internal/metric"
-	"pinerun.example/pinerun/internal/part"
 )
 
 const (
@@ -39,8 +39,8 @@
 	Out      io.Writer
 	Counters *metric.Set // counts dropped lines, nil for nobody
 
-	done    part.Done
-	ended   part.Done
+	done    lifecycle.Done
+	ended   lifecycle.Done
 	mutex   sync.Mutex
 	waiting bytes.Buffer
 	dropped atomic.Int64
--- a/standin/server.go
+++ b/standin/server.go
@@ -7,7 +7,7 @@
 	"net/http"
 	"sync"
 
-	"pinerun.example/pinerun/internal/part"
+	"pinerun.example/pinerun/internal/lifecycle"
 )
 
 // server is a listener that can be cut off with all its connections, as when a
@@ -16,7 +16,7 @@
 	mutex    sync.Mutex
 	listener net.Listener
 	http     *http.Server
-	done     part.Done
+	done     lifecycle.Done
 }
 
 // Listen starts to serve on an address such as "127.0.0.1:0".
--- a/state/mirror/mirror.go
+++ b/state/mirror/mirror.go
@@ -16,7 +16,7 @@
 	"strings"
 	"sync"
 
-	"pinerun.example/pinerun/internal/part"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/protocol"
 )
 
@@ -52,7 +52,7 @@
 type Mirror struct {
 	mutex   sync.Mutex
 	kinds   map[string]*kindState
-	changed part.Signal
+	changed lifecycle.Signal
 }
 
 // kindState holds the objects of one kind.
@@ -86,7 +86,7 @@
 }
 
 // Changed returns a channel that closes at the next change of any kind.
-func (m *Mirror) Changed() <-chan struct{} { return m.changed.Awaited() }
+func (m *Mirror) Changed() <-chan struct{} { return m.changed.Changed() }
 
 // ApplyList applies a whole list. It keeps the changes as a delta, so that entries that
 // follow this one need no list of their own.
@@ -104,7 +104,7 @@
 		for _, o := range l.Objects {
 			k.objects[o.Name] = o
 		}
-		m.changed.Tell()
+		m.changed.Broadcast()
 		return
 	}
 	if l.Revision <= k.revision {
@@ -112,7 +112,7 @@
 	}
 	k.append(k.diffTo(l))
 	k.revision = l.Revision
-	m.changed.Tell()
+	m.changed.Broadcast()
 }
 
 // List returns all objects of a kind, and whether the kind was ever listed.
@@ -147,7 +147,7 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	delete(m.kinds, name)
-	m.changed.Tell()
+	m.changed.Broadcast()
 }
 
 // Apply applies a delta, and reports whether it continues from the known state. A delta
@@ -169,7 +169,7 @@
 	d.After = k.revision
 	k.append(d)
 	k.revision = d.To
-	m.changed.Tell()
+	m.changed.Broadcast()
 	return true
 }
 
--- a/transport/claims/shard.go
+++ b/transport/claims/shard.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"pinerun.example/pinerun/coordination/claim"
-	"pinerun.example/pinerun/internal/part"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/protocol"
 )
 
@@ -18,7 +18,7 @@
 type shard struct {
 	keeper *Store
 	number int
-	done   part.Done
+	done   lifecycle.Done
 	wake   chan struct{}
 
 	mutex   sync.Mutex
--- a/transport/crashcheck/crashcheck.go
+++ b/transport/crashcheck/crashcheck.go
@@ -16,7 +16,7 @@
 	"pinerun.example/pinerun/coordination/quarantine"
 	"pinerun.example/pinerun/internal/clock"
 	"pinerun.example/pinerun/internal/event"
-	"pinerun.example/pinerun/internal/part"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/protocol"
 )
 
@@ -54,7 +54,7 @@
 // Checker checks suspects, with one check at a time for each endpoint. The zero value runs no
 // check.
 type Checker struct {
-	done    part.Done
+	done    lifecycle.Done
 	mutex   sync.Mutex
 	running map[string]*check // by the endpoint's name
 }
--- a/transport/director/director.go
+++ b/transport/director/director.go
@@ -20,8 +20,8 @@
 
 	"pinerun.example/pinerun/coordination/lease"
 	"pinerun.example/pinerun/internal/clock"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/internal/metric"
-	"pinerun.example/pinerun/internal/part"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/registry"
 	"pinerun.example/pinerun/state/routing"
@@ -77,7 +77,7 @@
 	// OnMisdirected is told that another process took an order to an endpoint, nil for nobody.
 	OnMisdirected func(endpoint string, by *Misdirected)
 
-	done     part.Done
+	done     lifecycle.Done
 	lease    lease.Lease
 	held     bool
 	starts   map[string]*start // of services whose engines hold nothing yet
--- a/transport/engine/client.go
+++ b/transport/engine/client.go
@@ -21,8 +21,8 @@
 
 	"pinerun.example/pinerun/coordination/stream"
 	"pinerun.example/pinerun/internal/event"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/internal/metric"
-	"pinerun.example/pinerun/internal/part"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
 )
@@ -42,8 +42,8 @@
 	Counters *metric.Set
 	Logger   *slog.Logger
 
-	done        part.Done
-	stopped     part.Done
+	done        lifecycle.Done
+	stopped     lifecycle.Done
 	wake        chan struct{}
 	mutex       sync.Mutex
 	queue       []protocol.Step
--- a/transport/engine/reader.go
+++ b/transport/engine/reader.go
@@ -10,8 +10,8 @@
 	"github.com/coder/websocket"
 
 	"pinerun.example/pinerun/internal/event"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/internal/metric"
-	"pinerun.example/pinerun/internal/part"
 	"pinerun.example/pinerun/protocol"
 )
 
@@ -19,7 +19,7 @@
 type reader struct {
 	client *Client
 	socket *websocket.Conn
-	done   part.Done
+	done   lifecycle.Done
 	err    error // set before done closes
 }
 
--- a/transport/entry/deadlines.go
+++ b/transport/entry/deadlines.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"pinerun.example/pinerun/internal/clock"
-	"pinerun.example/pinerun/internal/part"
+	"pinerun.example/pinerun/internal/lifecycle"
 )
 
 // suspensionCheckInterval is how often the tracker checks whether the VM was suspended. Callers
@@ -19,7 +19,7 @@
 // suspended. Without a check of the clock that does, a call whose caller had given up continued
 // for as long as the suspension had lasted. The zero value has no calls.
 type deadlineTracker struct {
-	done    part.Done
+	done    lifecycle.Done
 	mutex   sync.Mutex
 	cancels map[*call]context.CancelFunc
 }
--- a/transport/entry/entry.go
+++ b/transport/entry/entry.go
@@ -21,8 +21,8 @@
 	"pinerun.example/pinerun/coordination/member"
 	"pinerun.example/pinerun/internal/clock"
 	"pinerun.example/pinerun/internal/event"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/internal/metric"
-	"pinerun.example/pinerun/internal/part"
 	"pinerun.example/pinerun/internal/serving"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/settings"
@@ -58,7 +58,7 @@
 	mesh           peer.Mesh
 	follower       follow.Follower
 
-	done             part.Done
+	done             lifecycle.Done
 	stopping         atomic.Bool
 	openRequests     atomic.Int64
 	requests         sync.WaitGroup
@@ -223,7 +223,7 @@
 // drainWaiter closes done once no request is open.
 type drainWaiter struct {
 	entry *Entry
-	done  part.Done
+	done  lifecycle.Done
 }
 
 func (w *drainWaiter) run() {
--- a/transport/entry/quarantine.go
+++ b/transport/entry/quarantine.go
@@ -10,8 +10,8 @@
 	"pinerun.example/pinerun/coordination/quarantine"
 	"pinerun.example/pinerun/internal/clock"
 	"pinerun.example/pinerun/internal/event"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/internal/metric"
-	"pinerun.example/pinerun/internal/part"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
 	"pinerun.example/pinerun/transport/crashcheck"
@@ -41,7 +41,7 @@
 	lastReported uint64    // number of the last report sent to peers
 	resentAt     time.Time // when recent reports were last sent again
 
-	done        part.Done
+	done        lifecycle.Done
 	crashChecks crashcheck.Checker
 	mutex       sync.Mutex
 	pending     []suspectedCrash // not probed yet
--- a/transport/follow/follow.go
+++ b/transport/follow/follow.go
@@ -20,8 +20,8 @@
 	"time"
 
 	"pinerun.example/pinerun/internal/event"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/internal/metric"
-	"pinerun.example/pinerun/internal/part"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/config"
 	"pinerun.example/pinerun/transport/peer"
@@ -45,7 +45,7 @@
 	Logger    *slog.Logger
 	OnVersion func(*config.Config) // called once for each version in force, in order
 
-	done            part.Done
+	done            lifecycle.Done
 	mutex           sync.Mutex // guards the fields below and the order of versions
 	store           config.Store
 	previous        *config.Config
--- a/transport/forward/exchange.go
+++ b/transport/forward/exchange.go
@@ -79,9 +79,9 @@
 	x.lastEvent = x.terms.LastEvent
 	defer x.closeAttempts()
 	defer x.dequeue()
-	x.losses = f.losses.Awaited()
-	x.refusals = f.refusals.Awaited()
-	x.resumed, x.suspended = f.resumed.Awaited(), clock.Slept()
+	x.losses = f.losses.Changed()
+	x.refusals = f.refusals.Changed()
+	x.resumed, x.suspended = f.resumed.Changed(), clock.Slept()
 	x.timing.start(x.route, x.service, x.begun)
 	x.start(x.begun)
 	x.loop()
@@ -95,15 +95,15 @@
 	for !x.finished {
 		select {
 		case <-x.losses:
-			x.losses = f.losses.Awaited()
+			x.losses = f.losses.Changed()
 			if !x.paused { // a paused exchange checks its attempts when it resumes
 				x.handleLosses(clock.Now())
 			}
 		case <-x.refusals:
-			x.refusals = f.refusals.Awaited()
+			x.refusals = f.refusals.Changed()
 			x.cancelRefused(clock.Now())
 		case <-x.resumed:
-			x.resumed = f.resumed.Awaited()
+			x.resumed = f.resumed.Changed()
 			x.wake(clock.Now())
 		case m := <-x.incoming():
 			x.handleMessage(m)
--- a/transport/forward/failure.go
+++ b/transport/forward/failure.go
@@ -83,7 +83,7 @@
 	case loss.Lost:
 		r.MarkLost(v.At(), v.Until())
 		f.Counters.CountEjection(metric.EjectedLost)
-		f.losses.Tell()
+		f.losses.Broadcast()
 	case loss.Suspected:
 		r.Suspect(now.Add(suspectDuration))
 	case loss.Recovered:
--- a/transport/forward/failure_test.go
+++ b/transport/forward/failure_test.go
@@ -93,7 +93,7 @@
 func TestStreamRetriesWhenEngineIsReportedLost(t *testing.T) {
 	f, x := newForwarder(t, 4, nil)
 	first := x.open[0].endpoint
-	lossSignal := f.losses.Awaited()
+	lossSignal := f.losses.Changed()
 	markLost(f, first)
 	<-lossSignal
 	x.handleLosses(time.Now())
--- a/transport/forward/forwarder.go
+++ b/transport/forward/forwarder.go
@@ -11,8 +11,8 @@
 
 	"pinerun.example/pinerun/internal/clock"
 	"pinerun.example/pinerun/internal/event"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/internal/metric"
-	"pinerun.example/pinerun/internal/part"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/fleet"
 	"pinerun.example/pinerun/state/registry"
@@ -71,7 +71,7 @@
 	// nil.
 	ReportSlowdown func(report protocol.SlownessReport, at time.Time)
 
-	done         part.Done
+	done         lifecycle.Done
 	retryBudgets serviceBudgets
 	startup      startupGate
 	pool         connPool
@@ -81,13 +81,13 @@
 	queues       waitQueues
 	poller       poller
 	slowdowns    slowdownMonitor
-	losses       part.Signal   // fires when a runner is found lost
-	refusals     part.Signal   // fires when work is found to crash endpoints
-	resumed      part.Signal   // fires after the VM was suspended
-	suspended    time.Duration // total suspension already handled; used only by run
-	lastHeard    atomic.Int64  // Unix nanoseconds when an endpoint was last heard
+	losses       lifecycle.Signal // fires when a runner is found lost
+	refusals     lifecycle.Signal // fires when work is found to crash endpoints
+	resumed      lifecycle.Signal // fires after the VM was suspended
+	suspended    time.Duration    // total suspension already handled; used only by run
+	lastHeard    atomic.Int64     // Unix nanoseconds when an endpoint was last heard
 	openCount    atomic.Int64
-	activated    part.Signal // fires when the first request opens
+	activated    lifecycle.Signal // fires when the first request opens
 	entryCount   atomic.Int64
 	refusing     atomic.Bool
 }
@@ -128,7 +128,7 @@
 	idles := time.NewTicker(idleCheckInterval)
 	defer idles.Stop()
 	for {
-		activated := f.activated.Awaited()
+		activated := f.activated.Changed()
 		dispatchTick, pollTick, idleTick := dispatches.C, polls.C, idles.C
 		if f.openCount.Load() > 0 {
 			idleTick = nil
@@ -162,7 +162,7 @@
 // ServeHTTP serves one request of a caller.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if f.openCount.Add(1) == 1 {
-		f.activated.Tell()
+		f.activated.Broadcast()
 	}
 	defer f.openCount.Add(-1)
 	f.Counters.Add(metric.Requests, 1)
--- a/transport/forward/quarantine.go
+++ b/transport/forward/quarantine.go
@@ -361,4 +361,4 @@
 }
 
 // RecheckRefusals makes open requests check whether their work is refused.
-func (f *Forwarder) RecheckRefusals() { f.refusals.Tell() }
+func (f *Forwarder) RecheckRefusals() { f.refusals.Broadcast() }
--- a/transport/forward/suspension.go
+++ b/transport/forward/suspension.go
@@ -16,7 +16,7 @@
 		return
 	}
 	f.suspended = suspended
-	f.resumed.Tell()
+	f.resumed.Broadcast()
 	if f.OnResume != nil {
 		f.OnResume(now)
 	}
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -14,8 +14,8 @@
 	"pinerun.example/pinerun/coordination/slow"
 	"pinerun.example/pinerun/internal/clock"
 	"pinerun.example/pinerun/internal/event"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/internal/metric"
-	"pinerun.example/pinerun/internal/part"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/settings"
 	"pinerun.example/pinerun/state/fleet"
@@ -49,7 +49,7 @@
 	Counters     *metric.Set
 	Logger       *slog.Logger
 
-	done              part.Done
+	done              lifecycle.Done
 	routing           routing.Store
 	endpoints         registry.Registry
 	records           recordFaults
--- a/transport/front/refusals.go
+++ b/transport/front/refusals.go
@@ -16,7 +16,7 @@
 	"pinerun.example/pinerun/coordination/quarantine"
 	"pinerun.example/pinerun/internal/clock"
 	"pinerun.example/pinerun/internal/event"
-	"pinerun.example/pinerun/internal/part"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/transport/platform"
 )
@@ -47,8 +47,8 @@
 type refusals struct {
 	front *Front
 
-	done     part.Done
-	received part.Signal // signaled when the platform has reported a refusal
+	done     lifecycle.Done
+	received lifecycle.Signal // signaled when the platform has reported a refusal
 	mutex    sync.Mutex
 	loaded   bool // the platform's list was applied
 	stored   map[protocol.Fingerprint]storedRefusal
@@ -72,7 +72,7 @@
 	t := time.NewTicker(refusalsPollInterval)
 	defer t.Stop()
 	for {
-		changed, received := q.Changed(), r.received.Awaited()
+		changed, received := q.Changed(), r.received.Changed()
 		ticks := t.C
 		if q.Empty() && !r.hasWork() {
 			ticks = nil // there is nothing to process
@@ -240,7 +240,7 @@
 	r.stored[work] = storedRefusal{version: o.Version, wasActive: active || r.stored[work].wasActive}
 	delete(r.pending, work)
 	r.mutex.Unlock()
-	r.received.Tell()
+	r.received.Broadcast()
 	if active {
 		r.front.forwarder.RecheckRefusals()
 	}
--- a/transport/front/registration.go
+++ b/transport/front/registration.go
@@ -13,7 +13,7 @@
 	"pinerun.example/pinerun/coordination/census"
 	"pinerun.example/pinerun/coordination/relay"
 	"pinerun.example/pinerun/internal/event"
-	"pinerun.example/pinerun/internal/part"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/transport/platform"
 )
@@ -36,7 +36,7 @@
 type registration struct {
 	front *Front
 
-	done        part.Done
+	done        lifecycle.Done
 	census      census.Counter
 	version     uint64 // of the own record, 0 if unknown
 	heartbeat   uint64
--- a/transport/peer/link.go
+++ b/transport/peer/link.go
@@ -11,8 +11,8 @@
 
 	"github.com/coder/websocket"
 
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/internal/metric"
-	"pinerun.example/pinerun/internal/part"
 	"pinerun.example/pinerun/protocol"
 )
 
@@ -28,7 +28,7 @@
 	name  string // as the peer's first Hello says
 	asked string // under which the link was dialled, "" for an accepted one
 	out   chan protocol.PeerFrame
-	done  part.Done
+	done  lifecycle.Done
 	mutex sync.Mutex
 	open  bool
 	heard time.Time
--- a/transport/peer/mesh.go
+++ b/transport/peer/mesh.go
@@ -20,8 +20,8 @@
 
 	"pinerun.example/pinerun/coordination/member"
 	"pinerun.example/pinerun/internal/event"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/internal/metric"
-	"pinerun.example/pinerun/internal/part"
 	"pinerun.example/pinerun/protocol"
 )
 
@@ -63,7 +63,7 @@
 	// DropFrame, if set, is asked for each frame whether to lose it; for tests.
 	DropFrame func() bool
 
-	done      part.Done
+	done      lifecycle.Done
 	mutex     sync.Mutex
 	table     member.Table
 	knowsFrom time.Time // from when entries that are not in the table are gone
--- a/transport/relay/confirmation.go
+++ b/transport/relay/confirmation.go
@@ -92,7 +92,7 @@
 		return
 	}
 	s.confirmed = confirmation{at: askedAt, object: o}
-	s.confirmedSignal.Tell()
+	s.confirmedSignal.Broadcast()
 }
 
 // latestConfirmedObject returns the newest known version of the confirmed object. A watch of the
@@ -106,7 +106,7 @@
 }
 
 // confirmationChanged returns a channel that is closed at the next confirmation.
-func (s *Source) confirmationChanged() <-chan struct{} { return s.confirmedSignal.Awaited() }
+func (s *Source) confirmationChanged() <-chan struct{} { return s.confirmedSignal.Changed() }
 
 func (s *Source) platformStatus() platformStatus {
 	s.mutex.Lock()
--- a/transport/relay/follower.go
+++ b/transport/relay/follower.go
@@ -82,9 +82,9 @@
 	for first := true; ; first = false {
 		changed := f.source.mirror.Changed()
 		confirmed := f.source.confirmationChanged()
-		losses := f.source.losses.log.changed.Awaited()
-		slowness := f.source.slowness.log.changed.Awaited()
-		work := f.source.quarantine.log.changed.Awaited()
+		losses := f.source.losses.log.changed.Changed()
+		slowness := f.source.slowness.log.changed.Changed()
+		work := f.source.quarantine.log.changed.Changed()
 		frame, err := f.nextFrame()
 		if err != nil {
 			return err
--- a/transport/relay/link.go
+++ b/transport/relay/link.go
@@ -16,7 +16,7 @@
 	"pinerun.example/pinerun/coordination/relay"
 	"pinerun.example/pinerun/internal/clock"
 	"pinerun.example/pinerun/internal/event"
-	"pinerun.example/pinerun/internal/part"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/protocol"
 )
 
@@ -50,7 +50,7 @@
 	peer       protocol.EntryRecord
 	followedAt time.Time
 	socket     *websocket.Conn
-	done       part.Done
+	done       lifecycle.Done
 
 	jitter float64 // see relay.Query
 
--- a/transport/relay/losses.go
+++ b/transport/relay/losses.go
@@ -116,9 +116,9 @@
 	ctx, cancel := l.done.Context()
 	defer cancel()
 	for {
-		losses := l.source.losses.log.changed.Awaited()
-		slowness := l.source.slowness.log.changed.Awaited()
-		work := l.source.quarantine.log.changed.Awaited()
+		losses := l.source.losses.log.changed.Changed()
+		slowness := l.source.slowness.log.changed.Changed()
+		work := l.source.quarantine.log.changed.Changed()
 		if err := u.send(ctx); err != nil {
 			l.fail(err)
 			return
--- a/transport/relay/quarantine.go
+++ b/transport/relay/quarantine.go
@@ -11,7 +11,7 @@
 
 	"pinerun.example/pinerun/coordination/quarantine"
 	"pinerun.example/pinerun/internal/clock"
-	"pinerun.example/pinerun/internal/part"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/protocol"
 )
 
@@ -34,7 +34,7 @@
 	nonEmpty atomic.Bool         // whether the tracker holds any reports
 	pending  []quarantine.Report // of this entry, not sent while the crash is not confirmed
 	log      reportLog
-	changed  part.Signal // signaled when a report changes something
+	changed  lifecycle.Signal // signaled when a report changes something
 }
 
 // Report records an observation of this entry and fills in the observer. It passes the report on as
@@ -51,7 +51,7 @@
 		return
 	}
 	q.nonEmpty.Store(true)
-	q.changed.Tell()
+	q.changed.Broadcast()
 	switch {
 	case confirmed || q.tracker.Confirmed(&r):
 		q.publish(r, "", now)
@@ -114,7 +114,7 @@
 }
 
 // Changed returns a channel that is closed by the next report that changes anything.
-func (q *Quarantine) Changed() <-chan struct{} { return q.changed.Awaited() }
+func (q *Quarantine) Changed() <-chan struct{} { return q.changed.Changed() }
 
 // Empty reports whether there are no reports of any work.
 func (q *Quarantine) Empty() bool { return !q.nonEmpty.Load() }
@@ -229,7 +229,7 @@
 		return
 	}
 	q.nonEmpty.Store(true)
-	q.changed.Tell()
+	q.changed.Broadcast()
 	q.publish(r, from, now)
 }
 
--- a/transport/relay/reportlog.go
+++ b/transport/relay/reportlog.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"pinerun.example/pinerun/internal/part"
+	"pinerun.example/pinerun/internal/lifecycle"
 )
 
 // report is a report that peers pass on: a loss.Report, a slow.Report or a *quarantine.Report. Each
@@ -18,7 +18,7 @@
 type reportLog struct {
 	items      []loggedReport // ordered by number
 	lastNumber uint64
-	changed    part.Signal // signaled when a report is added
+	changed    lifecycle.Signal // signaled when a report is added
 }
 
 // loggedReport is a report and the peer that sent it, "" for this entry.
@@ -41,7 +41,7 @@
 	l.items = l.items[drop:]
 	l.lastNumber++
 	l.items = append(l.items, loggedReport{number: l.lastNumber, report: r, from: from})
-	l.changed.Tell()
+	l.changed.Broadcast()
 }
 
 // since returns the reports after a number that must be sent to a peer, and the number of the last
--- a/transport/relay/source.go
+++ b/transport/relay/source.go
@@ -29,8 +29,8 @@
 	"pinerun.example/pinerun/coordination/slow"
 	"pinerun.example/pinerun/internal/clock"
 	"pinerun.example/pinerun/internal/event"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/internal/metric"
-	"pinerun.example/pinerun/internal/part"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/state/mirror"
 	"pinerun.example/pinerun/transport/platform"
@@ -68,7 +68,7 @@
 	// Dial connects to a peer's address; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	done            part.Done
+	done            lifecycle.Done
 	mirror          mirror.Mirror
 	losses          lossReports
 	slowness        slownessReports
@@ -81,9 +81,9 @@
 	fallbackAt      time.Time     // when the platform was last asked because the peer could not confirm
 	readFailures    int           // failed reads in a row
 	confirmed       confirmation
-	failedAt        time.Time   // when a call of this entry last failed
-	confirmedSignal part.Signal // signaled when the confirmation may have changed
-	sendEmptyHello  atomic.Bool // the next hello reports no known state
+	failedAt        time.Time        // when a call of this entry last failed
+	confirmedSignal lifecycle.Signal // signaled when the confirmation may have changed
+	sendEmptyHello  atomic.Bool      // the next hello reports no known state
 }
 
 // Start begins to look for a peer to follow. Until it is known whether there is one, lists and
--- a/transport/watch/confirm.go
+++ b/transport/watch/confirm.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"pinerun.example/pinerun/internal/clock"
-	"pinerun.example/pinerun/internal/part"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/protocol"
 )
 
@@ -46,8 +46,8 @@
 	Sink     Sink
 	Watchers []*Watcher
 
-	done       part.Done
-	wakeSignal part.Signal
+	done       lifecycle.Done
+	wakeSignal lifecycle.Signal
 	lastFailed bool
 }
 
@@ -56,7 +56,7 @@
 
 // Wake makes the Confirmer read at once. It is for a VM that was suspended: the timer stood still,
 // and the last confirmation may have expired.
-func (c *Confirmer) Wake() { c.wakeSignal.Tell() }
+func (c *Confirmer) Wake() { c.wakeSignal.Broadcast() }
 
 // Close stops the Confirmer.
 func (c *Confirmer) Close() { c.done.Close() }
@@ -66,7 +66,7 @@
 	defer cancel()
 	last := clock.Now()
 	for {
-		relinked, wake := c.Source.Relinked(), c.wakeSignal.Awaited()
+		relinked, wake := c.Source.Relinked(), c.wakeSignal.Changed()
 		t := time.NewTimer(clock.Until(c.Source.Next(last, c.lastFailed)))
 		select {
 		case <-t.C:
--- a/transport/watch/watch.go
+++ b/transport/watch/watch.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"pinerun.example/pinerun/internal/clock"
-	"pinerun.example/pinerun/internal/part"
+	"pinerun.example/pinerun/internal/lifecycle"
 	"pinerun.example/pinerun/protocol"
 	"pinerun.example/pinerun/transport/platform"
 )
@@ -70,7 +70,7 @@
 	// EntryCount returns how many entries call the platform alike; nil counts as one.
 	EntryCount func() int
 
-	done       part.Done
+	done       lifecycle.Done
 	revision   uint64 // revision to watch from, 0 before a list
 	failures   int
 	startUntil time.Time // end of the period in which the whole fleet may be starting
