--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -46,7 +46,7 @@
 	moved := int64(now.Round(0).Sub(start.Round(0)) - now.Sub(start))
 	if before := drift.Load(); moved-before > int64(driftLeast) || before-moved > int64(driftLeast) {
 		drift.Store(moved)
-		Look()
+		Refresh()
 	}
 	return now.Add(time.Duration(left.Load()))
 }
@@ -57,22 +57,22 @@
 // Until returns how far ahead a time of Now is.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// Timer returns the time for which the runtime's timers have to be set to fire at a time of
+// TimerDeadline returns the time for which the runtime's timers have to be set to fire at a time of
 // Now: deadlines of connections and contexts. The zero time stays zero.
-func Timer(t time.Time) time.Time {
+func TimerDeadline(t time.Time) time.Time {
 	if t.IsZero() {
 		return t
 	}
 	return t.Add(-time.Duration(left.Load()))
 }
 
-// Slept returns how long the VM was suspended since the process began, as far as is known, without
+// Suspended returns how long the VM was suspended since the process began, as far as is known, without
 // what is too short to matter.
-func Slept() time.Duration { return time.Duration(left.Load()).Truncate(sleptLeast) }
+func Suspended() time.Duration { return time.Duration(left.Load()).Truncate(sleptLeast) }
 
-// Look asks the kernel how long the VM was suspended. Now does so by itself where the
+// Refresh asks the kernel how long the VM was suspended. Now does so by itself where the
 // time of day moved; a VM whose time of day is kept by hand needs to be asked.
-func Look() { note(int64(gap() - startBy)) }
+func Refresh() { note(int64(gap() - startBy)) }
 
 // note takes it that the steady clock has left so much out. What it knows never shrinks.
 func note(out int64) {
@@ -84,10 +84,10 @@
 	}
 }
 
-// Suspend makes Now as it is after a suspension of that length, for tests, which can't suspend
+// SimulateSuspension makes Now as it is after a suspension of that length, for tests, which can't suspend
 // the machine. Several add up. The returned function takes it back, once nothing is left that
 // saw it.
-func Suspend(d time.Duration) (forget func()) {
+func SimulateSuspension(d time.Duration) (forget func()) {
 	before := left.Load()
 	note(before + int64(d))
 	return func() { left.Store(before) }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -17,16 +17,16 @@
 func TestASuspensionCounts(t *testing.T) {
 	steady, set := time.Now(), clock.Now()
 	till := set.Add(10 * time.Second)
-	slept := clock.Slept()
-	defer clock.Suspend(4 * time.Second)()
-	defer clock.Suspend(5 * time.Second)()
-	require.GreaterOrEqual(t, clock.Slept()-slept, 9*time.Second)
+	slept := clock.Suspended()
+	defer clock.SimulateSuspension(4 * time.Second)()
+	defer clock.SimulateSuspension(5 * time.Second)()
+	require.GreaterOrEqual(t, clock.Suspended()-slept, 9*time.Second)
 	require.Less(t, time.Since(steady), 5*time.Second)
 	require.GreaterOrEqual(t, clock.Since(set), 9*time.Second)
 	require.LessOrEqual(t, clock.Until(till), time.Second)
-	require.LessOrEqual(t, time.Until(clock.Timer(till)), time.Second, "a timer fires when the time is over")
-	require.True(t, clock.Timer(time.Time{}).IsZero())
-	clock.Look() // the kernel knows nothing of it
+	require.LessOrEqual(t, time.Until(clock.TimerDeadline(till)), time.Second, "a timer fires when the time is over")
+	require.True(t, clock.TimerDeadline(time.Time{}).IsZero())
+	clock.Refresh() // the kernel knows nothing of it
 	require.GreaterOrEqual(t, clock.Since(set), 9*time.Second, "it never steps back")
 }
 
@@ -53,6 +53,6 @@
 
 func BenchmarkLook(b *testing.B) {
 	for range b.N {
-		clock.Look()
+		clock.Refresh()
 	}
 }
--- a/internal/serving/finish.go
+++ b/internal/serving/finish.go
@@ -20,7 +20,7 @@
 // that moment, an entry cut the last chunk of a stream off that it had counted as answered, in
 // 1 of 80 stops with 20 streams each, ten test processes side by side.
 func Finish(s *http.Server, till time.Time) {
-	ctx, cancel := context.WithDeadline(context.Background(), clock.Timer(till))
+	ctx, cancel := context.WithDeadline(context.Background(), clock.TimerDeadline(till))
 	defer cancel()
 	_ = s.Shutdown(ctx) // what is not written by then is cut off by whoever closes the server
 }
--- a/transport/entry/chat.go
+++ b/transport/entry/chat.go
@@ -32,7 +32,7 @@
 	k.trace.Add(time.Now(), trace.Queued, "")
 	slot, err := e.admission.acquire(c.Request().Context(), m, e.localShare(m.MaxOpen), admit.Request{
 		Team: k.team.Name, Share: k.team.Share, Priority: k.team.Priority,
-		Deadline: clock.Timer(k.deadline), OpenLimit: e.localShare(k.team.MaxOpen),
+		Deadline: clock.TimerDeadline(k.deadline), OpenLimit: e.localShare(k.team.MaxOpen),
 	})
 	if err != nil {
 		return err
--- a/transport/entry/deadlines.go
+++ b/transport/entry/deadlines.go
@@ -26,7 +26,7 @@
 
 // add starts tracking a call and returns its context and the function that cancels it.
 func (d *deadlineTracker) add(ctx context.Context, k *call) (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithDeadline(ctx, clock.Timer(k.deadline))
+	ctx, cancel := context.WithDeadline(ctx, clock.TimerDeadline(k.deadline))
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.cancels == nil {
@@ -47,15 +47,15 @@
 func (d *deadlineTracker) run() {
 	t := time.NewTicker(suspensionCheckInterval)
 	defer t.Stop()
-	slept := clock.Slept()
+	slept := clock.Suspended()
 	for {
 		select {
 		case <-t.C:
-			clock.Look()
+			clock.Refresh()
 		case <-d.done.Done():
 			return
 		}
-		if now := clock.Slept(); now > slept {
+		if now := clock.Suspended(); now > slept {
 			slept = now
 			d.cancelExpired(clock.Now())
 		}
--- a/transport/entry/deadlines_test.go
+++ b/transport/entry/deadlines_test.go
@@ -26,7 +26,7 @@
 	require.Equal(t, http.StatusOK, resp.StatusCode)
 	_, err = io.ReadFull(resp.Body, make([]byte, 1)) // the stream has started
 	require.NoError(t, err)
-	t.Cleanup(clock.Suspend(time.Hour))
+	t.Cleanup(clock.SimulateSuspension(time.Hour))
 	body, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
 	require.Contains(t, string(body), "deadline_passed")
--- a/transport/entry/recover.go
+++ b/transport/entry/recover.go
@@ -81,7 +81,7 @@
 	}
 	now := time.Now()
 	d := m.entry.retryBudget.decide(retry.Query{
-		Now: now, Deadline: clock.Timer(m.deadline), Attempts: m.attempts,
+		Now: now, Deadline: clock.TimerDeadline(m.deadline), Attempts: m.attempts,
 		Resuming: len(m.machine.Emitted()) > 0, Rand: m.rand,
 	})
 	wait, ok := d.(retry.Wait)
--- a/transport/entry/service.go
+++ b/transport/entry/service.go
@@ -225,7 +225,7 @@
 	if s.sent && !s.repeatable || ctx.Err() != nil {
 		return s.finalError(refusal)
 	}
-	decision := s.entry.retryBudget.decide(retry.Query{Now: time.Now(), Deadline: clock.Timer(s.call.deadline), Attempts: s.attempts, Rand: rng})
+	decision := s.entry.retryBudget.decide(retry.Query{Now: time.Now(), Deadline: clock.TimerDeadline(s.call.deadline), Attempts: s.attempts, Rand: rng})
 	wait, ok := decision.(retry.Wait)
 	if !ok {
 		return s.finalError(refusal)
--- a/transport/forward/body.go
+++ b/transport/forward/body.go
@@ -36,7 +36,7 @@
 		return bodyTooLarge()
 	}
 	rc := http.NewResponseController(x.writer)
-	_ = rc.SetReadDeadline(clock.Timer(x.bodyDeadline())) // fails only for the writers of tests, which have no connection
+	_ = rc.SetReadDeadline(clock.TimerDeadline(x.bodyDeadline())) // fails only for the writers of tests, which have no connection
 	body := newBodyBuffer(x.request.ContentLength)
 	for {
 		n, err := x.request.Body.Read(body[len(body):cap(body)])
--- a/transport/forward/exchange.go
+++ b/transport/forward/exchange.go
@@ -81,7 +81,7 @@
 	defer x.dequeue()
 	x.losses = f.losses.Changed()
 	x.refusals = f.refusals.Changed()
-	x.resumed, x.suspended = f.resumed.Changed(), clock.Slept()
+	x.resumed, x.suspended = f.resumed.Changed(), clock.Suspended()
 	x.timing.start(x.route, x.service, x.begun)
 	x.start(x.begun)
 	x.loop()
--- a/transport/forward/forwarder.go
+++ b/transport/forward/forwarder.go
@@ -99,7 +99,7 @@
 	f.poller.forwarder = f
 	f.slowdowns.forwarder = f
 	f.startup.start(clock.Now())
-	f.suspended = clock.Slept()
+	f.suspended = clock.Suspended()
 	go f.run()
 }
 
@@ -137,7 +137,7 @@
 		}
 		select {
 		case <-sweeps.C:
-			clock.Look()
+			clock.Refresh()
 			f.pool.sweep(clock.Now())
 			f.inflight.sweep(f.Registry)
 		case <-dispatchTick:
--- a/transport/forward/reply.go
+++ b/transport/forward/reply.go
@@ -57,7 +57,7 @@
 }
 
 func (x *exchange) setWriteDeadline() {
-	err := http.NewResponseController(x.writer).SetWriteDeadline(clock.Timer(x.deadline.Add(writeGrace)))
+	err := http.NewResponseController(x.writer).SetWriteDeadline(clock.TimerDeadline(x.deadline.Add(writeGrace)))
 	if err != nil {
 		x.forwarder.log(event.CallerUnbounded, x.requestAttr(), slog.String("cause", err.Error()))
 	}
--- a/transport/forward/suspension.go
+++ b/transport/forward/suspension.go
@@ -11,7 +11,7 @@
 // checkSuspension notifies open requests and OnResume after the VM was suspended: their timers
 // stood still with it.
 func (f *Forwarder) checkSuspension(now time.Time) {
-	suspended := clock.Slept()
+	suspended := clock.Suspended()
 	if suspended == f.suspended {
 		return
 	}
@@ -26,7 +26,7 @@
 // suspended time. Silences don't: otherwise each request of the entry would be hedged at once, and
 // each engine reported as slow.
 func (x *exchange) checkSuspension(now time.Time) bool {
-	suspended := clock.Slept()
+	suspended := clock.Suspended()
 	if suspended == x.suspended {
 		return false
 	}
--- a/transport/front/resume.go
+++ b/transport/front/resume.go
@@ -14,7 +14,7 @@
 // received no endpoint records meanwhile, so endpoints whose records lapsed get the time to come
 // back. What was confirmed may have lapsed and is confirmed again.
 func (f *Front) handleResume(now time.Time) {
-	event.VMSuspended.Log(f.Logger, slog.Int64("suspended_ms", clock.Slept().Milliseconds()))
+	event.VMSuspended.Log(f.Logger, slog.Int64("suspended_ms", clock.Suspended().Milliseconds()))
 	f.endpoints.MarkOutage(now)
 	f.confirmer.Wake()
 	f.director.Wake()
