--- a/internal/serving/finish_test.go
+++ b/internal/serving/finish_test.go
@@ -67,7 +67,7 @@
 
 func (s *stopping) run() {
 	<-s.socket.reached
-	serving.Finish(s.server, time.Now().Add(time.Minute))
+	serving.Shutdown(s.server, time.Now().Add(time.Minute))
 	_ = s.server.Close()
 	close(s.socket.ended)
 }
--- a/transport/entry/entry.go
+++ b/transport/entry/entry.go
@@ -212,7 +212,7 @@
 	case <-waiter.done.Done():
 	case <-ctx.Done():
 	}
-	serving.Finish(&e.callerListener.server, clock.Now().Add(serving.LastBytes))
+	serving.Shutdown(&e.callerListener.server, clock.Now().Add(serving.FlushTimeout))
 	if unwritten := e.claims.Flush(ctx); unwritten > 0 {
 		event.ClaimOutcomeUnkept.Log(e.Logger, slog.Int("records", unwritten))
 	}
--- a/transport/front/stop.go
+++ b/transport/front/stop.go
@@ -49,11 +49,11 @@
 // finishResponses lets the server write the last bytes of responses whose requests are over, and
 // waits for those that are buffered for their callers, until the end of the entry at most.
 func (f *Front) finishResponses(limit time.Time) {
-	deadline := clock.Now().Add(serving.LastBytes)
+	deadline := clock.Now().Add(serving.FlushTimeout)
 	if limit.Before(deadline) {
 		deadline = limit
 	}
-	serving.Finish(&f.callers.server, deadline)
+	serving.Shutdown(&f.callers.server, deadline)
 	for f.memoryBudget.Held() > 0 && clock.Now().Before(limit) {
 		time.Sleep(stopPollInterval)
 	}
