--- a/explain/summary.go
+++ b/explain/summary.go
@@ -19,7 +19,7 @@
 // engines did not run what they were sent. Where calls to the platform were logged, it
 // tells what for and by which entries.
 type Summary struct {
-	spans   []Span
+	spans   []Interval
 	causes  []Tally
 	faults  []Tally
 	calls   []Tally
@@ -27,8 +27,8 @@
 	broken  []Tally
 }
 
-// Span is what happened in one span of time.
-type Span struct {
+// Interval is what happened in one span of time.
+type Interval struct {
 	From     time.Time
 	Sent     int // attempts
 	NotRun   int // of them, by the engines' own word
@@ -48,8 +48,8 @@
 	Count int
 }
 
-// Spans returns the spans in order of time.
-func (s *Summary) Spans() []Span { return s.spans }
+// Intervals returns the spans in order of time.
+func (s *Summary) Intervals() []Interval { return s.spans }
 
 // Causes returns how requests failed, the most frequent first.
 func (s *Summary) Causes() []Tally { return s.causes }
@@ -60,16 +60,16 @@
 // Calls returns the calls to the platform by what they asked for, the most frequent first.
 func (s *Summary) Calls() []Tally { return s.calls }
 
-// Callers returns the entries that made them, the busiest first.
-func (s *Summary) Callers() []Tally { return s.callers }
+// CallingEntries returns the entries that made them, the busiest first.
+func (s *Summary) CallingEntries() []Tally { return s.callers }
 
-// Broken returns the work whose sends broke at two endpoints or more, by fingerprint: the same
+// BrokenWork returns the work whose sends broke at two endpoints or more, by fingerprint: the same
 // request under any ID, at any entry. Count is the number of endpoints.
-func (s *Summary) Broken() []Tally { return s.broken }
+func (s *Summary) BrokenWork() []Tally { return s.broken }
 
 // Summarize adds up the lines of any number of entries.
 func Summarize(lines []Line, step time.Duration) *Summary {
-	spans := map[time.Time]*Span{}
+	spans := map[time.Time]*Interval{}
 	causes, faults := map[string]int{}, map[string]int{}
 	calls, callers := map[string]int{}, map[string]int{}
 	var broken breaks
@@ -85,7 +85,7 @@
 		}
 		from := l.Time.Truncate(step)
 		if spans[from] == nil {
-			spans[from] = &Span{From: from}
+			spans[from] = &Interval{From: from}
 		}
 		spans[from].add(l)
 		if c := failure(l); c != "" {
@@ -100,12 +100,12 @@
 	for _, p := range spans {
 		s.spans = append(s.spans, *p)
 	}
-	slices.SortFunc(s.spans, func(a, b Span) int { return a.From.Compare(b.From) })
+	slices.SortFunc(s.spans, func(a, b Interval) int { return a.From.Compare(b.From) })
 	return s
 }
 
 // add counts a line of a request or a call.
-func (p *Span) add(l *Line) {
+func (p *Interval) add(l *Line) {
 	switch l.Event {
 	case event.PlatformCalled.Number():
 		p.Calls++
--- a/explain/summary_test.go
+++ b/explain/summary_test.go
@@ -35,10 +35,10 @@
 	lines, err := explain.Read(strings.NewReader(outage))
 	require.NoError(t, err)
 	s := explain.Summarize(lines, 2*time.Second)
-	require.Len(t, s.Spans(), 2)
-	require.Equal(t, [2]int{2, 1}, [2]int{s.Spans()[0].Calls, s.Spans()[0].Failed})
+	require.Len(t, s.Intervals(), 2)
+	require.Equal(t, [2]int{2, 1}, [2]int{s.Intervals()[0].Calls, s.Intervals()[0].Failed})
 	require.Equal(t, []explain.Tally{{Name: "read config", Count: 2}, {Name: "watch servers", Count: 1}}, s.Calls())
-	require.Equal(t, []explain.Tally{{Name: "e", Count: 2}, {Name: "f", Count: 1}}, s.Callers())
+	require.Equal(t, []explain.Tally{{Name: "e", Count: 2}, {Name: "f", Count: 1}}, s.CallingEntries())
 	require.Contains(t, s.String(), "calls to the platform")
 }
 
@@ -46,8 +46,8 @@
 	lines, err := explain.Read(strings.NewReader(badHour))
 	require.NoError(t, err)
 	s := explain.Summarize(lines, 2*time.Second)
-	require.Len(t, s.Spans(), 2)
-	first, second := s.Spans()[0], s.Spans()[1]
+	require.Len(t, s.Intervals(), 2)
+	first, second := s.Intervals()[0], s.Intervals()[1]
 	require.Equal(t, 2, first.Sent)
 	require.Equal(t, 1, first.NotRun)
 	require.Zero(t, first.Answered)
@@ -62,7 +62,7 @@
 
 func TestASummaryOfNothingIsEmpty(t *testing.T) {
 	s := explain.Summarize(nil, time.Second)
-	require.Empty(t, s.Spans())
+	require.Empty(t, s.Intervals())
 	require.Contains(t, s.String(), "how requests failed")
 }
 
@@ -86,6 +86,6 @@
 	lines, err := explain.Read(strings.NewReader(brokenSends))
 	require.NoError(t, err)
 	s := explain.Summarize(lines, 2*time.Second)
-	require.Equal(t, []explain.Tally{{Name: "aa", Count: 2}}, s.Broken())
+	require.Equal(t, []explain.Tally{{Name: "aa", Count: 2}}, s.BrokenWork())
 	require.Contains(t, s.String(), "broke at several endpoints")
 }
