--- a/transport/relay/follower.go
+++ b/transport/relay/follower.go
@@ -227,4 +227,4 @@
 }
 
 // errExceedsFrame says that the changes which a follower lacks do not fit into one frame.
-var errExceedsFrame = errors.New("the missing changes exceed one frame; the follower must list again")
+var errExceedsFrame = errors.New("the follower lacks more than a frame holds; it has to list")
