--- a/transport/front/dependencies.go
+++ b/transport/front/dependencies.go
@@ -26,12 +26,12 @@
 type Objects interface {
 	watch.Source
 	director.Objects
-	// ListLately returns the objects of a kind as the platform held them some seconds ago.
-	ListLately(ctx context.Context, kind string) (protocol.Listing, error)
-	// PageLately returns the first page of ListLately that follows a name.
-	PageLately(ctx context.Context, kind, after string) (protocol.Page, error)
-	// GetLately returns an object as the platform held it some seconds ago.
-	GetLately(ctx context.Context, kind, name string) (protocol.Object, error)
+	// ListStale returns the objects of a kind as the platform held them some seconds ago.
+	ListStale(ctx context.Context, kind string) (protocol.Listing, error)
+	// PageStale returns the first page of ListLately that follows a name.
+	PageStale(ctx context.Context, kind, after string) (protocol.Page, error)
+	// GetStale returns an object as the platform held it some seconds ago.
+	GetStale(ctx context.Context, kind, name string) (protocol.Object, error)
 	// Delete removes an object if its version is the known one.
 	Delete(ctx context.Context, kind, name string, known uint64) error
 }
--- a/transport/front/registration.go
+++ b/transport/front/registration.go
@@ -106,7 +106,7 @@
 		r.updateCount(now)
 		return now.Add(sharedReadInterval)
 	}
-	list, err := r.front.Dependencies.Objects.ListLately(ctx, entryKind)
+	list, err := r.front.Dependencies.Objects.ListStale(ctx, entryKind)
 	if err != nil {
 		r.front.platformFailed("entries", err)
 		return now.Add(registrationRetryDelay)
--- a/transport/front/registration_test.go
+++ b/transport/front/registration_test.go
@@ -87,11 +87,11 @@
 	return l, nil
 }
 
-func (s *lateStore) ListLately(ctx context.Context, kind string) (protocol.Listing, error) {
+func (s *lateStore) ListStale(ctx context.Context, kind string) (protocol.Listing, error) {
 	return s.List(ctx, kind)
 }
 
-func (s *lateStore) PageLately(ctx context.Context, kind, after string) (protocol.Page, error) {
+func (s *lateStore) PageStale(ctx context.Context, kind, after string) (protocol.Page, error) {
 	l, err := s.List(ctx, kind)
 	l.Objects = slices.DeleteFunc(l.Objects, func(o protocol.Object) bool { return o.Name <= after })
 	return protocol.Page{Listing: l}, err
@@ -107,7 +107,7 @@
 	return protocol.Object{}, platform.NewNotFound(kind, name)
 }
 
-func (s *lateStore) GetLately(ctx context.Context, kind, name string) (protocol.Object, error) {
+func (s *lateStore) GetStale(ctx context.Context, kind, name string) (protocol.Object, error) {
 	return s.Get(ctx, kind, name)
 }
 
--- a/transport/front/search.go
+++ b/transport/front/search.go
@@ -33,7 +33,7 @@
 	}
 	before := len(s.objects)
 	for {
-		p, err := objects.PageLately(ctx, entryKind, s.after)
+		p, err := objects.PageStale(ctx, entryKind, s.after)
 		if err != nil {
 			return protocol.Listing{}, false, err
 		}
--- a/transport/front/search_test.go
+++ b/transport/front/search_test.go
@@ -33,11 +33,11 @@
 	return s.lateStore.List(ctx, kind)
 }
 
-func (s *pagedStore) ListLately(ctx context.Context, kind string) (protocol.Listing, error) {
+func (s *pagedStore) ListStale(ctx context.Context, kind string) (protocol.Listing, error) {
 	return s.List(ctx, kind)
 }
 
-func (s *pagedStore) PageLately(_ context.Context, _, after string) (protocol.Page, error) {
+func (s *pagedStore) PageStale(_ context.Context, _, after string) (protocol.Page, error) {
 	s.pages++
 	p := protocol.Page{Listing: protocol.Listing{Revision: uint64(100 - s.pages)}}
 	for _, o := range s.records {
--- a/transport/front/seed_entries.go
+++ b/transport/front/seed_entries.go
@@ -66,7 +66,7 @@
 		return protocol.Listing{}, nil
 	}
 	objects := r.front.Dependencies.Objects
-	own, err := objects.GetLately(ctx, entryKind, r.front.Settings.Name)
+	own, err := objects.GetStale(ctx, entryKind, r.front.Settings.Name)
 	var missing *platform.NotFound
 	if err != nil && !errors.As(err, &missing) {
 		return protocol.Listing{}, err
@@ -75,7 +75,7 @@
 	if err == nil {
 		list.Objects = append(list.Objects, own)
 	}
-	o, err := objects.GetLately(ctx, seedEntriesKind, seedEntriesName)
+	o, err := objects.GetStale(ctx, seedEntriesKind, seedEntriesName)
 	if errors.As(err, &missing) {
 		return protocol.Listing{}, nil
 	}
