--- a/command/front.go
+++ b/command/front.go
@@ -50,7 +50,7 @@
 	writer.Start()
 	defer func() { writer.Close(time.Now().Add(logsBy)) }()
 	logger := slog.New(logs.NewHandler(writer, logLevel(s.LogLevel))).With(slog.String("entry", s.Name))
-	f := &front.Front{Settings: s, Dependencies: platform.Outside(s.Store, counters, logger), Counters: counters, Logger: logger}
+	f := &front.Front{Settings: s, Dependencies: platform.NewDependencies(s.Store, counters, logger), Counters: counters, Logger: logger}
 	if err := f.Start(); err != nil {
 		return o.fail(exitFailed, fmt.Errorf("the entry can't start: %w; check the addresses in its settings", err))
 	}
