--- a/deployed_test.go
+++ b/deployed_test.go
@@ -46,7 +46,7 @@
 func newMachineOf(t *testing.T, binary, name, store string, memoryMB int) *machine {
 	t.Helper()
 	m := &machine{t: t, binary: binary, address: platformtest.FreeAddress(), ready: platformtest.FreeAddress()}
-	text := platformtest.Settings(t, ".", map[string]any{
+	text := platformtest.RenderSettings(t, ".", map[string]any{
 		"node_name": name, "zone": "a", "zones": map[string]string{"a": "east"}, "ip": "127.0.0.1", "listen.front": m.address, "listen.readiness": m.ready,
 		"platform.address": store, "bounds.grace_s": 8, "bounds.revoke_ms": 5000, "bounds.retry_budget_ratio": 0.2,
 		"bounds.retry_budget_slack": 200, "bounds.budget_window_s": 10, "limits.memory_mb": memoryMB, "limits.max_fds": 8192, "internal_ports.0": platformtest.FreePort(),
@@ -115,7 +115,7 @@
 // killed and comes back, and one is stopped while a stream is open.
 func TestADayOfTheDeployedForm(t *testing.T) {
 	store := platformtest.NewStore(t)
-	store.Put("config", "main", platformtest.Table(1, "key", "old"))
+	store.Put("config", "main", platformtest.RoutingTable(1, "key", "old"))
 	record := func(e *platformtest.Endpoint, service, state string, from, to int) {
 		store.Put("servers", e.ID, map[string]any{
 			"service": service, "address": e.Address(), "zone": "a", "slots": 8, "state": state, "route_type": "t4",
@@ -130,7 +130,7 @@
 	for i := range 3 {
 		e := platformtest.NewEngine(t, fmt.Sprint("e-", i))
 		engines = append(engines, e)
-		e.OnSpan(func(from, to int) { record(e, "llm", "ready", from, to) })
+		e.OnLayersChange(func(from, to int) { record(e, "llm", "ready", from, to) })
 		record(e, "llm", "ready", 0, 0)
 	}
 	binary := platformtest.Build(t, ".")
@@ -149,7 +149,7 @@
 	}
 
 	t.Log("a table takes a key away")
-	store.Put("config", "main", platformtest.Table(2, "key"))
+	store.Put("config", "main", platformtest.RoutingTable(2, "key"))
 	for _, m := range []*machine{one, two} {
 		m.until(func() bool {
 			status, _, _ := m.ask(http.MethodGet, "/again/x", "old-key", "old")
@@ -162,14 +162,14 @@
 	for _, m := range []*machine{one, two} {
 		m.until(func() bool { return m.logged("endpoint leaving") }, "the news is in")
 	}
-	before := len(services[0].Ran())
+	before := len(services[0].Started())
 	for i := range 10 {
 		status, body, err := one.ask(http.MethodPost, "/once/x", fmt.Sprint("once-", i), "key")
 		require.NoError(t, err)
 		require.Equal(t, http.StatusOK, status)
 		require.Equal(t, "answer of s-1", body)
 	}
-	require.Len(t, services[0].Ran(), before)
+	require.Len(t, services[0].Started(), before)
 
 	t.Log("the settings file changes, once with a mistake")
 	good := read(t, one.file)
@@ -196,7 +196,7 @@
 	}
 	runs := func() (n int) {
 		for _, e := range engines {
-			n += len(e.Ran())
+			n += len(e.Started())
 		}
 		return n
 	}
@@ -227,7 +227,7 @@
 	t.Helper()
 	ran := map[string]int{}
 	for _, e := range endpoints {
-		for _, r := range e.Ran() {
+		for _, r := range e.Started() {
 			if strings.HasPrefix(r.ID, prefix) {
 				ran[r.ID]++
 			}
--- a/slow_callers_test.go
+++ b/slow_callers_test.go
@@ -47,7 +47,7 @@
 // long as was looked (4 s), where 46 MB are allowed with all else that is held.
 func TestTwoThousandCallersThatReadNothing(t *testing.T) {
 	store := platformtest.NewStore(t)
-	table := platformtest.Table(1, "key")
+	table := platformtest.RoutingTable(1, "key")
 	table["tenants"] = []any{
 		map[string]any{"name": "crowd", "api_keys": []string{"key"}}, map[string]any{"name": "other", "api_keys": []string{"other"}},
 	}
@@ -74,7 +74,7 @@
 	alone := m.streams(t, whole)
 
 	for _, e := range engines {
-		e.Lengthen(crowdEvents, crowdFilling)
+		e.SetResponseSize(crowdEvents, crowdFilling)
 	}
 	samples := m.sampleMemory(engines)
 	for i := range crowd {
@@ -87,7 +87,7 @@
 	}
 	m.until(func() bool { return reached(engines) > crowd*9/10 }, "the crowd's requests run")
 	for _, e := range engines {
-		e.Lengthen(0, 0)
+		e.SetResponseSize(0, 0)
 	}
 	beside := m.streams(t, whole)
 	m.until(func() bool {
@@ -174,7 +174,7 @@
 func reached(engines []*platformtest.Endpoint) int {
 	n := 0
 	for _, e := range engines {
-		n += e.Reached()
+		n += e.ReceivedCount()
 	}
 	return n
 }
--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -199,7 +199,7 @@
 func streamOf(events, size int) string {
 	var all strings.Builder
 	for n := range events {
-		all.WriteString(platformtest.LongEvent(n+1, size))
+		all.WriteString(platformtest.PaddedEvent(n+1, size))
 	}
 	return all.String()
 }
--- a/soak/calm_test.go
+++ b/soak/calm_test.go
@@ -121,7 +121,7 @@
 				}
 			}
 		}
-		for _, r := range old.Came() {
+		for _, r := range old.Received() {
 			if r.At.After(late) {
 				w.problem("%s reached %s %v after it said that it leaves", r.ID, old.ID, r.At.Sub(old.leaving))
 			}
@@ -145,7 +145,7 @@
 	e := w.entries[0]
 	running := func() (n int) {
 		for _, p := range w.live(true) {
-			n += len(p.Ran())
+			n += len(p.Started())
 		}
 		return n
 	}
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -79,7 +79,7 @@
 // arrival is one request that came to an endpoint.
 type arrival struct {
 	endpoint *endpoint
-	request  platformtest.Ran
+	request  platformtest.Request
 	run      bool // it was begun there
 }
 
@@ -88,10 +88,10 @@
 	all := map[string][]arrival{}
 	for _, e := range w.all() {
 		begun := map[time.Time]bool{}
-		for _, r := range e.Ran() {
+		for _, r := range e.Started() {
 			begun[r.At] = true
 		}
-		for _, r := range e.Came() {
+		for _, r := range e.Received() {
 			all[r.ID] = append(all[r.ID], arrival{endpoint: e, request: r, run: begun[r.At]})
 		}
 	}
@@ -149,7 +149,7 @@
 // checkMoves checks that orders to change a path concern requests that callers sent.
 func (w *world) checkMoves(calls []*call) {
 	for _, e := range w.all() {
-		for _, m := range e.Moves() {
+		for _, m := range e.PathChanges() {
 			w.checkPath(m.ID, e, m.Path)
 			if !slices.ContainsFunc(calls, func(c *call) bool { return c.id == m.ID }) {
 				w.problem("%q was asked by nobody and ordered over the path %q at %s", m.ID, m.Path, e.ID)
--- a/soak/deadly_test.go
+++ b/soak/deadly_test.go
@@ -67,10 +67,10 @@
 
 // endUnder makes an engine end under that work and come back empty, in its next life.
 func (w *world) endUnder(e *endpoint) {
-	e.EndUnder(bodyOf(deadlyWork), deadlyAway, func() {
+	e.CrashOn(bodyOf(deadlyWork), deadlyAway, func() {
 		e.mutex.Lock()
 		e.span = [2]int{}
-		if born, ok := e.Born().(int64); ok {
+		if born, ok := e.Incarnation().(int64); ok {
 			e.born = born
 		}
 		e.mutex.Unlock()
@@ -82,7 +82,7 @@
 func (w *world) deadlyRan() int {
 	n := 0
 	for _, e := range w.all() {
-		n += e.Ended()
+		n += e.Crashes()
 	}
 	return n
 }
--- a/soak/endpoint_test.go
+++ b/soak/endpoint_test.go
@@ -54,7 +54,7 @@
 	} else {
 		e.Endpoint = platformtest.NewService(w.t, id)
 	}
-	e.LengthenOnly(longEnding, longEvents, longFilling)
+	e.SetResponseSizeFor(longEnding, longEvents, longFilling)
 	if e.link == nil {
 		e.link = newProxy(w.t, e.Address())
 	} else {
@@ -63,7 +63,7 @@
 	if e.engine {
 		w.endUnder(e)
 	}
-	e.OnSpan(func(from, to int) { w.hold(e, from, to) })
+	e.OnLayersChange(func(from, to int) { w.hold(e, from, to) })
 	w.record(e, "ready")
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/soak/entry_test.go
+++ b/soak/entry_test.go
@@ -40,7 +40,7 @@
 	e := &entry{world: w, name: name, center: center, ready: platformtest.FreeAddress(), store: newProxy(w.t, w.store.Address())}
 	callers := platformtest.FreeAddress()
 	e.callers = newProxy(w.t, callers)
-	text := platformtest.Settings(w.t, "..", map[string]any{
+	text := platformtest.RenderSettings(w.t, "..", map[string]any{
 		"node_name": name, "zone": center, "zones": map[string]string{"a": "east", "b": "west"}, "ip": "127.0.0.1", "listen.front": callers, "listen.readiness": e.ready,
 		"platform.address": e.store.address(), "bounds.grace_s": stopWithin.Seconds(), "bounds.revoke_ms": keyWithdrawn.Milliseconds(),
 		"bounds.retry_budget_ratio": retryShare, "bounds.retry_budget_slack": retrySlack,
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -104,15 +104,15 @@
 
 func (s *series) disturbStore() {
 	faults := []platformtest.StoreFaults{
-		{Down: true}, {Silent: true}, {LoseWrites: true}, {Slow: 300 * time.Millisecond}, {Slow: 1200 * time.Millisecond}, {Deaf: true},
+		{Down: true}, {Silent: true}, {LoseWriteResponses: true}, {Slow: 300 * time.Millisecond}, {Slow: 1200 * time.Millisecond}, {StalledWatches: true},
 	}
 	n := s.draw.IntN(len(faults))
 	s.storm.tell([]string{"store down", "store silent", "store loses answers", "store slow", "store very slow", "store deaf"}[n])
 	store := s.storm.world.store
 	store.Fail(faults[n])
-	if faults[n].Deaf {
+	if faults[n].StalledWatches {
 		s.pause(100, 1000) // watches hear nothing for a second at most, then the history goes
-		store.Forget()
+		store.Compact()
 	} else {
 		s.last()
 	}
@@ -156,8 +156,8 @@
 
 func (s *series) failEndpoint() {
 	faults := []platformtest.Fault{
-		platformtest.Refuses, platformtest.Hangs, platformtest.Cuts, platformtest.Fails, platformtest.Unsigned,
-		platformtest.OtherID, platformtest.Extra, platformtest.Closes, platformtest.Pauses,
+		platformtest.Refuses, platformtest.Hangs, platformtest.Truncates, platformtest.Fails, platformtest.Unsigned,
+		platformtest.WrongRequestID, platformtest.ExtraResponse, platformtest.ClosesConnection, platformtest.Pauses,
 	}
 	e := s.endpoint()
 	n := s.draw.IntN(len(faults))
--- a/soak/world_test.go
+++ b/soak/world_test.go
@@ -93,7 +93,7 @@
 func (w *world) putTable() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.store.Put("config", "main", platformtest.Table(w.version, w.keys...))
+	w.store.Put("config", "main", platformtest.RoutingTable(w.version, w.keys...))
 }
 
 // changeTable writes a newer table, with other keys.
--- a/transport/entry/service_test.go
+++ b/transport/entry/service_test.go
@@ -25,7 +25,7 @@
 	const idle = 8
 	respond := make(chan struct{})
 	arrived := make(chan struct{}, idle)
-	listener := &platformtest.Hush{Listener: platformtest.Listen()}
+	listener := &platformtest.SilentListener{Listener: platformtest.Listen()}
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/wait" {
 			arrived <- struct{}{}
