--- a/transport/engine/client.go
+++ b/transport/engine/client.go
@@ -118,6 +118,7 @@
 	return unsent
 }
 
+// dequeue removes the steps of a request from the queue.
 func (c *Client) dequeue(id protocol.RequestID) {
 	kept := c.queue[:0]
 	for _, s := range c.queue {
@@ -128,6 +129,7 @@
 	c.queue = kept
 }
 
+// wakeUp signals that there is something to send.
 func (c *Client) wakeUp() {
 	select {
 	case c.wake <- struct{}{}:
@@ -230,6 +232,7 @@
 	return socket.Write(ctx, websocket.MessageBinary, b)
 }
 
+// nextFrame takes the next frame from the queue and marks its steps as sent.
 func (c *Client) nextFrame() protocol.StepFrame {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -255,6 +258,7 @@
 	c.failPending()
 }
 
+// failPending clears the queue and delivers ConnectionLost to every pending request.
 func (c *Client) failPending() {
 	c.mutex.Lock()
 	pending := c.pending
@@ -298,6 +302,7 @@
 	}
 }
 
+// applyReport applies a load report to the runner, and counts a report that the runner rejects.
 func (c *Client) applyReport(l protocol.LoadReport) {
 	fault := c.Runner.Report(l, time.Now())
 	if fault == fleet.ReportAccepted {
