--- a/transport/front/callers.go
+++ b/transport/front/callers.go
@@ -63,18 +63,18 @@
 func (c *callerServer) run() { _ = c.server.Serve(c.memoryBudget.NewListener(c.socket)) }
 
 // connStateChanged keeps track of the open and the idle connections.
-func (c *callerServer) connStateChanged(n net.Conn, state http.ConnState) {
+func (c *callerServer) connStateChanged(conn net.Conn, state http.ConnState) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	delete(c.idle, n)
-	delete(c.awaitingHeader, n)
+	delete(c.idle, conn)
+	delete(c.awaitingHeader, conn)
 	switch state {
 	case http.StateNew:
 		c.open++
-		c.awaitingHeader[n] = time.Now()
-		c.closeExcess(n)
+		c.awaitingHeader[conn] = time.Now()
+		c.closeExcess(conn)
 	case http.StateIdle:
-		c.idle[n] = time.Now()
+		c.idle[conn] = time.Now()
 	case http.StateClosed, http.StateHijacked:
 		c.open--
 	}
@@ -88,9 +88,9 @@
 	}
 	oldest, oldestSince := newest, c.awaitingHeader[newest]
 	for _, conns := range []map[net.Conn]time.Time{c.awaitingHeader, c.idle} {
-		for n, since := range conns {
+		for conn, since := range conns {
 			if since.Before(oldestSince) {
-				oldest, oldestSince = n, since
+				oldest, oldestSince = conn, since
 			}
 		}
 	}
@@ -98,10 +98,10 @@
 }
 
 // closeConn closes a connection that has no request open. The mutex is held.
-func (c *callerServer) closeConn(n net.Conn) {
-	_ = n.Close()
-	delete(c.idle, n)
-	delete(c.awaitingHeader, n)
+func (c *callerServer) closeConn(conn net.Conn) {
+	_ = conn.Close()
+	delete(c.idle, conn)
+	delete(c.awaitingHeader, conn)
 	c.counters.Add(metric.ConnectionsClosed, 1)
 }
 
@@ -112,28 +112,28 @@
 	limits := c.limits()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for n, since := range c.idle {
+	for conn, since := range c.idle {
 		if limits.IdleMS > 0 && now.After(limits.IdleBy(since).Add(idleSlack)) {
-			c.closeConn(n)
+			c.closeConn(conn)
 		}
 	}
-	for n, since := range c.awaitingHeader {
-		if c.headerOverdue(n, &limits, since, now) {
-			c.closeConn(n)
+	for conn, since := range c.awaitingHeader {
+		if c.headerOverdue(conn, &limits, since, now) {
+			c.closeConn(conn)
 		}
 	}
 }
 
 // headerOverdue reports whether a connection has sent no complete header for too long. A connection
 // that has sent nothing at all is idle, as between two requests.
-func (c *callerServer) headerOverdue(n net.Conn, l *protocol.CallerLimits, since, now time.Time) bool {
-	idleDeadline := l.IdleBy(since)
-	if b, ok := n.(*backlog.Conn); ok {
+func (c *callerServer) headerOverdue(conn net.Conn, limits *protocol.CallerLimits, since, now time.Time) bool {
+	idleDeadline := limits.IdleBy(since)
+	if b, ok := conn.(*backlog.Conn); ok {
 		if headerStart := b.FirstByteAt(); !headerStart.IsZero() {
-			return l.HeaderMS > 0 && now.After(l.HeaderBy(headerStart).Add(idleSlack))
+			return limits.HeaderMS > 0 && now.After(limits.HeaderBy(headerStart).Add(idleSlack))
 		}
 	}
-	return l.IdleMS > 0 && now.After(idleDeadline.Add(idleSlack))
+	return limits.IdleMS > 0 && now.After(idleDeadline.Add(idleSlack))
 }
 
 // close closes every connection at once.
--- a/transport/front/dependencies.go
+++ b/transport/front/dependencies.go
@@ -48,6 +48,8 @@
 
 // Decoder decodes the objects of the platform.
 type Decoder interface {
+	// Routing decodes a routing table.
 	Routing(o protocol.Object) (protocol.Routing, error)
+	// Endpoint decodes an endpoint record.
 	Endpoint(o protocol.Object) (protocol.Endpoint, error)
 }
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -102,26 +102,52 @@
 	f.memoryBudget.Counters, f.memoryBudget.Logger = f.Counters, f.Logger
 	f.memoryBudget.SetLimit(s.BufferLimitBytes())
 	f.forwarder = forward.Forwarder{
-		Entry: local, Routing: &f.routing, Registry: &f.endpoints, Headers: f.Dependencies.Headers, Reporter: f.Dependencies.Engines,
-		Counters: f.Counters, Logger: f.Logger,
-		KeysTrustedUntil: s.KeyUsableUntil, ReportLoss: f.source.ReportLoss, ReportAddressOwner: f.source.ReportAddressOwner, MemoryBudget: &f.memoryBudget, ReportSlowdown: f.source.ReportSlowdown,
-		Quarantine: f.source.Quarantine(), OnResume: f.handleResume,
+		Entry:              local,
+		Routing:            &f.routing,
+		Registry:           &f.endpoints,
+		Headers:            f.Dependencies.Headers,
+		Reporter:           f.Dependencies.Engines,
+		Counters:           f.Counters,
+		Logger:             f.Logger,
+		KeysTrustedUntil:   s.KeyUsableUntil,
+		ReportLoss:         f.source.ReportLoss,
+		ReportAddressOwner: f.source.ReportAddressOwner,
+		MemoryBudget:       &f.memoryBudget,
+		ReportSlowdown:     f.source.ReportSlowdown,
+		Quarantine:         f.source.Quarantine(),
+		OnResume:           f.handleResume,
 	}
 	if s.ChangePaths {
 		f.forwarder.PathChanger = f.Dependencies.Engines
 	}
 	f.forwarder.InitRetryBudget(forward.RetryBudget{Share: s.RetryShare * ownRetryShare, Slack: s.RetrySlack, WindowEnd: s.RetryWindow}, census.DefaultCount, clock.Now())
 	f.director = director.Director{
-		Self: s.Name, LeaseKind: coordinationKind, Routing: &f.routing, Registry: &f.endpoints, Engines: f.Dependencies.Engines,
-		Objects: f.Dependencies.Objects, EntryCount: f.watcherCount, Following: f.source.Following, HasFollowers: f.source.Followed, Counters: f.Counters, Logger: f.Logger,
+		Self:          s.Name,
+		LeaseKind:     coordinationKind,
+		Routing:       &f.routing,
+		Registry:      &f.endpoints,
+		Engines:       f.Dependencies.Engines,
+		Objects:       f.Dependencies.Objects,
+		EntryCount:    f.watcherCount,
+		Following:     f.source.Following,
+		HasFollowers:  f.source.Followed,
+		Counters:      f.Counters,
+		Logger:        f.Logger,
 		OnMisdirected: f.handleMisdirected,
 	}
 	f.source = relay.Source{
-		Platform: f.Dependencies.Objects,
-		Self:     protocol.EntryRecord{Name: s.Name, DataCenter: s.DataCenter, MemoryMB: s.MemoryMB},
-		Kinds:    []string{f.Dependencies.RoutingKind, f.Dependencies.EndpointKind, entryKind, coordinationKind}, ConfirmedKind: f.Dependencies.RoutingKind, ConfirmedName: f.Dependencies.RoutingName,
-		Counters: f.Counters, Logger: f.Logger, OnPlatformFailure: f.endpoints.MarkOutage,
-		EndpointCount: f.endpoints.Count, OnLossChange: f.applyLossChange, Incarnation: f.endpoints.Incarnation, OnSlownessChange: f.applySlownessChange,
+		Platform:          f.Dependencies.Objects,
+		Self:              protocol.EntryRecord{Name: s.Name, DataCenter: s.DataCenter, MemoryMB: s.MemoryMB},
+		Kinds:             []string{f.Dependencies.RoutingKind, f.Dependencies.EndpointKind, entryKind, coordinationKind},
+		ConfirmedKind:     f.Dependencies.RoutingKind,
+		ConfirmedName:     f.Dependencies.RoutingName,
+		Counters:          f.Counters,
+		Logger:            f.Logger,
+		OnPlatformFailure: f.endpoints.MarkOutage,
+		EndpointCount:     f.endpoints.Count,
+		OnLossChange:      f.applyLossChange,
+		Incarnation:       f.endpoints.Incarnation,
+		OnSlownessChange:  f.applySlownessChange,
 	}
 }
 
--- a/transport/front/gauges.go
+++ b/transport/front/gauges.go
@@ -50,6 +50,7 @@
 	return all
 }
 
+// add adds an endpoint to the totals.
 func (g *endpointGroup) add(e *protocol.EndpointStatus) {
 	at := slices.IndexFunc(g.states, func(c stateCount) bool { return c.state == e.State })
 	if at < 0 {
--- a/transport/front/refusals.go
+++ b/transport/front/refusals.go
@@ -164,6 +164,7 @@
 	w.writeAt = clock.Now().Add(writeRetryDelay + rand.N(r.spreadOverEntries()))
 }
 
+// storedVersion returns the version of the refusal that the platform holds, 0 if none is known.
 func (r *refusals) storedVersion(work protocol.Fingerprint) uint64 {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -289,6 +290,7 @@
 	}
 }
 
+// deleteRefusal removes a refusal from the platform if its version is still the known one.
 func (r *refusals) deleteRefusal(work protocol.Fingerprint, version uint64) {
 	ctx, cancel := context.WithTimeout(context.Background(), refusalCallTimeout)
 	defer cancel()
--- a/transport/front/registration.go
+++ b/transport/front/registration.go
@@ -88,6 +88,7 @@
 	return earlier(r.nextRead, r.renewAt)
 }
 
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -131,8 +132,8 @@
 		return
 	}
 	r.writeSeedEntries(ctx, relay.SeedEntries(records))
-	for _, old := range r.census.Stale(now) {
-		if err := r.front.Dependencies.Objects.Delete(ctx, entryKind, old.Name(), old.Version()); err != nil {
+	for _, stale := range r.census.Stale(now) {
+		if err := r.front.Dependencies.Objects.Delete(ctx, entryKind, stale.Name(), stale.Version()); err != nil {
 			r.front.platformFailed("entries", err)
 		}
 	}
--- a/transport/front/startup_test.go
+++ b/transport/front/startup_test.go
@@ -41,7 +41,7 @@
 // table and the endpoints arrive some milliseconds before the platform confirms that no key was
 // withdrawn since; callers with keys would be refused in between.
 func TestStartupWaitsForKeyConfirmation(t *testing.T) {
-	for hasKeys, waits := range map[bool]bool{true: true, false: false} {
+	for hasKeys, wantWait := range map[bool]bool{true: true, false: false} {
 		synctest.Test(t, func(t *testing.T) {
 			table := protocol.Routing{Version: 1}
 			if hasKeys {
@@ -60,7 +60,7 @@
 			tables := &routingSink{front: f}
 			tables.Listed([]protocol.Object{{Name: "main", Version: 1}}, now)
 			synctest.Wait()
-			require.Equal(t, waits, !c.done, "has keys: %v", hasKeys)
+			require.Equal(t, wantWait, !c.done, "has keys: %v", hasKeys)
 			tables.Confirmed(now)
 			synctest.Wait()
 			require.True(t, c.done)
--- a/transport/front/stop.go
+++ b/transport/front/stop.go
@@ -47,7 +47,7 @@
 }
 
 // finishResponses lets the server write the last bytes of responses whose requests are over, and
-// waits for those that are buffered for their callers, until the end of the entry at most.
+// waits until no response is buffered for a caller, until limit at most.
 func (f *Front) finishResponses(limit time.Time) {
 	deadline := clock.Now().Add(serving.FlushTimeout)
 	if limit.Before(deadline) {
@@ -59,6 +59,7 @@
 	}
 }
 
+// close stops every component.
 func (f *Front) close() {
 	f.done.Close()
 	for _, w := range f.watchers {
