--- a/transport/director/director.go
+++ b/transport/director/director.go
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package director gives engines their orders, from one entry at a time.
+// Package director assigns layers to engines, from one entry at a time.
 //
-// Every entry works out the same wanted moves from what it believes. The one
-// that holds the lease gives the orders; the others look at the lease only while
-// there is work to do, so that a calm fleet costs the platform nothing. Orders
-// name the wanted state and how many orders the engine is expected to have
-// taken: an order that lands late, after others or on an engine that has
-// restarted, is refused there. An engine is asked how it stands before each
-// order, and what it holds afterwards is seen in its own record.
+// Every entry computes the same wanted reassignments from its own view of the fleet. Only the entry
+// that holds the lease sends the orders. The others read the lease only while there is work, so
+// that an idle fleet causes no calls to the platform.
+//
+// An order names the wanted layers and the number of orders that the engine is expected to have
+// accepted. The engine refuses an order that arrives late, after other orders or after a restart of
+// the engine. The director asks an engine for a report before each order. The result shows in the
+// engine's own record.
 package director
 
 import (
@@ -28,40 +29,44 @@
 )
 
 const (
-	// lookEvery is how often it is looked whether something has changed, and
-	// lookAnyway how often the urgent moves are worked out although nothing has: an
-	// engine may have been found lost.
-	lookEvery  = 100 * time.Millisecond
-	lookAnyway = 500 * time.Millisecond
-	// improveEvery is how often improvements are worked out while things change. It takes
-	// some ten ms for a data center of thirteen engines.
-	improveEvery = time.Second
-	// stagger spreads the entries' attempts to take the lease, for each entry, so
-	// that one write is made where all see the same work.
-	stagger = 60 * time.Millisecond
-	// followerRest is how much later an entry that learns through a peer tries: the
-	// peers know sooner, and most work is done by then. followedRest is that of one which
-	// others follow in turn, the first of its data center.
-	followerRest = 2 * time.Second
-	followedRest = 400 * time.Millisecond
-	// askLimit bounds one round with an engine, and one with the platform for the
-	// lease: both answer in some ms.
-	askLimit = time.Second
+	// checkInterval is the time between two checks whether anything has changed. recheckInterval is
+	// the time after which urgent reassignments are computed even if nothing has: an engine may
+	// have been found lost.
+	checkInterval   = 100 * time.Millisecond
+	recheckInterval = 500 * time.Millisecond
+	// improveInterval is the least time between two computations of improvements while the fleet
+	// changes. One takes some 10 ms for a data center of 13 engines.
+	improveInterval = time.Second
+	// staggerPerEntry spreads the entries' attempts to acquire the lease. It is multiplied by the
+	// number of entries, so that one write is made where all entries see the same work.
+	staggerPerEntry = 60 * time.Millisecond
+	// followerDelay is how much later an entry that follows a peer attempts to acquire the lease.
+	// The peers learn of changes sooner and have done most of the work by then. followedDelay is
+	// the delay of a follower that other entries follow in turn, the first one of its data center.
+	followerDelay = 2 * time.Second
+	followedDelay = 400 * time.Millisecond
+	// callTimeout bounds one exchange with an engine, and one with the platform for the lease. Both
+	// answer within some milliseconds.
+	callTimeout = time.Second
 )
 
-// Engines is the way to the engines.
+// Engines sends requests to engines.
 type Engines interface {
+	// Report returns the state of the engine at an address.
 	Report(ctx context.Context, address string) (protocol.EngineReport, error)
+	// Place sends an order and returns how the engine answered.
 	Place(ctx context.Context, o protocol.PlacementOrder) (protocol.OrderAnswer, error)
 }
 
-// Objects is the platform as far as the lease needs it.
+// Objects is the part of the platform's object store that the lease needs.
 type Objects interface {
+	// Get returns an object, or *platform.NotFound.
 	Get(ctx context.Context, kind, name string) (protocol.Object, error)
+	// Put writes an object whose version is still known, 0 to create it, and returns the new version.
 	Put(ctx context.Context, kind, name string, known uint64, value []byte) (uint64, error)
 }
 
-// Director gives the orders of one entry. Set the exported fields before Start.
+// Director plans and sends the orders of one entry. Set the exported fields before Start.
 type Director struct {
 	Self         string
 	LeaseKind    string
@@ -69,175 +74,176 @@
 	Registry     *registry.Registry
 	Engines      Engines
 	Objects      Objects
-	EntryCount   func() int  // how many entries may try alike
-	Following    func() bool // whether this entry learns through a peer, nil for never
-	HasFollowers func() bool // whether others learn through this entry, nil for never
+	EntryCount   func() int  // number of entries that may attempt to acquire the lease
+	Following    func() bool // whether this entry follows a peer; nil means never
+	HasFollowers func() bool // whether other entries follow this one; nil means never
 	Counters     *metric.Set
 	Logger       *slog.Logger
-	// OnMisdirected is told that another process took an order to an endpoint, nil for nobody.
+	// OnMisdirected, if set, is called when another process answered an order to an endpoint.
 	OnMisdirected func(endpoint string, by *Misdirected)
 
-	done     lifecycle.Done
-	lease    lease.Lease
-	held     bool
-	starts   map[string]*start // of services whose engines hold nothing yet
-	knownAt  time.Time         // when the first list of endpoints was seen
-	basis    basis
-	improved basis     // what improvements were last worked out from, to no effect
-	improve  time.Time // when they may be worked out again
-	again    time.Time // when the moves are worked out although nothing has changed
-	waitTo   time.Time // when this entry tries to take the lease for work that it sees
-	lookFrom time.Time // when one whose turn comes last looks again
-	idleFrom time.Time // when there was last work
-	askFrom  time.Time // when the platform may be asked for the lease again
-	// unanswered is how many calls for the lease in a row had no answer.
-	unanswered int
-	mutex      sync.Mutex
-	woken      bool               // an engine was found lost, or back
-	heard      *heard             // of the lease, not taken into account yet
-	hearing    bool               // whether the lease was ever heard of
-	ordered    map[string]order   // by endpoint ID, still in doubt
-	resting    map[string]rest    // by endpoint ID
-	plans      map[string]planned // by service
+	done           lifecycle.Done
+	lease          lease.Lease
+	holdsLease     bool
+	startups       map[string]*startup // by service, while its engines hold no layers
+	firstListAt    time.Time           // when the first list of endpoints was available
+	lastInputs     planInputs
+	improvedInputs planInputs // inputs for which no improvement was found last
+	improveAt      time.Time  // when improvements may be computed again
+	recheckAt      time.Time  // when to plan although nothing has changed
+	attemptAt      time.Time  // when to attempt to acquire the lease, zero without work
+	checkAt        time.Time  // when an entry that orders last plans again
+	lastWorkAt     time.Time  // when there was work last
+	leaseCallAt    time.Time  // when the platform may be called for the lease again
+	// unanswered is the number of consecutive calls for the lease without an answer.
+	unanswered    int
+	mutex         sync.Mutex
+	wakeRequested bool                    // an engine was found lost or recovered
+	leaseChange   *leaseChange            // reported by another entry and not applied yet
+	leaseObserved bool                    // whether a change of the lease was ever applied
+	pendingOrders map[string]pendingOrder // by endpoint ID; their effect has not been seen
+	backoffs      map[string]backoff      // by endpoint ID
+	plans         map[string]cachedPlan   // by service
 }
 
-// basis is what moves are worked out from.
-type basis struct {
+// planInputs identifies the state from which reassignments are computed.
+type planInputs struct {
 	table     *routing.Table
-	endpoints uint64
+	endpoints uint64 // revision of the endpoint registry
 }
 
-// Start begins to look.
+// Start starts the director's goroutine.
 func (d *Director) Start() {
 	d.lease.Self = d.Self
-	d.lease.Incarnation = rand.Uint64N(leaseLives)
-	d.starts = make(map[string]*start)
-	d.ordered = make(map[string]order)
-	d.resting = make(map[string]rest)
+	d.lease.Incarnation = rand.Uint64N(incarnationRange)
+	d.startups = make(map[string]*startup)
+	d.pendingOrders = make(map[string]pendingOrder)
+	d.backoffs = make(map[string]backoff)
 	go d.run()
 }
 
-// Close ends it. The lease lapses by itself.
+// Close stops the director. The lease expires by itself.
 func (d *Director) Close() { d.done.Close() }
 
-// OrderedLayers returns what an endpoint was ordered to hold, by this entry or as the lease tells, as long as
-// the effect has not been seen, and whether it was.
+// OrderedLayers returns the layers that an endpoint was ordered to hold, by this entry or by an
+// earlier lease holder, and whether there is such an order whose effect has not been seen.
 func (d *Director) OrderedLayers(endpoint string, now time.Time) (protocol.Span, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	o, ok := d.ordered[endpoint]
-	return o.span, ok && now.Before(o.till)
+	o, ok := d.pendingOrders[endpoint]
+	return o.span, ok && now.Before(o.until)
 }
 
 func (d *Director) run() {
-	t := time.NewTicker(lookEvery)
-	defer t.Stop()
+	ticker := time.NewTicker(checkInterval)
+	defer ticker.Stop()
 	for {
 		select {
-		case <-t.C:
-			d.look(clock.Now())
+		case <-ticker.C:
+			d.check(clock.Now())
 		case <-d.done.Done():
 			return
 		}
 	}
 }
 
-// look works out the wanted moves and, holding the lease, orders them.
-func (d *Director) look(now time.Time) {
-	d.hear()
-	if d.wasWoken() {
-		d.again = now
+// check computes the wanted reassignments and, if this entry holds the lease, orders them.
+func (d *Director) check(now time.Time) {
+	d.applyLeaseChange()
+	if d.takeWakeRequest() {
+		d.recheckAt = now
 	}
-	b := basis{table: d.Routing.Current(), endpoints: d.Registry.Revision()}
-	if b == d.basis && now.Before(d.again) {
-		d.release(now)
+	inputs := planInputs{table: d.Routing.Current(), endpoints: d.Registry.Revision()}
+	if inputs == d.lastInputs && now.Before(d.recheckAt) {
+		d.releaseIdleLease(now)
 		return
 	}
-	if !d.held && (now.Before(d.waitTo) || now.Before(d.lookFrom)) {
-		return // there may be work, and another entry's turn comes first
+	if !d.holdsLease && (now.Before(d.attemptAt) || now.Before(d.checkAt)) {
+		return // there may be work, but it is another entry's turn
 	}
-	if d.last() {
-		d.lookFrom = now.Add(followerRest)
+	if d.ordersLast() {
+		d.checkAt = now.Add(followerDelay)
 	}
-	d.basis = b
-	improving := b != d.improved && !now.Before(d.improve) && !d.following() && d.listTrusted(now)
-	moves := d.moves(now, improving)
-	if improving && len(moves) == 0 {
-		d.improved = b
-		d.improve = now.Add(improveEvery)
+	d.lastInputs = inputs
+	improving := inputs != d.improvedInputs && !now.Before(d.improveAt) && !d.following() && d.listComplete(now)
+	reassignments := d.reassignments(now, improving)
+	if improving && len(reassignments) == 0 {
+		d.improvedInputs = inputs
+		d.improveAt = now.Add(improveInterval)
 	}
-	if len(moves) == 0 {
-		d.waitTo = time.Time{}
-		d.again = now.Add(lookAnyway)
+	if len(reassignments) == 0 {
+		d.attemptAt = time.Time{}
+		d.recheckAt = now.Add(recheckInterval)
 		return
 	}
-	d.again, d.lookFrom = now, time.Time{} // there is work: look again at once
-	d.idleFrom = now
-	d.orderInTurn(moves, now)
+	d.recheckAt, d.checkAt = now, time.Time{} // there is work: plan again at the next check
+	d.lastWorkAt = now
+	d.orderWhenDue(reassignments, now)
 }
 
-// orderInTurn orders the moves once it is this entry's turn to hold the lease.
-func (d *Director) orderInTurn(moves []move, now time.Time) {
-	if d.waitTo.IsZero() {
-		d.waitTo = now.Add(d.spread())
+// orderWhenDue orders the reassignments once this entry's delay has passed and it holds the lease.
+func (d *Director) orderWhenDue(reassignments []reassignment, now time.Time) {
+	if d.attemptAt.IsZero() {
+		d.attemptAt = now.Add(d.attemptDelay())
 	}
-	if !d.held && now.Before(d.waitTo) {
+	if !d.holdsLease && now.Before(d.attemptAt) {
 		return
 	}
-	epoch, ok := d.hold(now)
+	epoch, ok := d.acquireLease(now)
 	if !ok {
 		return
 	}
-	d.give(moves, epoch)
-	d.improve = clock.Now().Add(improveEvery)
+	d.dispatch(reassignments, epoch)
+	d.improveAt = clock.Now().Add(improveInterval)
 }
 
-// Wake makes the director look at its next turn, because an engine was found lost, or
-// back: what it holds has not changed, but who counts on it has.
+// Wake makes the director plan at its next check, because an engine was found lost or recovered.
+// The layers that the engine holds are unchanged then, so no other input would cause a check.
 func (d *Director) Wake() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.woken = true
+	d.wakeRequested = true
 }
 
-// RecordRestart notes that an engine has started again: orders to its earlier life have no
-// effect, and it takes new ones.
+// RecordRestart records that an engine has restarted. Orders to its earlier incarnation have no
+// effect, so the engine may be given new orders at once.
 func (d *Director) RecordRestart(endpoint string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	delete(d.ordered, endpoint)
-	delete(d.resting, endpoint)
+	delete(d.pendingOrders, endpoint)
+	delete(d.backoffs, endpoint)
 }
 
-func (d *Director) wasWoken() bool {
+// takeWakeRequest reports whether Wake was called since the last check.
+func (d *Director) takeWakeRequest() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	was := d.woken
-	d.woken = false
-	return was
+	requested := d.wakeRequested
+	d.wakeRequested = false
+	return requested
 }
 
-// following reports whether this entry learns through a peer. Then the entry that asks
-// the platform for all works improvements out; holes everybody does.
+// following reports whether this entry follows a peer. Improvements are then left to the entry that
+// reads from the platform. Gaps are filled by every entry.
 func (d *Director) following() bool { return d.Following != nil && d.Following() }
 
-// last reports whether this entry's turn to give orders comes after all others': it
-// learns through a peer, and nobody learns through it. It looks for work no more often
-// than its turn could come: while engines come and go each look works a plan out, and of
-// 300 entries 295 did so for nothing.
-func (d *Director) last() bool {
+// ordersLast reports whether this entry attempts to give orders after all others: it follows a
+// peer, and no entry follows it. Such an entry plans no more often than its turn can come. While
+// engines come and go, every check computes a plan, and 295 of 300 entries did so in vain.
+func (d *Director) ordersLast() bool {
 	return d.following() && (d.HasFollowers == nil || !d.HasFollowers())
 }
 
-// spread returns a part of the time over which the entries' attempts are spread.
-func (d *Director) spread() time.Duration {
-	part := rand.N(stagger * time.Duration(max(1, d.EntryCount())))
+// attemptDelay returns how long to wait before an attempt to acquire the lease: a random part of
+// the time over which the entries' attempts are spread, and more for a follower.
+func (d *Director) attemptDelay() time.Duration {
+	delay := rand.N(staggerPerEntry * time.Duration(max(1, d.EntryCount())))
 	switch {
 	case !d.following():
-		return part
+		return delay
 	case d.HasFollowers != nil && d.HasFollowers():
-		return part + followedRest
+		return delay + followedDelay
 	default:
-		return part + followerRest
+		return delay + followerDelay
 	}
 }
--- a/transport/director/director_test.go
+++ b/transport/director/director_test.go
@@ -18,42 +18,42 @@
 	"pinerun.example/pinerun/transport/director"
 )
 
-// TestFollowersLeaveOrdersToTheirPeers runs a director that learns through a peer
-// beside one that does not, and then alone.
-func TestFollowersLeaveOrdersToTheirPeers(t *testing.T) {
+// TestFollowerLeavesOrdersToItsPeer runs a director that follows a peer, first beside one that does
+// not, then alone.
+func TestFollowerLeavesOrdersToItsPeer(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(2)
-			follower := w.director(t, "follower")
+			f := newFixture(2)
+			follower := f.director(t, "follower")
 			follower.Following = func() bool { return true }
-			first := w.director(t, "first")
+			peer := f.director(t, "first")
 			follower.Start()
 			if !alone {
-				first.Start()
+				peer.Start()
 			}
 			time.Sleep(10 * time.Second)
 			synctest.Wait()
 			follower.Close()
-			first.Close()
+			peer.Close()
 			synctest.Wait()
 			require.Equal(t, alone, follower.Counters.Value(string(metric.OrdersGiven)) > 0)
-			for _, e := range w.engines {
+			for _, e := range f.engines {
 				require.NotEmpty(t, e.orders)
 			}
 			var r lease.Record
-			require.NoError(t, json.Unmarshal(w.object.Value, &r))
-			require.Empty(t, r.Holder, "the lease was given up when there was no more work")
+			require.NoError(t, json.Unmarshal(f.object.Value, &r))
+			require.Empty(t, r.Holder, "the lease is released when there is no more work")
 		})
 	}
 }
 
-// TestAnEmptyEngineThatDoesNotAnswerIsNotCountedOn has a hole that either of two engines
-// could fill, the one that comes first by its name being dead.
-func TestAnEmptyEngineThatDoesNotAnswerIsNotCountedOn(t *testing.T) {
+// TestPlanSkipsUnansweringEmptyEngine has a gap that either of two empty engines could fill. The
+// first one by name is dead.
+func TestPlanSkipsUnansweringEmptyEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(3)
-		w.engines["e1"].silent = true
-		d := w.director(t, "d")
+		f := newFixture(3)
+		f.engines["e1"].silent = true
+		d := f.director(t, "d")
 		d.Registry.Replace([]protocol.Endpoint{
 			record("e0", protocol.Span{To: 6}), record("e1", protocol.Span{}), record("e2", protocol.Span{}),
 		}, time.Now())
@@ -61,80 +61,79 @@
 		time.Sleep(4 * time.Second)
 		d.Close()
 		synctest.Wait()
-		require.NotEmpty(t, w.engines["e2"].orders)
-		require.Equal(t, 10, w.engines["e2"].orders[0].Layers.To, "the hole comes first")
-		require.LessOrEqual(t, w.engines["e1"].reports, 2)
+		require.NotEmpty(t, f.engines["e2"].orders)
+		require.Equal(t, 10, f.engines["e2"].orders[0].Layers.To, "the gap is filled first")
+		require.LessOrEqual(t, f.engines["e1"].reports, 2)
 	})
 }
 
-func TestAnEngineThatDoesNotAnswerHoldsNobodyUp(t *testing.T) {
-	w := newWorld(4)
-	w.engines["e1"].silent = true
-	play(t, w, 1, 6*time.Second)
-	require.Equal(t, 3, w.orders())
-	require.LessOrEqual(t, w.engines["e1"].reports, 6, "it is asked once a second")
+func TestUnansweringEngineDoesNotDelayOthers(t *testing.T) {
+	f := newFixture(4)
+	f.engines["e1"].silent = true
+	runDirectors(t, f, 1, 6*time.Second)
+	require.Equal(t, 3, f.orders())
+	require.LessOrEqual(t, f.engines["e1"].reports, 6, "it is called at most once a second")
 }
 
-func TestAnOrderThatLandsLateIsGivenOnce(t *testing.T) {
-	w := newWorld(2)
-	w.engines["e0"].late = 4 * time.Second
-	play(t, w, 2, 20*time.Second)
-	require.Len(t, w.engines["e0"].orders, 1)
-	require.Len(t, w.engines["e1"].orders, 1)
+func TestLateOrderIsNotRepeated(t *testing.T) {
+	f := newFixture(2)
+	f.engines["e0"].delay = 4 * time.Second
+	runDirectors(t, f, 2, 20*time.Second)
+	require.Len(t, f.engines["e0"].orders, 1)
+	require.Len(t, f.engines["e1"].orders, 1)
 }
 
-func TestALostOrderIsGivenAgain(t *testing.T) {
-	w := newWorld(2)
-	w.engines["e0"].loses = 2
-	play(t, w, 2, 30*time.Second)
-	require.Len(t, w.engines["e0"].orders, 1)
-	require.Zero(t, w.engines["e0"].loses)
+func TestLostOrderIsRepeated(t *testing.T) {
+	f := newFixture(2)
+	f.engines["e0"].ordersToLose = 2
+	runDirectors(t, f, 2, 30*time.Second)
+	require.Len(t, f.engines["e0"].orders, 1)
+	require.Zero(t, f.engines["e0"].ordersToLose)
 }
 
-// TestAnOrderAfterOthersIsRefusedByItsNumber meets an engine that has taken orders of
-// somebody else.
-func TestAnOrderAfterOthersIsRefusedByItsNumber(t *testing.T) {
-	w := newWorld(2)
-	w.engines["e0"].orders = make([]protocol.PlacementOrder, 3)
-	_, err := w.Place(context.Background(), protocol.PlacementOrder{Address: "e0", PriorOrders: 2})
+// TestOrderWithStaleCountIsRefused uses an engine that has accepted orders from another entry.
+func TestOrderWithStaleCountIsRefused(t *testing.T) {
+	f := newFixture(2)
+	f.engines["e0"].orders = make([]protocol.PlacementOrder, 3)
+	_, err := f.Place(context.Background(), protocol.PlacementOrder{Address: "e0", PriorOrders: 2})
 	require.Error(t, err)
-	play(t, w, 1, 5*time.Second)
-	require.Len(t, w.engines["e0"].orders, 4)
-	require.Equal(t, 3, w.engines["e0"].orders[3].PriorOrders, "the director asks the engine before it orders")
+	runDirectors(t, f, 1, 5*time.Second)
+	require.Len(t, f.engines["e0"].orders, 4)
+	require.Equal(t, 3, f.engines["e0"].orders[3].PriorOrders, "the director reads the count from the engine's report")
 }
 
-// TestAnIncompleteListAfterAStartMovesNobody starts an entry right when the platform is
-// back: one engine's record has lapsed meanwhile and comes back a second and a half later.
-func TestAnIncompleteListAfterAStartMovesNobody(t *testing.T) {
-	for _, lost := range []bool{false, true} {
+// TestIncompleteListAfterStartMovesNoLayers starts an entry when the platform is just back from an
+// outage. One engine's record expired during the outage and returns after 1.5 s.
+func TestIncompleteListAfterStartMovesNoLayers(t *testing.T) {
+	for _, missing := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(3)
-			d := w.director(t, "d")
+			f := newFixture(3)
+			d := f.director(t, "d")
 			d.Registry.Replace([]protocol.Endpoint{
 				record("e0", protocol.Span{To: 6}), record("e1", protocol.Span{To: 6}),
 			}, time.Now())
 			d.Start()
 			time.Sleep(1500 * time.Millisecond)
-			if !lost {
+			if !missing {
 				d.Registry.Add(record("e2", protocol.Span{From: 6, To: 10}))
 			}
 			time.Sleep(5 * time.Second)
 			d.Close()
 			synctest.Wait()
-			require.Equal(t, lost, w.orders() > 0, "an engine that stays missing is lost")
+			require.Equal(t, missing, f.orders() > 0, "an engine that stays missing is lost")
 		})
 	}
 }
 
-// TestAnEngineWithFewLayersIsGivenMore: without a hole, one of several entries puts a
-// layout right that was made in haste.
-func TestAnEngineWithFewLayersIsGivenMore(t *testing.T) {
+// TestEngineWithFewLayersIsGivenMore checks that one of several entries improves a layout that has
+// no gap.
+func TestEngineWithFewLayersIsGivenMore(t *testing.T) {
 	for _, following := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(3)
+			f := newFixture(3)
 			var all []*director.Director
 			for i := range 3 {
-				d := w.director(t, fmt.Sprint("d", i))
+				d := f.director(t, fmt.Sprint("d", i))
 				d.Following = func() bool { return following }
 				d.Registry.Replace([]protocol.Endpoint{
 					record("e0", protocol.Span{To: 6}), record("e1", protocol.Span{From: 5, To: 10}), record("e2", protocol.Span{From: 5, To: 6}),
@@ -149,25 +148,25 @@
 				d.Close()
 			}
 			synctest.Wait()
-			require.Equal(t, !following, len(w.engines["e2"].orders) > 0, "followers leave it to their peers")
+			require.Equal(t, !following, len(f.engines["e2"].orders) > 0, "followers leave improvements to their peers")
 		})
 	}
 }
 
-// TestWhoseTurnComesLastSeldomPlans lets engines change each 100 ms: the entry that all
-// others follow plans for each change, and one that nobody follows once each two seconds.
-func TestWhoseTurnComesLastSeldomPlans(t *testing.T) {
+// TestUnfollowedFollowerSeldomPlans changes an engine every 100 ms. An entry that follows nobody
+// plans for each change. A follower without followers plans once every two seconds.
+func TestUnfollowedFollowerSeldomPlans(t *testing.T) {
 	plans := map[bool]int64{}
-	for _, follows := range []bool{false, true} {
+	for _, following := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(3)
-			d := w.director(t, "one")
-			d.Following = func() bool { return follows }
+			f := newFixture(3)
+			d := f.director(t, "one")
+			d.Following = func() bool { return following }
 			whole := protocol.Span{From: 0, To: 5}
 			d.Registry.Add(record("e0", whole))
 			d.Registry.Add(record("e1", protocol.Span{From: 5, To: 10}))
 			d.Start()
-			time.Sleep(50 * time.Millisecond) // changes come between looks
+			time.Sleep(50 * time.Millisecond) // changes come between checks
 			for i := range 100 {
 				time.Sleep(100 * time.Millisecond)
 				span := whole
@@ -176,45 +175,44 @@
 			}
 			d.Close()
 			synctest.Wait()
-			plans[follows] = d.Counters.Value(string(metric.PlansComputed))
+			plans[following] = d.Counters.Value(string(metric.PlansComputed))
 		})
 	}
 	require.Greater(t, plans[false], int64(50))
 	require.LessOrEqual(t, plans[true], int64(7))
 }
 
-// TestNoOrderRestsOnLayersThatAnEngineLacks plans for two engines of which one says, when it
-// is asked before its order, that it holds nothing of what its record tells: it gets no order
-// until a plan is worked out without those layers.
-func TestNoOrderRestsOnLayersThatAnEngineLacks(t *testing.T) {
+// TestReportedLayersOverrideRecord uses an engine that reports, before its order, that it holds
+// none of the layers in its record. It gets no order until a plan is computed without those layers.
+func TestReportedLayersOverrideRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(2)
-		w.engines["e1"].told = true
-		d := w.director(t, "one")
+		f := newFixture(2)
+		f.engines["e1"].reportsLayers = true
+		d := f.director(t, "one")
 		d.Registry.Add(record("e0", protocol.Span{From: 0, To: 5}))
-		d.Registry.Add(record("e1", protocol.Span{From: 5, To: 7})) // nobody has [7,10)
+		d.Registry.Add(record("e1", protocol.Span{From: 5, To: 7})) // no engine has [7,10)
 		time.Sleep(time.Second)
 		d.Start()
 		time.Sleep(5 * time.Second)
 		d.Close()
 		synctest.Wait()
-		w.mutex.Lock()
-		defer w.mutex.Unlock()
-		require.NotEmpty(t, w.engines["e1"].orders)
-		require.Equal(t, 1+len(w.engines["e1"].orders), w.engines["e1"].reports, "the first answer led to another plan")
-		require.Equal(t, protocol.Span{From: 5, To: 10}, w.engines["e1"].orders[0].Layers)
+		f.mutex.Lock()
+		defer f.mutex.Unlock()
+		require.NotEmpty(t, f.engines["e1"].orders)
+		require.Equal(t, 1+len(f.engines["e1"].orders), f.engines["e1"].reports, "the first report led to another plan")
+		require.Equal(t, protocol.Span{From: 5, To: 10}, f.engines["e1"].orders[0].Layers)
 	})
 }
 
-// TestWhoTakesAnOrderInAnEnginesPlaceIsTold: the answer names another process.
-func TestWhoTakesAnOrderInAnEnginesPlaceIsTold(t *testing.T) {
+// TestMisdirectedOrderIsReported has another process answer the order to an engine.
+func TestMisdirectedOrderIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(2)
-		w.engines["e1"].other = "next"
-		d := w.director(t, "one")
-		var told []string
+		f := newFixture(2)
+		f.engines["e1"].owner = "next"
+		d := f.director(t, "one")
+		var reported []string
 		d.OnMisdirected = func(endpoint string, by *director.Misdirected) {
-			told = append(told, endpoint+" "+by.Owner)
+			reported = append(reported, endpoint+" "+by.Owner)
 			d.Registry.OwnerAnswered(endpoint, by.Owner, 0, time.Now())
 		}
 		d.Registry.Add(record("e0", protocol.Span{From: 0, To: 5}))
@@ -223,64 +221,65 @@
 		time.Sleep(10 * time.Second)
 		d.Close()
 		synctest.Wait()
-		require.Equal(t, []string{"e1 next"}, told, "it is not ordered again")
+		require.Equal(t, []string{"e1 next"}, reported, "the order is not repeated")
 	})
 }
 
-// TestAnEngineThatStartedAgainIsOrderedAtOnce lets an engine start again while its order is
-// under way: it is forgotten there, and the next one does not wait for its effect.
-func TestAnEngineThatStartedAgainIsOrderedAtOnce(t *testing.T) {
+// TestRestartedEngineIsOrderedAtOnce restarts an engine while its order is pending. The new process
+// does not know the order, and the next order must not wait for its effect.
+func TestRestartedEngineIsOrderedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(2)
-		w.engines["e1"].loads = time.Hour
-		d := w.director(t, "one")
+		f := newFixture(2)
+		f.engines["e1"].loadTime = time.Hour
+		d := f.director(t, "one")
 		d.Registry.Add(record("e0", protocol.Span{From: 0, To: 5}))
 		d.Registry.Add(record("e1", protocol.Span{}))
 		d.Start()
 		time.Sleep(4 * time.Second) // the list of engines is whole by then
-		require.Equal(t, 1, w.orders())
-		w.mutex.Lock()
-		w.engines["e1"].orders = nil
-		w.mutex.Unlock()
+		require.Equal(t, 1, f.orders())
+		f.mutex.Lock()
+		f.engines["e1"].orders = nil
+		f.mutex.Unlock()
 		d.RecordRestart("e1")
 		d.Wake()
 		time.Sleep(time.Second)
-		require.Equal(t, 1, w.orders())
+		require.Equal(t, 1, f.orders())
 		d.Close()
 		synctest.Wait()
 	})
 }
 
-// TestAnEngineWithoutARecordIsGivenLayersIfItIsOne: it answered at the address of a dead one.
-func TestAnEngineWithoutARecordIsGivenLayersIfItIsOne(t *testing.T) {
+// TestUnrecordedEngineIsOrderedIfItMatches has an engine without a record answer at the address of
+// a dead one. It gets the layers only if it reports the same accelerator and holds no layers.
+func TestUnrecordedEngineIsOrderedIfItMatches(t *testing.T) {
 	for _, c := range []struct {
-		kind   string
-		layers protocol.Span
-		orders int
+		accelerator string
+		layers      protocol.Span
+		orders      int
 	}{
-		{kind: "t4", orders: 1},
-		{kind: "l4"},
-		{kind: ""},
-		{kind: "t4", layers: protocol.Span{From: 0, To: 5}}, // others may use it by its record
+		{accelerator: "t4", orders: 1},
+		{accelerator: "l4"},
+		{accelerator: ""},
+		{accelerator: "t4", layers: protocol.Span{From: 0, To: 5}}, // others may know its record and use it
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(2)
-			w.engines["e1"].told, w.engines["e1"].kind, w.engines["e1"].layers = true, c.kind, c.layers
-			w.engines["e1"].loads = time.Hour
-			d := w.director(t, "one")
+			f := newFixture(2)
+			f.engines["e1"].reportsLayers, f.engines["e1"].accelerator, f.engines["e1"].layers = true, c.accelerator, c.layers
+			f.engines["e1"].loadTime = time.Hour
+			d := f.director(t, "one")
 			d.Registry.Add(record("e0", protocol.Span{From: 0, To: 5}))
 			d.Registry.Add(record("e1", protocol.Span{From: 5, To: 10}))
 			d.Start()
 			time.Sleep(4 * time.Second) // the list of engines is whole by then
-			require.Zero(t, w.orders())
+			require.Zero(t, f.orders())
 			d.Registry.OwnerAnswered("e1", "next", 0, time.Now())
 			time.Sleep(time.Second)
 			d.Close()
 			synctest.Wait()
-			w.mutex.Lock()
-			defer w.mutex.Unlock()
-			require.Len(t, w.engines["e1"].orders, c.orders, c)
-			for _, o := range w.engines["e1"].orders {
+			f.mutex.Lock()
+			defer f.mutex.Unlock()
+			require.Len(t, f.engines["e1"].orders, c.orders, c)
+			for _, o := range f.engines["e1"].orders {
 				require.Equal(t, "next", o.EndpointID)
 				require.Equal(t, protocol.Span{From: 5, To: 10}, o.Layers)
 			}
--- a/transport/director/errors.go
+++ b/transport/director/errors.go
@@ -4,12 +4,13 @@
 
 import "fmt"
 
-// Misdirected says that an order met another process than the engine that it is for.
+// Misdirected reports that another process than the intended engine answered an order.
 type Misdirected struct {
 	Address string
-	Owner   string // ID of the process, "" if it did not tell
+	Owner   string // endpoint ID of the process that answered, "" if it sent none
 }
 
+// Error names the address and the process that answered, and the remedy.
 func (e *Misdirected) Error() string {
-	return fmt.Sprintf("at %s answers %q and not the engine; decide again from the records in use", e.Address, e.Owner)
+	return fmt.Sprintf("%q answers at %s instead of the engine; plan again from the current endpoint records", e.Owner, e.Address)
 }
--- a/transport/director/lease.go
+++ b/transport/director/lease.go
@@ -17,117 +17,116 @@
 )
 
 const (
-	// LeaseName names the lease.
+	// LeaseName is the name of the lease object.
 	LeaseName = "placement"
-	// heldRest is how long an entry that finds the lease held leaves it alone. Its
-	// holder gives it up when it sees no more work, and may not see what this one does.
-	heldRest = time.Second
-	// failedRest is when to try again after the platform did not answer. It doubles with
-	// each failure in a row up to failedMost, and up to failedRest more is drawn: an outage
-	// meets every entry that sees work.
-	failedRest = 250 * time.Millisecond
-	failedMost = 2 * time.Second
-	// knownFor is how old an entry's knowledge of the platform may be for it to try: one
-	// that could not confirm for so long would ask in vain, and the moves that it works
-	// out may be wrong. An entry that nobody follows confirms each 1.4 s.
-	knownFor = 2 * time.Second
-	// releaseAfter is how long after the last order the lease is given up: losses come
+	// heldBackoff is how long an entry that finds the lease held waits. The holder releases the
+	// lease when it sees no more work, and it may not see the work that this entry sees.
+	heldBackoff = time.Second
+	// callBackoff is the time until the next call after the platform did not answer. It doubles
+	// with each consecutive failure up to maxCallBackoff, plus a random part of callBackoff: in an
+	// outage every entry with work calls the platform.
+	callBackoff    = 250 * time.Millisecond
+	maxCallBackoff = 2 * time.Second
+	// maxConfirmationAge is the age of the last confirmation of the routing table up to which an
+	// entry attempts to acquire the lease. If the confirmation is older, the platform is unlikely
+	// to answer, and the plan may be wrong. An entry without followers confirms every 1.4 s.
+	maxConfirmationAge = 2 * time.Second
+	// releaseDelay is how long after the last order the lease is released: losses tend to come
 	// several at a time.
-	releaseAfter = 500 * time.Millisecond
-	// leaseSteps is how many steps one try at the lease takes at most: read, write,
-	// and read again after a doubt.
-	leaseSteps = 3
-	// leaseLives is the range from which the number of this entry's life is drawn. A number
-	// below 2^52 stays exact where JSON numbers are read as floats.
-	leaseLives = 1 << 52
+	releaseDelay = 500 * time.Millisecond
+	// maxLeaseSteps bounds the steps of one attempt to acquire the lease: read, write, and read
+	// again if the result of the write is uncertain.
+	maxLeaseSteps = 3
+	// incarnationRange is the range from which the number of this entry's incarnation is drawn.
+	// Numbers below 2^52 stay exact where JSON numbers are decoded as floats.
+	incarnationRange = 1 << 52
 )
 
-// hold takes or keeps the lease as far as it can now, and reports whether this
-// entry may give orders. If not, it sets when to try again.
-func (d *Director) hold(now time.Time) (uint64, bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), askLimit)
+// acquireLease acquires or renews the lease as far as possible now, and reports whether this entry
+// may give orders. If not, it sets the time of the next attempt.
+func (d *Director) acquireLease(now time.Time) (uint64, bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	answered := true
-	for range leaseSteps {
-		if !d.mayAsk(now) {
-			return d.withoutPlatform(now)
+	for range maxLeaseSteps {
+		if !d.mayCallPlatform(now) {
+			return d.epochWithoutPlatform(now)
 		}
-		switch a := d.lease.Next(now).(type) {
+		switch action := d.lease.Next(now).(type) {
 		case lease.Read:
 			answered = d.readLease(ctx)
 		case lease.Write:
-			answered = d.writeLease(ctx, a)
+			answered = d.writeLease(ctx, action)
 		case lease.Wait:
-			return d.epoch()
+			return d.leaseEpoch()
 		}
 		now = clock.Now()
-		d.asked(answered, now)
+		d.recordCall(answered, now)
 	}
-	return d.epoch()
+	return d.leaseEpoch()
 }
 
-// withoutPlatform is epoch for an entry that may not ask for the lease: what it holds
-// lasts on, and what it doesn't it tries for soon.
-func (d *Director) withoutPlatform(now time.Time) (uint64, bool) {
-	epoch, ok := d.epoch()
+// epochWithoutPlatform returns the same as leaseEpoch for an entry that may not call the platform.
+// A lease that it holds stays valid. Otherwise the next attempt is soon.
+func (d *Director) epochWithoutPlatform(now time.Time) (uint64, bool) {
+	epoch, ok := d.leaseEpoch()
 	if !ok {
-		d.waitTo = now.Add(failedRest + d.spread())
+		d.attemptAt = now.Add(callBackoff + d.attemptDelay())
 	}
 	return epoch, ok
 }
 
-// mayAsk reports whether the platform may be asked for the lease now.
-func (d *Director) mayAsk(now time.Time) bool {
+// mayCallPlatform reports whether the platform may be called for the lease now.
+func (d *Director) mayCallPlatform(now time.Time) bool {
 	confirmed := d.Routing.ConfirmedAt()
-	return !now.Before(d.askFrom) && (confirmed.IsZero() || now.Sub(confirmed) <= knownFor)
+	return !now.Before(d.leaseCallAt) && (confirmed.IsZero() || now.Sub(confirmed) <= maxConfirmationAge)
 }
 
-// asked notes whether the platform answered. The first call in a row without an answer
-// is followed by another at once, which settles a write whose answer was lost; each
-// one more puts the next off.
-func (d *Director) asked(answered bool, now time.Time) {
+// recordCall records whether the platform answered. A first unanswered call is followed by another
+// at once, which resolves a write whose answer was lost. Each further one increases the backoff.
+func (d *Director) recordCall(answered bool, now time.Time) {
 	if answered {
 		d.unanswered = 0
 		return
 	}
 	d.unanswered++
 	if n := d.unanswered - 2; n >= 0 {
-		d.askFrom = now.Add(min(failedMost, failedRest<<min(n, 10)) + rand.N(failedRest))
+		d.leaseCallAt = now.Add(min(maxCallBackoff, callBackoff<<min(n, 10)) + rand.N(callBackoff))
 	}
 }
 
-// release gives the lease up once there has been nothing to order for a while, so that
-// another entry which sees the next work first need not wait for its end. What was
-// ordered and shows no effect yet stands in the record.
-func (d *Director) release(now time.Time) {
-	if !d.held || now.Before(d.idleFrom.Add(releaseAfter)) {
+// releaseIdleLease releases the lease after releaseDelay without orders, so that another entry that
+// sees the next work first need not wait until the lease expires. The record still names the orders
+// whose effect has not been seen.
+func (d *Director) releaseIdleLease(now time.Time) {
+	if !d.holdsLease || now.Before(d.lastWorkAt.Add(releaseDelay)) {
 		return
 	}
-	d.held = false
+	d.holdsLease = false
 	w, ok := d.lease.Release(now)
 	if !ok {
-		return // it has lapsed
+		return // the lease has expired
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), askLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	version, err := d.putLease(ctx, w)
 	if err != nil {
-		d.unsure(err)
+		d.writeUncertain(err)
 		return
 	}
 	d.lease.Released(version)
 	event.LeaseReleased.Log(d.Logger, slog.String("lease", LeaseName), slog.Uint64("epoch", w.Record().Epoch))
 }
 
-// epoch returns the epoch of the lease and whether this entry holds it. If not, it
-// sets when to try again.
-func (d *Director) epoch() (uint64, bool) {
+// leaseEpoch returns the epoch of the lease and whether this entry holds it. If not, it sets the
+// time of the next attempt.
+func (d *Director) leaseEpoch() (uint64, bool) {
 	epoch, ok := d.lease.Epoch(clock.Now())
 	if !ok {
-		d.waitTo = clock.Now().Add(heldRest + d.spread())
+		d.attemptAt = clock.Now().Add(heldBackoff + d.attemptDelay())
 	}
-	if ok != d.held {
-		d.held = ok
+	if ok != d.holdsLease {
+		d.holdsLease = ok
 		if ok {
 			event.LeaseTaken.Log(d.Logger, slog.String("lease", LeaseName), slog.Uint64("epoch", epoch))
 		} else {
@@ -137,7 +136,7 @@
 	return epoch, ok
 }
 
-// readLease reads the lease and reports whether it could.
+// readLease reads the lease and reports whether the platform answered.
 func (d *Director) readLease(ctx context.Context) bool {
 	o, err := d.Objects.Get(ctx, d.LeaseKind, LeaseName)
 	var missing *platform.NotFound
@@ -152,43 +151,43 @@
 	r := d.decodeLease(o.Value)
 	now := clock.Now()
 	d.lease.Observe(o.Version, r.Record, now)
-	d.learn(&r, now, doubtFor)
+	d.adoptOrders(&r, now, pendingTimeout)
 	return true
 }
 
-// decodeLease reads the lease's content. What can't be decoded is the zero record, which
-// names no holder and no epoch.
-func (d *Director) decodeLease(value []byte) record {
-	var r record
+// decodeLease decodes the lease's content. Content that can't be decoded counts as the zero record,
+// with no holder and epoch 0.
+func (d *Director) decodeLease(value []byte) leaseRecord {
+	var r leaseRecord
 	if err := json.Unmarshal(value, &r); err != nil {
 		event.LeaseWriteUncertain.Log(d.Logger, slog.String("lease", LeaseName), slog.String("cause", err.Error()))
-		return record{}
+		return leaseRecord{}
 	}
 	return r
 }
 
-// writeLease writes the lease and reports whether the platform answered, be it that
-// another entry was faster.
+// writeLease writes the lease and reports whether the platform answered, also if another entry
+// wrote first.
 func (d *Director) writeLease(ctx context.Context, w lease.Write) bool {
 	version, err := d.putLease(ctx, w)
 	if err != nil {
-		d.unsure(err)
-		var raced *platform.Conflict
-		return errors.As(err, &raced)
+		d.writeUncertain(err)
+		var conflict *platform.Conflict
+		return errors.As(err, &conflict)
 	}
 	d.lease.WriteSucceeded(version)
 	return true
 }
 
-// unsure notes that a write of the lease had no effect or no answer.
-func (d *Director) unsure(err error) {
+// writeUncertain records that a write of the lease failed or that its answer was lost.
+func (d *Director) writeUncertain(err error) {
 	d.lease.WriteUncertain()
 	event.LeaseWriteUncertain.Log(d.Logger, slog.String("lease", LeaseName), slog.String("cause", err.Error()))
 }
 
 // putLease writes the lease under its condition and returns the new version.
 func (d *Director) putLease(ctx context.Context, w lease.Write) (uint64, error) {
-	value, err := json.Marshal(record{Record: w.Record(), Orders: d.underWay(clock.Now())})
+	value, err := json.Marshal(leaseRecord{Record: w.Record(), Orders: d.pendingOrderRecords(clock.Now())})
 	if err != nil {
 		return 0, err
 	}
--- a/transport/director/lease_test.go
+++ b/transport/director/lease_test.go
@@ -15,55 +15,54 @@
 	"pinerun.example/pinerun/transport/director"
 )
 
-func TestOneOfManyGivesEachEngineOneOrder(t *testing.T) {
-	w := newWorld(4)
-	play(t, w, 5, 10*time.Second)
-	for id, e := range w.engines {
+func TestOneOfManyDirectorsOrdersEachEngineOnce(t *testing.T) {
+	f := newFixture(4)
+	runDirectors(t, f, 5, 10*time.Second)
+	for id, e := range f.engines {
 		require.Len(t, e.orders, 1, id)
-		require.Equal(t, w.engines["e0"].orders[0].Epoch, e.orders[0].Epoch, "all under one lease")
+		require.Equal(t, f.engines["e0"].orders[0].Epoch, e.orders[0].Epoch, "all under one epoch")
 	}
-	require.Less(t, w.calls, 30, "a fleet with nothing to do costs the platform nothing")
+	require.Less(t, f.calls, 30, "an idle fleet causes no calls")
 }
 
-func TestALostAnswerToTheLeasesWriteIsSettledByReading(t *testing.T) {
-	w := newWorld(2)
-	w.lose = true
-	play(t, w, 1, 10*time.Second)
-	require.Equal(t, 2, w.orders())
+func TestLostLeaseWriteAnswerIsResolvedByReading(t *testing.T) {
+	f := newFixture(2)
+	f.loseWriteAnswers = true
+	runDirectors(t, f, 1, 10*time.Second)
+	require.Equal(t, 2, f.orders())
 }
 
-// TestALeaseOfAnotherFormHoldsNobodyUpForGood has other writers leave something where the
-// lease is kept.
-func TestALeaseOfAnotherFormHoldsNobodyUpForGood(t *testing.T) {
+// TestUndecodableLeaseIsReplaced has the lease object hold content that another writer left.
+func TestUndecodableLeaseIsReplaced(t *testing.T) {
 	for _, foreign := range []string{`"mine"`, `{}`, `{"holder":7}`, `{"holder":"x","epoch":-1}`, "\xff", `{"holder":"x","epoch":1,"orders":"none"}`} {
-		w := newWorld(2)
-		w.object = protocol.Object{Version: 7, Value: []byte(foreign)}
-		play(t, w, 2, 12*time.Second)
-		require.Equal(t, 2, w.orders(), foreign)
-		for _, e := range w.engines {
+		f := newFixture(2)
+		f.object = protocol.Object{Version: 7, Value: []byte(foreign)}
+		runDirectors(t, f, 2, 12*time.Second)
+		require.Equal(t, 2, f.orders(), foreign)
+		for _, e := range f.engines {
 			require.Greater(t, e.orders[0].Epoch, uint64(6), foreign)
 		}
 	}
 }
 
-func TestNobodyGivesOrdersWhileThePlatformIsDown(t *testing.T) {
-	w := newWorld(2)
-	w.down = true
-	play(t, w, 3, 10*time.Second)
-	require.Zero(t, w.orders())
-	require.NotZero(t, w.calls)
+func TestNoOrdersWhilePlatformIsDown(t *testing.T) {
+	f := newFixture(2)
+	f.down = true
+	runDirectors(t, f, 3, 10*time.Second)
+	require.Zero(t, f.orders())
+	require.NotZero(t, f.calls)
 }
 
-// TestAnOutageMeetsFewCallsForTheLease has work that never ends, an engine that does not
-// answer, while the platform goes down: its holder, and who would like to be.
-func TestAnOutageMeetsFewCallsForTheLease(t *testing.T) {
+// TestFewLeaseCallsDuringOutage has work that never ends, because an engine does not answer, while
+// the platform is down. It counts the calls of the lease holder and of the other entries.
+func TestFewLeaseCallsDuringOutage(t *testing.T) {
 	for _, confirming := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(4)
-			w.engines["e1"].silent = true
+			f := newFixture(4)
+			f.engines["e1"].silent = true
 			var all []*director.Director
 			for i := range 3 {
-				d := w.director(t, fmt.Sprint("d", i))
+				d := f.director(t, fmt.Sprint("d", i))
 				if confirming {
 					d.Routing.Confirm(time.Now().Add(2 * time.Second))
 				}
@@ -71,13 +70,13 @@
 				all = append(all, d)
 			}
 			time.Sleep(2 * time.Second)
-			before := w.setDown(true)
+			before := f.setDown(true)
 			time.Sleep(10 * time.Second)
-			during := w.setDown(false) - before
+			during := f.setDown(false) - before
 			if confirming {
-				require.LessOrEqual(t, during, 15, "entries that can't confirm anything stop asking")
+				require.LessOrEqual(t, during, 15, "entries whose confirmation is too old stop calling")
 			} else {
-				require.LessOrEqual(t, during, 3*12, "each asks ever less often")
+				require.LessOrEqual(t, during, 3*12, "each calls less and less often")
 			}
 			require.NotZero(t, during)
 			for _, d := range all {
@@ -85,9 +84,9 @@
 					d.Routing.Confirm(time.Now())
 				}
 			}
-			before = w.setDown(false)
+			before = f.setDown(false)
 			time.Sleep(3 * time.Second)
-			require.Greater(t, w.setDown(false), before, "and does again when the platform is back")
+			require.Greater(t, f.setDown(false), before, "calls resume when the platform is back")
 			for _, d := range all {
 				d.Close()
 			}
@@ -96,21 +95,21 @@
 	}
 }
 
-// TestWhoHearsOfTheLeaseDoesNotAskForIt has ten entries see work that never ends: those
-// who are told of the lease make less than half as many calls as those who are not, and
-// when a holder is gone another takes the lease.
-func TestWhoHearsOfTheLeaseDoesNotAskForIt(t *testing.T) {
+// TestReportedLeaseSavesLeaseCalls has ten entries with work that never ends. Entries that receive
+// the changes of the lease make less than half as many calls as entries that do not. When the
+// holder is gone, another entry takes the lease.
+func TestReportedLeaseSavesLeaseCalls(t *testing.T) {
 	calls := map[bool]int{}
-	for _, told := range []bool{true, false} {
+	for _, observed := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(4)
-			w.engines["e1"].silent = true
+			f := newFixture(4)
+			f.engines["e1"].silent = true
 			var all []*director.Director
 			for i := range 10 {
-				d := w.director(t, fmt.Sprint("d", i))
-				if told {
+				d := f.director(t, fmt.Sprint("d", i))
+				if observed {
 					d.ObserveLease(0, nil, time.Now())
-					w.hearing = append(w.hearing, d)
+					f.observers = append(f.observers, d)
 				}
 				all = append(all, d)
 			}
@@ -118,15 +117,15 @@
 				d.Start()
 			}
 			time.Sleep(20 * time.Second)
-			calls[told] = w.setDown(false)
-			first := w.lease(t)
+			calls[observed] = f.setDown(false)
+			first := f.lease(t)
 			for _, d := range all {
 				if d.Self == first.Holder {
 					d.Close()
 				}
 			}
 			time.Sleep(lease.TTL + 3*time.Second)
-			require.Greater(t, w.lease(t).Epoch, first.Epoch, "another took it")
+			require.Greater(t, f.lease(t).Epoch, first.Epoch, "another entry took it")
 			for _, d := range all {
 				d.Close()
 			}
@@ -136,49 +135,49 @@
 	require.Less(t, 2*calls[true], calls[false])
 }
 
-// TestOrdersOfAnEarlierHolderAreLeftTheirTime has a hole that an engine is being loaded
-// for, as the lease tells; the engine's own record shows nothing of it.
-func TestOrdersOfAnEarlierHolderAreLeftTheirTime(t *testing.T) {
-	for _, told := range []bool{true, false} {
+// TestPendingOrdersOfEarlierHolderAreRespected has a gap, and an order in the lease's record that
+// loads an engine to fill it. The engine's own record does not show the order.
+func TestPendingOrdersOfEarlierHolderAreRespected(t *testing.T) {
+	for _, recorded := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(2)
-			d := w.director(t, "d")
+			f := newFixture(2)
+			d := f.director(t, "d")
 			d.Registry.Replace([]protocol.Endpoint{
 				record("e0", protocol.Span{To: 6}), record("e1", protocol.Span{}),
 			}, time.Now())
 			value := `{"holder":"","epoch":3,"nonce":7}`
-			if told {
+			if recorded {
 				value = `{"holder":"","epoch":3,"nonce":7,"orders":[{"endpoint":"e1","from":4,"to":10,"left_ms":5000}]}`
 			}
-			w.object = protocol.Object{Version: 6, Value: []byte(value)}
+			f.object = protocol.Object{Version: 6, Value: []byte(value)}
 			d.ObserveLease(5, []byte(`{"holder":"other","epoch":3,"nonce":6}`), time.Now())
 			d.Start()
 			time.Sleep(200 * time.Millisecond)
 			d.ObserveLease(6, []byte(value), time.Now())
 			time.Sleep(4500 * time.Millisecond)
-			require.Equal(t, told, w.orders() == 0)
+			require.Equal(t, recorded, f.orders() == 0)
 			time.Sleep(4 * time.Second)
-			require.NotZero(t, w.orders(), "it did not come")
+			require.NotZero(t, f.orders(), "the earlier order did not take effect")
 			d.Close()
 			synctest.Wait()
 		})
 	}
 }
 
-// TestTheLeaseTellsWhatWasOrdered gives orders to engines that take seconds to load.
-func TestTheLeaseTellsWhatWasOrdered(t *testing.T) {
+// TestLeaseRecordsPendingOrders orders engines that take seconds to load.
+func TestLeaseRecordsPendingOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(2)
-		for _, e := range w.engines {
-			e.loads = 4 * time.Second
+		f := newFixture(2)
+		for _, e := range f.engines {
+			e.loadTime = 4 * time.Second
 		}
-		d := w.director(t, "d")
+		d := f.director(t, "d")
 		d.Start()
 		time.Sleep(2500 * time.Millisecond)
-		w.mutex.Lock()
-		value := string(w.object.Value)
-		w.mutex.Unlock()
-		require.Contains(t, value, `"holder":""`, "it was given up for others")
+		f.mutex.Lock()
+		value := string(f.object.Value)
+		f.mutex.Unlock()
+		require.Contains(t, value, `"holder":""`, "it was released for other entries")
 		require.Contains(t, value, `"endpoint":"e0"`)
 		require.Contains(t, value, `"endpoint":"e1"`)
 		d.Close()
@@ -186,17 +185,17 @@
 	})
 }
 
-// TestWhatIsOrderedIsToldUntilItsEffectIsSeen has an order carried out late.
-func TestWhatIsOrderedIsToldUntilItsEffectIsSeen(t *testing.T) {
+// TestOrderedLayersUntilEffectIsSeen has an order that takes effect late.
+func TestOrderedLayersUntilEffectIsSeen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(2)
-		w.engines["e0"].late = 4 * time.Second
-		d := w.director(t, "d0")
+		f := newFixture(2)
+		f.engines["e0"].delay = 4 * time.Second
+		d := f.director(t, "d0")
 		d.Start()
 		time.Sleep(3 * time.Second)
 		span, ok := d.OrderedLayers("e0", time.Now())
 		require.True(t, ok)
-		require.Equal(t, w.engines["e1"].orders[0].Layers, protocol.Span{From: 10 - span.To, To: 10 - span.From}, "each holds a half")
+		require.Equal(t, f.engines["e1"].orders[0].Layers, protocol.Span{From: 10 - span.To, To: 10 - span.From}, "each holds one half")
 		time.Sleep(20 * time.Second)
 		_, ok = d.OrderedLayers("e0", time.Now())
 		require.False(t, ok)
--- a/transport/director/slow_test.go
+++ b/transport/director/slow_test.go
@@ -12,15 +12,15 @@
 	"pinerun.example/pinerun/state/fleet"
 )
 
-// TestAnEngineIsSlowForLongOnceALoadWouldHaveBeenDone: ten of 80 layers of which all take
-// 14 s to load.
-func TestAnEngineIsSlowForLongOnceALoadWouldHaveBeenDone(t *testing.T) {
+// TestSlowForLongAfterLoadTime uses an engine that holds 10 of 80 layers. All 80 take 14 s to load,
+// so its own take 1.75 s.
+func TestSlowForLongAfterLoadTime(t *testing.T) {
 	f := &protocol.EngineSpec{Layers: 80, LoadMS: 14_000}
 	held := protocol.Span{From: 20, To: 30}
 	now := time.Unix(100, 0)
 	r := fleet.NewRunner(protocol.Runner{Name: "e", Speed: 1}, "a")
 	require.False(t, slowForLong(f, r, held, now))
-	require.False(t, slowForLong(f, nil, held, now), "an engine that nobody sends to")
+	require.False(t, slowForLong(f, nil, held, now), "an engine without a runner")
 	r.MarkSlow(12, now, now.Add(10*time.Second))
 	require.False(t, slowForLong(f, r, held, now.Add(1700*time.Millisecond)))
 	require.True(t, slowForLong(f, r, held, now.Add(1750*time.Millisecond)))
