--- a/transport/backlog/budget.go
+++ b/transport/backlog/budget.go
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package backlog holds what callers do not read yet, apart from the goroutines that make
-// it, and bounds it for the whole entry. While a caller reads, a write goes straight to its
-// socket; only the first write that would block starts a goroutine for its connection.
+// Package backlog buffers the bytes that callers have not read yet, separately from the goroutines
+// that produce them, and limits them for the whole entry. While a caller reads, a write goes
+// straight to its socket. Only the first write that would block starts a goroutine for its
+// connection.
 //
 //	var b backlog.Budget
-//	l := b.Listen(socket)      // give l to the HTTP server,
+//	l := b.NewListener(socket) // give l to the HTTP server,
 //	server.ConnContext = backlog.NewContext
 //	c := backlog.FromContext(r.Context())
-//	c.Look(now)                // after each write: how to go on
+//	c.Decide(now)              // after each write: how the stream continues
 package backlog
 
 import (
@@ -20,71 +21,71 @@
 	"pinerun.example/pinerun/internal/metric"
 )
 
-// Budget is the entry's budget of bytes that are held. Set the fields before use; the zero
-// value has pressure.DefaultLimit and tells nobody.
+// Budget limits the bytes that the entry holds. Set the fields before use. The zero value has the
+// limit pressure.DefaultLimit and neither counts nor logs.
 type Budget struct {
 	Counters *metric.Set
 	Logger   *slog.Logger
 
-	mutex  sync.Mutex
-	ledger pressure.Budget
-	conns  map[*pressure.Account]*Conn // those that hold bytes
+	mutex    sync.Mutex
+	accounts pressure.Budget
+	conns    map[*pressure.Account]*Conn // connections that hold bytes
 }
 
 // SetLimit sets the budget in bytes.
 func (b *Budget) SetLimit(bytes int64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.ledger.SetLimit(bytes)
+	b.accounts.SetLimit(bytes)
 }
 
-// NearLimit reports whether the entry is near the end of its budget.
+// NearLimit reports whether the entry is near the limit of its budget.
 func (b *Budget) NearLimit() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.ledger.NearLimit()
+	return b.accounts.NearLimit()
 }
 
-// ReserveBody takes room for n bytes of a request, or gives back -n, and reports whether there is
-// room.
+// ReserveBody reserves n bytes for the body of a request, or releases -n, and reports whether the
+// budget allowed it.
 func (b *Budget) ReserveBody(n int64) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	ok := b.ledger.ReserveBody(n)
+	ok := b.accounts.ReserveBody(n)
 	if ok {
-		b.count(metric.HeldBodyBytes, n)
+		b.addCount(metric.HeldBodyBytes, n)
 	}
 	return ok
 }
 
-// Held returns the bytes that are held for callers.
+// Held returns the number of bytes that are held for callers.
 func (b *Budget) Held() int64 {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.ledger.Held()
+	return b.accounts.Held()
 }
 
-// count adds to a counter, if there are counters.
-func (b *Budget) count(n metric.Name, delta int64) {
+// addCount adds to a counter if there are counters.
+func (b *Budget) addCount(n metric.Name, delta int64) {
 	if b.Counters != nil {
 		b.Counters.Add(n, delta)
 	}
 }
 
-// hold takes room for n bytes more of a connection. Each connection that loses its room for
-// it is broken off by a goroutine of its own: the caller of hold has its connection locked,
-// and breaking off locks another.
-func (b *Budget) hold(c *Conn, n int64, now time.Time) bool {
+// reserve reserves n more bytes for a connection. Each connection that is evicted for them is
+// aborted in a goroutine of its own: the caller of reserve holds the mutex of its own connection,
+// and an abort locks another.
+func (b *Budget) reserve(c *Conn, n int64, now time.Time) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	before := b.ledger.Held()
-	b.ledger.Assign(&c.account, c.team, c.rank, c.resumable)
-	ended, ok := b.ledger.Reserve(&c.account, n, now)
-	for _, a := range ended {
-		if v := b.conns[a]; v != nil {
-			b.count(metric.PressureEnded, 1)
+	before := b.accounts.Held()
+	b.accounts.Assign(&c.account, c.team, c.rank, c.resumable)
+	evicted, ok := b.accounts.Reserve(&c.account, n, now)
+	for _, a := range evicted {
+		if victim := b.conns[a]; victim != nil {
+			b.addCount(metric.PressureEnded, 1)
 			delete(b.conns, a)
-			go (&ending{conn: v}).run()
+			go (&abortTask{conn: victim}).run()
 		}
 	}
 	if ok {
@@ -93,40 +94,40 @@
 		}
 		b.conns[&c.account] = c
 	}
-	b.count(metric.HeldAnswerBytes, b.ledger.Held()-before)
+	b.addCount(metric.HeldAnswerBytes, b.accounts.Held()-before)
 	return ok
 }
 
-// release gives back n bytes of a connection, whose caller read.
+// release releases n bytes of a connection, because its caller read.
 func (b *Budget) release(c *Conn, n int64, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	before := b.ledger.Held()
-	b.ledger.Release(&c.account, n, now)
-	b.settle(c, before)
+	before := b.accounts.Held()
+	b.accounts.Release(&c.account, n, now)
+	b.recordHeld(c, before)
 }
 
-// close gives back all that a connection holds.
-func (b *Budget) close(c *Conn) {
+// closeAccount releases all bytes of a connection.
+func (b *Budget) closeAccount(c *Conn) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	before := b.ledger.Held()
-	b.ledger.Close(&c.account)
-	b.settle(c, before)
+	before := b.accounts.Held()
+	b.accounts.Close(&c.account)
+	b.recordHeld(c, before)
 }
 
-// settle forgets a connection that holds nothing, and counts the change since before. The
-// mutex is held.
-func (b *Budget) settle(c *Conn, before int64) {
+// recordHeld forgets a connection that holds nothing, and counts the change since before. The mutex
+// is held.
+func (b *Budget) recordHeld(c *Conn, before int64) {
 	if c.account.Held() == 0 {
 		delete(b.conns, &c.account)
 	}
-	b.count(metric.HeldAnswerBytes, b.ledger.Held()-before)
+	b.addCount(metric.HeldAnswerBytes, b.accounts.Held()-before)
 }
 
-// look decides how the stream of a connection goes on.
-func (b *Budget) look(c *Conn, now time.Time) pressure.Decision {
+// decide returns how the stream of a connection continues.
+func (b *Budget) decide(c *Conn, now time.Time) pressure.Decision {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.ledger.Decide(&c.account, now)
+	return b.accounts.Decide(&c.account, now)
 }
--- a/transport/backlog/conn_test.go
+++ b/transport/backlog/conn_test.go
@@ -20,12 +20,11 @@
 	"pinerun.example/pinerun/internal/metric"
 )
 
-// soon bounds how long a test waits for what has to come.
-const soon = 10 * time.Second
+// waitLimit bounds how long a test waits for an expected change.
+const waitLimit = 10 * time.Second
 
-// sockets returns the two ends of a connection over real sockets, the entry's within the
-// budget.
-func sockets(t *testing.T, b *Budget) (entry *Conn, caller *net.TCPConn) {
+// connectedPair returns the two ends of a TCP connection. The entry's end is within the budget.
+func connectedPair(t *testing.T, b *Budget) (entry *Conn, caller *net.TCPConn) {
 	l, err := Listen("127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = l.Close() })
@@ -38,8 +37,8 @@
 	return n.(*Conn), caller
 }
 
-// text returns bytes that differ all along.
-func text(n int) []byte {
+// numberedText returns n bytes without a repeated section.
+func numberedText(n int) []byte {
 	var b bytes.Buffer
 	for i := 0; b.Len() < n; i++ {
 		fmt.Fprintf(&b, "%d ", i)
@@ -47,29 +46,29 @@
 	return b.Bytes()[:n]
 }
 
-func TestAWriteDoesNotWaitForItsCaller(t *testing.T) {
+func TestWriteDoesNotWaitForCaller(t *testing.T) {
 	b := &Budget{Counters: &metric.Set{}}
-	entry, caller := sockets(t, b)
-	want := text(2 << 20)
+	entry, caller := connectedPair(t, b)
+	want := numberedText(2 << 20)
 	n, err := entry.Write(want)
 	require.NoError(t, err)
 	require.Equal(t, len(want), n)
 	require.Positive(t, entry.Held())
 	require.Equal(t, b.Held(), b.Counters.Value("held_answer_bytes"))
-	require.GreaterOrEqual(t, b.Held(), entry.Held()+slowCost)
+	require.GreaterOrEqual(t, b.Held(), entry.Held()+slowCallerCost)
 
 	got := make([]byte, len(want))
 	_, err = io.ReadFull(caller, got)
 	require.NoError(t, err)
 	require.Equal(t, want, got)
-	require.Eventually(t, func() bool { return b.Held() == 0 }, soon, time.Millisecond)
+	require.Eventually(t, func() bool { return b.Held() == 0 }, waitLimit, time.Millisecond)
 	require.Zero(t, b.Counters.Value("held_answer_bytes"))
 }
 
-// TestWhoReadsHoldsNothing and costs no goroutine.
-func TestWhoReadsHoldsNothing(t *testing.T) {
+// TestReadingCallerHoldsNoBytes writes to a caller that reads each event at once.
+func TestReadingCallerHoldsNoBytes(t *testing.T) {
 	b := &Budget{Counters: &metric.Set{}}
-	entry, caller := sockets(t, b)
+	entry, caller := connectedPair(t, b)
 	for range 1000 {
 		_, err := entry.Write([]byte("event"))
 		require.NoError(t, err)
@@ -81,44 +80,44 @@
 	require.Zero(t, b.Held())
 }
 
-// TestACallerThatClosesEndsWhatWaitsForIt at once.
-func TestACallerThatClosesEndsWhatWaitsForIt(t *testing.T) {
+// TestCallerCloseDropsPendingBytes closes the caller's end while bytes are pending.
+func TestCallerCloseDropsPendingBytes(t *testing.T) {
 	b := &Budget{}
-	entry, caller := sockets(t, b)
-	_, err := entry.Write(text(2 << 20))
+	entry, caller := connectedPair(t, b)
+	_, err := entry.Write(numberedText(2 << 20))
 	require.NoError(t, err)
 	require.NoError(t, caller.Close())
-	require.Eventually(t, func() bool { return b.Held() == 0 }, soon, time.Millisecond)
+	require.Eventually(t, func() bool { return b.Held() == 0 }, waitLimit, time.Millisecond)
 	require.Error(t, entry.Err())
 	_, err = entry.Write([]byte("more"))
 	require.Error(t, err)
 }
 
-// TestAClosedConnectionStillGivesWhatIsHeld until its deadline.
-func TestAClosedConnectionStillGivesWhatIsHeld(t *testing.T) {
+// TestCloseStillWritesPendingBytes closes a connection with pending bytes and a write deadline.
+func TestCloseStillWritesPendingBytes(t *testing.T) {
 	b := &Budget{}
-	entry, caller := sockets(t, b)
-	want := text(1 << 20)
-	require.NoError(t, entry.SetWriteDeadline(time.Now().Add(soon)))
+	entry, caller := connectedPair(t, b)
+	want := numberedText(1 << 20)
+	require.NoError(t, entry.SetWriteDeadline(time.Now().Add(waitLimit)))
 	_, err := entry.Write(want)
 	require.NoError(t, err)
-	require.NoError(t, entry.SetWriteDeadline(time.Time{}), "as after an answer")
+	require.NoError(t, entry.SetWriteDeadline(time.Time{}), "as after a response")
 	require.NoError(t, entry.Close())
 	got, err := io.ReadAll(caller)
 	require.NoError(t, err)
 	require.True(t, bytes.Equal(want, got))
 }
 
-// pipe returns the two ends of a connection in virtual time: nothing is buffered.
-func pipe(b *Budget) (entry *Conn, caller net.Conn) {
+// pipePair returns the two ends of an unbuffered in-memory connection, for tests in virtual time.
+func pipePair(b *Budget) (entry *Conn, caller net.Conn) {
 	near, far := net.Pipe()
 	return newConn(near, b), far
 }
 
-func TestTheWriteDeadlineHoldsForWhatWaits(t *testing.T) {
+func TestWriteDeadlineAppliesToPendingBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &Budget{}
-		entry, caller := pipe(b)
+		entry, caller := pipePair(b)
 		defer func() { _ = caller.Close() }()
 		require.NoError(t, entry.SetWriteDeadline(time.Now().Add(time.Second)))
 		_, err := entry.Write([]byte("answer"))
@@ -130,82 +129,83 @@
 	})
 }
 
-// TestTheSlowestIsEndedForRoom, after which the other's write goes on, and nobody who has
-// read lately.
-func TestTheSlowestIsEndedForRoom(t *testing.T) {
+// TestSlowestConnectionIsAbortedForCapacity fills the budget. The connection of the caller that
+// does not read is aborted, the write that needs the bytes succeeds, and a caller that has read
+// lately is spared.
+func TestSlowestConnectionIsAbortedForCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &Budget{Counters: &metric.Set{}}
-		b.SetLimit(2*slowCost + 2*roomBytes)
-		stuck, stuckCaller := pipe(b)
-		lively, livelyCaller := pipe(b)
-		third, thirdCaller := pipe(b)
-		defer func() { _, _, _ = stuckCaller.Close(), livelyCaller.Close(), thirdCaller.Close() }()
-		for _, c := range []*Conn{stuck, lively} {
-			_, err := c.Write(text(400))
+		b.SetLimit(2*slowCallerCost + 2*reserveChunkBytes)
+		stalled, stalledCaller := pipePair(b)
+		reading, readingCaller := pipePair(b)
+		third, thirdCaller := pipePair(b)
+		defer func() { _, _, _ = stalledCaller.Close(), readingCaller.Close(), thirdCaller.Close() }()
+		for _, c := range []*Conn{stalled, reading} {
+			_, err := c.Write(numberedText(400))
 			require.NoError(t, err)
 		}
 		synctest.Wait()
-		_, err := lively.Write(text(100)) // a piece of its own
+		_, err := reading.Write(numberedText(100)) // a write of its own
 		require.NoError(t, err)
 		time.Sleep(2 * time.Second)
-		_, err = io.ReadFull(livelyCaller, make([]byte, 400))
+		_, err = io.ReadFull(readingCaller, make([]byte, 400))
 		require.NoError(t, err)
 		synctest.Wait()
-		_, err = third.Write(text(400))
+		_, err = third.Write(numberedText(400))
 		require.NoError(t, err)
 		synctest.Wait()
-		require.ErrorIs(t, stuck.Err(), ErrOverBudget)
-		require.IsType(t, pressure.Abort{}, stuck.Decide(time.Now()))
-		require.NoError(t, lively.Err())
+		require.ErrorIs(t, stalled.Err(), ErrOverBudget)
+		require.IsType(t, pressure.Abort{}, stalled.Decide(time.Now()))
+		require.NoError(t, reading.Err())
 		require.EqualValues(t, 1, b.Counters.Value("pressure_ended"))
 	})
 }
 
-// TestWithoutRoomAWriteWaitsForItsCaller, and the budget is kept.
-func TestWithoutRoomAWriteWaitsForItsCaller(t *testing.T) {
+// TestWriteBlocksWhenBudgetIsFull writes more than the budget can hold.
+func TestWriteBlocksWhenBudgetIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &Budget{}
-		b.SetLimit(slowCost + roomBytes)
-		entry, caller := pipe(b)
+		b.SetLimit(slowCallerCost + reserveChunkBytes)
+		entry, caller := pipePair(b)
 		defer func() { _ = caller.Close() }()
-		const most = roomBytes - 100
-		_, err := entry.Write(text(most))
+		const size = reserveChunkBytes - 100
+		_, err := entry.Write(numberedText(size))
 		require.NoError(t, err)
 		written := false
-		w := &laterWrite{conn: entry, content: text(most), written: &written}
+		w := &asyncWrite{conn: entry, content: numberedText(size), written: &written}
 		go w.run()
 		synctest.Wait()
 		require.False(t, written)
-		_, err = io.ReadFull(caller, make([]byte, 2*most))
+		_, err = io.ReadFull(caller, make([]byte, 2*size))
 		require.NoError(t, err)
 		synctest.Wait()
 		require.True(t, written)
 	})
 }
 
-// laterWrite writes in a goroutine of its own.
-type laterWrite struct {
+// asyncWrite writes in a goroutine of its own.
+type asyncWrite struct {
 	conn    *Conn
 	content []byte
 	written *bool
 }
 
-func (w *laterWrite) run() {
+func (w *asyncWrite) run() {
 	_, err := w.conn.Write(w.content)
 	*w.written = err == nil
 }
 
-// stream is a writer that heeds the budget, before a caller that reads at its own pace.
+// stream writes events to a caller that reads at its own interval.
 type stream struct {
-	budget *Budget
-	conn   *Conn
-	caller net.Conn
-	pace   time.Duration // between two reads, 0 reads nothing
-	events int
-	sent   bytes.Buffer
-	got    bytes.Buffer
-	whole  bool
-	over   bool // the budget was exceeded
+	budget       *Budget
+	conn         *Conn
+	caller       net.Conn
+	readInterval time.Duration // between two reads; 0 means the caller reads nothing
+	events       int
+	written      bytes.Buffer
+	received     bytes.Buffer
+	complete     bool
+	overBudget   bool // whether the budget was exceeded
 }
 
 // run writes events until all are written or the connection ends.
@@ -217,60 +217,60 @@
 			if _, err := s.conn.Write(e); err != nil {
 				return
 			}
-			s.sent.Write(e)
+			s.written.Write(e)
 			i++
 		case pressure.Abort:
 			return
 		default:
 			time.Sleep(50 * time.Millisecond)
 		}
-		s.over = s.over || s.budget.Held() > streamLimit
+		s.overBudget = s.overBudget || s.budget.Held() > streamLimit
 	}
 	for s.conn.Held() > 0 {
 		<-s.conn.Progress()
 	}
-	s.whole = s.conn.Err() == nil
+	s.complete = s.conn.Err() == nil
 }
 
-// loop reads as its caller does.
-func (s *stream) loop() {
-	if s.pace == 0 {
+// readLoop reads as the caller does.
+func (s *stream) readLoop() {
+	if s.readInterval == 0 {
 		return
 	}
 	p := make([]byte, 512)
 	for {
 		n, err := s.caller.Read(p)
-		s.got.Write(p[:n])
+		s.received.Write(p[:n])
 		if err != nil {
 			return
 		}
-		time.Sleep(s.pace)
+		time.Sleep(s.readInterval)
 	}
 }
 
-// streamLimit is the budget of the drawn streams, in bytes: less than they hold together.
-const streamLimit = 6*slowCost + 8*roomBytes
+// streamLimit is the budget of the generated streams in bytes. It is less than they hold together.
+const streamLimit = 6*slowCallerCost + 8*reserveChunkBytes
 
-// TestNoEventIsLostDoubledOrOutOfOrder draws callers that read at any pace or not at all.
-// What each gets is the beginning of what was written to it, all of it unless it was ended;
-// the budget is never exceeded, and whoever reads gets everything.
-func TestNoEventIsLostDoubledOrOutOfOrder(t *testing.T) {
+// TestEventsArriveOnceAndInOrder generates callers that read at different intervals or not at all.
+// Each receives a prefix of what was written to it, and all of it unless it was aborted. The budget
+// is never exceeded, and a caller that reads receives everything.
+func TestEventsArriveOnceAndInOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		paces := rapid.SliceOfN(rapid.SampledFrom([]time.Duration{0, time.Microsecond, 10 * time.Millisecond, 300 * time.Millisecond}), 1, 12).Draw(r, "paces")
+		readIntervals := rapid.SliceOfN(rapid.SampledFrom([]time.Duration{0, time.Microsecond, 10 * time.Millisecond, 300 * time.Millisecond}), 1, 12).Draw(r, "paces")
 		events := rapid.IntRange(1, 100).Draw(r, "events")
 		synctest.Test(t, func(t *testing.T) {
 			b := &Budget{}
 			b.SetLimit(streamLimit)
 			var streams []*stream
-			for _, p := range paces {
-				entry, caller := pipe(b)
+			for _, p := range readIntervals {
+				entry, caller := pipePair(b)
 				entry.Assign(fmt.Sprint("team-", len(streams)%3), len(streams)%4, true)
-				s := &stream{budget: b, conn: entry, caller: caller, pace: p, events: events}
+				s := &stream{budget: b, conn: entry, caller: caller, readInterval: p, events: events}
 				streams = append(streams, s)
 				go s.run()
-				go s.loop()
+				go s.readLoop()
 			}
-			time.Sleep(2 * time.Minute) // longer than the slowest takes
+			time.Sleep(2 * time.Minute) // longer than the slowest caller takes
 			for _, s := range streams {
 				_ = s.caller.Close()
 				_ = s.conn.Close()
@@ -278,11 +278,11 @@
 			time.Sleep(time.Second)
 			synctest.Wait()
 			for _, s := range streams {
-				require.True(t, bytes.HasPrefix(s.sent.Bytes(), s.got.Bytes()) || bytes.HasPrefix(s.got.Bytes(), s.sent.Bytes()))
-				require.False(t, s.over)
-				if s.pace > 0 {
-					require.True(t, s.whole, "who reads is served whole")
-					require.Equal(t, s.sent.Bytes(), s.got.Bytes())
+				require.True(t, bytes.HasPrefix(s.written.Bytes(), s.received.Bytes()) || bytes.HasPrefix(s.received.Bytes(), s.written.Bytes()))
+				require.False(t, s.overBudget)
+				if s.readInterval > 0 {
+					require.True(t, s.complete, "a caller that reads receives everything")
+					require.Equal(t, s.written.Bytes(), s.received.Bytes())
 					require.False(t, errors.Is(s.conn.Err(), ErrOverBudget))
 				}
 			}
--- a/transport/backlog/listener.go
+++ b/transport/backlog/listener.go
@@ -15,37 +15,42 @@
 	budget *Budget
 }
 
-// Listen listens at an address for callers, the system's part of what waits for them bounded.
-// Accepted sockets have the bounds of the listening one.
+// Listen listens for callers at an address, with bounded socket buffers. Accepted sockets inherit
+// the buffer sizes of the listening one.
 func Listen(address string) (net.Listener, error) {
 	var c net.ListenConfig
-	c.Control = func(_, _ string, raw syscall.RawConn) error { return bound(raw, socketBytes, bodyBytes) }
+	c.Control = func(_, _ string, raw syscall.RawConn) error {
+		return setSocketBuffers(raw, sendBufferBytes, callerReceiveBytes)
+	}
 	return c.Listen(context.Background(), "tcp", address)
 }
 
-// LimitEngineSocket bounds what the system keeps of an engine's answer that is left unread. It is
-// the Control of a dialer: once connected the other side knows a larger bound.
-func LimitEngineSocket(_, _ string, raw syscall.RawConn) error { return bound(raw, 0, engineBytes) }
+// LimitEngineSocket bounds the receive buffer for an engine's response. Use it as the Control of a
+// dialer: the size must be set before the connection is made, since the other side learns a larger
+// one then.
+func LimitEngineSocket(_, _ string, raw syscall.RawConn) error {
+	return setSocketBuffers(raw, 0, engineReceiveBytes)
+}
 
-// bound sets how many bytes wait in a socket to be sent, and to be read; 0 leaves it to the
-// system.
-func bound(raw syscall.RawConn, send, receive int) error {
-	var failed error
+// setSocketBuffers sets the sizes of a socket's send and receive buffers; 0 keeps the system's
+// default.
+func setSocketBuffers(raw syscall.RawConn, send, receive int) error {
+	var optErr error
 	err := raw.Control(func(fd uintptr) {
 		if send > 0 {
-			failed = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, send)
+			optErr = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, send)
 		}
 		if receive > 0 {
-			failed = errors.Join(failed, syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receive))
+			optErr = errors.Join(optErr, syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, receive))
 		}
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, optErr)
 }
 
 // NewListener returns a listener whose connections hold bytes within the budget.
 func (b *Budget) NewListener(l net.Listener) *Listener { return &Listener{Listener: l, budget: b} }
 
-// Accept returns the next connection.
+// Accept returns the next connection as a *Conn.
 func (l *Listener) Accept() (net.Conn, error) {
 	n, err := l.Listener.Accept()
 	if err != nil {
