--- a/transport/peer/connect.go
+++ b/transport/peer/connect.go
@@ -10,10 +10,10 @@
 	"github.com/coder/websocket"
 )
 
-// ServeHTTP accepts a peer's connection.
+// ServeHTTP accepts a connection from a peer.
 func (m *Mesh) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	want := keyPrefix + m.Key
-	if subtle.ConstantTimeCompare([]byte(q.Header.Get(keyHeader)), []byte(want)) != 1 {
+	expected := keyPrefix + m.Key
+	if subtle.ConstantTimeCompare([]byte(q.Header.Get(keyHeader)), []byte(expected)) != 1 {
 		http.Error(w, "not a peer of this entry; set the same peer_key at all entries", http.StatusUnauthorized)
 		return
 	}
@@ -25,14 +25,15 @@
 	l.serve(socket)
 }
 
-// dialer opens one link.
+// dialer opens one link to a peer.
 type dialer struct {
 	link    *link
 	address string
 }
 
+// run dials the peer and serves the link until it breaks.
 func (d *dialer) run() {
-	ctx, cancel := context.WithTimeout(context.Background(), dialLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	scheme, client := "ws://", http.DefaultClient
 	m := d.link.mesh
 	if m.TLS != nil {
@@ -47,7 +48,7 @@
 		_ = res.Body.Close()
 	}
 	if err != nil {
-		m.lost(d.link, err)
+		m.removeLink(d.link, err)
 		return
 	}
 	d.link.serve(socket)
--- a/transport/peer/link.go
+++ b/transport/peer/link.go
@@ -17,77 +17,82 @@
 )
 
 const (
-	// linkQueue is how many frames wait on a link before more are lost.
-	linkQueue  = 256
-	writeLimit = 2 * time.Second
+	// linkQueueLength is the number of frames that may wait on a link. Further frames are dropped.
+	linkQueueLength = 256
+	writeTimeout    = 2 * time.Second
 )
 
 // link is one connection to a peer.
 type link struct {
-	mesh  *Mesh
-	name  string // as the peer's first Hello says
-	asked string // under which the link was dialled, "" for an accepted one
-	out   chan protocol.PeerFrame
-	done  lifecycle.Done
-	mutex sync.Mutex
-	open  bool
-	heard time.Time
-	told  atomic.Uint64 // configuration version
+	mesh        *Mesh
+	name        string // from the peer's first hello
+	dialedName  string // name under which the link was dialed, "" if it was accepted
+	queue       chan protocol.PeerFrame
+	done        lifecycle.Done
+	mutex       sync.Mutex
+	open        bool
+	lastFrameAt time.Time
+	version     atomic.Uint64 // configuration version that the peer reported last
 }
 
 func newLink(m *Mesh, name string) *link {
-	return &link{mesh: m, name: name, asked: name, out: make(chan protocol.PeerFrame, linkQueue), heard: time.Now()}
+	return &link{mesh: m, name: name, dialedName: name, queue: make(chan protocol.PeerFrame, linkQueueLength), lastFrameAt: time.Now()}
 }
 
-// send queues a frame and reports whether there was room.
+// send queues a frame and reports whether the queue had space.
 func (l *link) send(f protocol.PeerFrame) bool {
 	if l.done.Closed() || l.mesh.DropFrame != nil && l.mesh.DropFrame() {
 		return false
 	}
 	select {
-	case l.out <- f:
+	case l.queue <- f:
 		return true
 	default:
 		return false
 	}
 }
 
-func (l *link) silent(now time.Time) bool {
+// isSilent reports whether the last frame came too long ago.
+func (l *link) isSilent(now time.Time) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return now.Sub(l.heard) > silentFor
+	return now.Sub(l.lastFrameAt) > silenceTimeout
 }
 
+// isOpen reports whether the peer has sent a frame and the link is not closed.
 func (l *link) isOpen() bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.open && !l.done.Closed()
 }
 
-func (l *link) note() {
+// recordFrame records that the peer sent a frame.
+func (l *link) recordFrame() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.heard = time.Now()
+	l.lastFrameAt = time.Now()
 	l.open = true
 }
 
-// serve runs the link over a socket until it breaks.
+// serve runs the link on a socket until the connection breaks.
 func (l *link) serve(socket *websocket.Conn) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	defer socket.CloseNow()
 	socket.SetReadLimit(protocol.MaxFrameBytes)
 	hello := l.mesh.Self
-	beat := l.mesh.Handler.Heartbeat()
-	first := protocol.PeerFrame{Hello: &hello, Heartbeat: &beat, Members: l.mesh.Known(), Work: l.mesh.Handler.UnresolvedWork()}
+	heartbeat := l.mesh.Handler.Heartbeat()
+	first := protocol.PeerFrame{Hello: &hello, Heartbeat: &heartbeat, Members: l.mesh.Known(), Work: l.mesh.Handler.UnresolvedWork()}
 	go (&linkWriter{link: l, socket: socket, first: first}).run(ctx)
-	l.mesh.lost(l, l.read(ctx, socket))
+	l.mesh.removeLink(l, l.read(ctx, socket))
 }
 
-var errNoHello = errors.New("the first frame has no hello")
+// errNoHello reports that a peer did not introduce itself.
+var errNoHello = errors.New("the peer's first frame has no hello")
 
+// read handles the frames of the peer until the connection breaks.
 func (l *link) read(ctx context.Context, socket *websocket.Conn) error {
-	greeted := false
+	gotHello := false
 	for {
 		_, b, err := socket.Read(ctx)
 		if err != nil {
@@ -97,27 +102,28 @@
 		if err != nil {
 			return err
 		}
-		if !greeted {
+		if !gotHello {
 			if f.Hello == nil {
 				return errNoHello
 			}
 			l.name = f.Hello.Name
-			greeted = true
-			l.mesh.opened(l)
+			gotHello = true
+			l.mesh.registerLink(l)
 		}
-		l.note()
-		l.mesh.heard(l, &f)
+		l.recordFrame()
+		l.mesh.applyMembership(l, &f)
 		l.mesh.Handler.HandleFrame(l.name, &f)
 	}
 }
 
-// linkWriter writes a link's frames.
+// linkWriter writes the frames of a link.
 type linkWriter struct {
 	link   *link
 	socket *websocket.Conn
-	first  protocol.PeerFrame // goes before whatever was queued while dialling
+	first  protocol.PeerFrame // sent before any frame that was queued while dialing
 }
 
+// run writes queued frames until the link is closed or a write fails.
 func (w *linkWriter) run(ctx context.Context) {
 	defer w.socket.CloseNow()
 	if w.write(ctx, w.first) != nil {
@@ -129,7 +135,7 @@
 			return
 		case <-w.link.done.Done():
 			return
-		case f := <-w.link.out:
+		case f := <-w.link.queue:
 			if w.write(ctx, f) != nil {
 				return
 			}
@@ -144,7 +150,7 @@
 	}
 	w.link.mesh.Counters.Add(metric.PeerFrames, 1)
 	w.link.mesh.Counters.Add(metric.PeerBytes, int64(len(b)))
-	ctx, cancel := context.WithTimeout(ctx, writeLimit)
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	return w.socket.Write(ctx, websocket.MessageBinary, b)
 }
--- a/transport/peer/known.go
+++ b/transport/peer/members.go
@@ -10,7 +10,7 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// Learn takes a list of entries.
+// Learn adds a list of entries to the table and opens the links that are missing.
 func (m *Mesh) Learn(listed []protocol.Member) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -21,15 +21,15 @@
 	}
 }
 
-// Known returns every entry known.
+// Known returns every known entry.
 func (m *Mesh) Known() []protocol.Member {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.table.Known()
 }
 
-// IsGone reports whether an entry's life is over: it has another life by now, or
-// can't be reached.
+// IsGone reports whether an incarnation of an entry is over: the entry has another incarnation by
+// now, or can't be reached.
 func (m *Mesh) IsGone(name string, incarnation uint64) bool {
 	if name == m.Self.Name {
 		return incarnation != m.Self.Incarnation
@@ -37,10 +37,10 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := time.Now()
-	return now.After(m.knowsFrom) && m.table.IsGone(name, incarnation, now)
+	return now.After(m.discoveryEnd) && m.table.IsGone(name, incarnation, now)
 }
 
-// CountAlive returns how many entries are not suspected.
+// CountAlive returns how many entries are not suspected of being down.
 func (m *Mesh) CountAlive() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -54,15 +54,14 @@
 	return m.table.IsRelay(m.Self, time.Now())
 }
 
-// RelayCount returns how many entries are relays.
+// RelayCount returns the number of relays.
 func (m *Mesh) RelayCount() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.table.RelayCount(time.Now())
 }
 
-// Owner returns the name of the entry that ranks first for a piece of work,
-// this one's if it knows nobody.
+// Owner returns the name of the entry that owns a piece of work: this entry if it knows no other.
 func (m *Mesh) Owner(work string) string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -73,22 +72,22 @@
 	return first.Name
 }
 
-// PeerVersion is the configuration version that a linked peer last told.
-type PeerVersion struct {
+// ConfigVersion is the configuration version that a linked peer reported last.
+type ConfigVersion struct {
 	Name    string
 	Version uint64
 }
 
-// Versions returns what every linked peer last told, in order of name.
-func (m *Mesh) Versions() []PeerVersion {
+// Versions returns the last reported version of every linked peer, sorted by name.
+func (m *Mesh) Versions() []ConfigVersion {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	all := make([]PeerVersion, 0, len(m.links))
+	versions := make([]ConfigVersion, 0, len(m.links))
 	for name, l := range m.links {
 		if l.isOpen() {
-			all = append(all, PeerVersion{Name: name, Version: l.told.Load()})
+			versions = append(versions, ConfigVersion{Name: name, Version: l.version.Load()})
 		}
 	}
-	slices.SortFunc(all, func(a, b PeerVersion) int { return cmp.Compare(a.Name, b.Name) })
-	return all
+	slices.SortFunc(versions, func(a, b ConfigVersion) int { return cmp.Compare(a.Name, b.Name) })
+	return versions
 }
--- a/transport/peer/mesh.go
+++ b/transport/peer/mesh.go
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package peer connects entries to each other: WebSocket with CBOR frames.
+// Package peer connects entries to each other by WebSocket with CBOR frames.
 //
-// A Mesh keeps a link to each peer that coordination/member names, sends a
-// heartbeat on each once a second, and hands every frame to its Handler. A frame
-// may be lost at any time; whoever sends one that matters sends it again.
+// A Mesh keeps a link to each peer that coordination/member names, sends a heartbeat on each link
+// once a second, and passes every frame to its Handler. A frame may be lost at any time. A sender
+// that depends on a frame repeats it.
 //
 //	m := &peer.Mesh{Self: self, Key: key, Handler: h, Counters: &c}
 //	http.Handle("/peer", m)
@@ -28,55 +28,56 @@
 const (
 	// HeartbeatInterval is the time between two heartbeats on a link.
 	HeartbeatInterval = time.Second
-	// silentFor is the time without a frame after which a link is closed.
-	silentFor = 3500 * time.Millisecond
-	// wantedFor is how long a link that was asked for stays without being used.
-	wantedFor = time.Minute
-	dialLimit = time.Second
-	// learnWithin is how long after its start an entry has heard of all others: the
+	// silenceTimeout is the time without a frame after which a link is closed.
+	silenceTimeout = 3500 * time.Millisecond
+	// requestedLinkTTL is how long a link that was opened for Send stays without being used.
+	requestedLinkTTL = time.Minute
+	dialTimeout      = time.Second
+	// discoveryTime is how long after its start an entry knows all others: the time for the
 	// platform's list and two heartbeats.
-	learnWithin = 3 * time.Second
-	// Path is where a Mesh is served.
+	discoveryTime = 3 * time.Second
+	// Path is the URL path at which a Mesh is served.
 	Path      = "/peer"
 	keyHeader = "Authorization"
 	keyPrefix = "Bearer "
 )
 
-// Handler gets what peers say. Its methods are called from many goroutines.
+// Handler handles the frames of peers. Its methods are called from many goroutines.
 type Handler interface {
-	// HandleFrame takes a frame from a peer.
+	// HandleFrame handles a frame from a peer.
 	HandleFrame(from string, f *protocol.PeerFrame)
-	// Heartbeat returns what to tell peers now.
+	// Heartbeat returns the next heartbeat for the peers.
 	Heartbeat() protocol.PeerHeartbeat
-	// UnresolvedWork returns what to tell a peer that has just been met of work that may end runners.
+	// UnresolvedWork returns the reports of unresolved work that may crash runners, for a peer that
+	// has just connected.
 	UnresolvedWork() []protocol.WorkReport
 }
 
-// Mesh is an entry's links to its peers. Set the exported fields before Start.
+// Mesh is the set of links from an entry to its peers. Set the exported fields before Start.
 type Mesh struct {
 	Self     protocol.Member
 	Key      string
-	TLS      *tls.Config // for dialling, nil for plain TCP
+	TLS      *tls.Config // for outgoing links, nil for plain TCP
 	Handler  Handler
 	Counters *metric.Set
 	Logger   *slog.Logger
-	// DropFrame, if set, is asked for each frame whether to lose it; for tests.
+	// DropFrame, if set, reports for each frame whether to drop it; for tests.
 	DropFrame func() bool
 
-	done      lifecycle.Done
-	mutex     sync.Mutex
-	table     member.Table
-	knowsFrom time.Time // from when entries that are not in the table are gone
-	links     map[string]*link
-	wanted    map[string]time.Time // until when a link is kept that was asked for
-	stops     bool
+	done         lifecycle.Done
+	mutex        sync.Mutex
+	table        member.Table
+	discoveryEnd time.Time // from when entries that are missing in the table count as gone
+	links        map[string]*link
+	requested    map[string]time.Time // by peer, until when a link that Send asked for is kept
+	leaving      bool
 }
 
-// Start begins to connect and to send heartbeats.
+// Start starts to connect to peers and to send heartbeats.
 func (m *Mesh) Start() {
 	m.mutex.Lock()
 	m.init()
-	m.knowsFrom = time.Now().Add(learnWithin)
+	m.discoveryEnd = time.Now().Add(discoveryTime)
 	m.mutex.Unlock()
 	go m.run()
 }
@@ -84,11 +85,11 @@
 func (m *Mesh) init() {
 	if m.links == nil {
 		m.links = map[string]*link{}
-		m.wanted = map[string]time.Time{}
+		m.requested = map[string]time.Time{}
 	}
 }
 
-// Close ends every link.
+// Close closes every link.
 func (m *Mesh) Close() {
 	m.done.Close()
 	m.mutex.Lock()
@@ -98,11 +99,11 @@
 	}
 }
 
-// Leave tells the peers that this entry takes no new work, so that others
-// take over what it ranks first for.
+// Leave tells the peers that this entry takes no new work, so that other entries take over the work
+// that it owns.
 func (m *Mesh) Leave() {
 	m.mutex.Lock()
-	m.stops = true
+	m.leaving = true
 	m.table.Forget(m.Self.Name)
 	m.mutex.Unlock()
 	m.SendHeartbeats()
@@ -110,27 +111,27 @@
 
 // SendHeartbeats sends a heartbeat on every link now.
 func (m *Mesh) SendHeartbeats() {
-	beat := m.Handler.Heartbeat()
+	heartbeat := m.Handler.Heartbeat()
 	m.mutex.Lock()
-	beat.Stopping = m.stops
+	heartbeat.Stopping = m.leaving
 	m.mutex.Unlock()
-	m.Broadcast(protocol.PeerFrame{Heartbeat: &beat})
+	m.Broadcast(protocol.PeerFrame{Heartbeat: &heartbeat})
 }
 
-// Send gives a frame to a peer's link and reports whether there is one. If
-// there is none it is opened for the next time.
+// Send queues a frame on the link to a peer and reports whether there is one. If there is none, it
+// is opened for later frames.
 func (m *Mesh) Send(to string, f protocol.PeerFrame) bool {
 	m.mutex.Lock()
 	l := m.links[to]
-	if l == nil && m.wanted != nil {
-		m.wanted[to] = time.Now().Add(wantedFor)
+	if l == nil && m.requested != nil {
+		m.requested[to] = time.Now().Add(requestedLinkTTL)
 		m.dialMissing(time.Now())
 	}
 	m.mutex.Unlock()
 	return l != nil && l.send(f)
 }
 
-// Broadcast gives a frame to every link.
+// Broadcast queues a frame on every link.
 func (m *Mesh) Broadcast(f protocol.PeerFrame) {
 	m.mutex.Lock()
 	links := make([]*link, 0, len(m.links))
@@ -143,25 +144,26 @@
 	}
 }
 
-// run keeps links and heartbeats going.
+// run maintains the links and sends heartbeats until the mesh is closed.
 func (m *Mesh) run() {
-	t := time.NewTicker(HeartbeatInterval)
-	defer t.Stop()
+	ticker := time.NewTicker(HeartbeatInterval)
+	defer ticker.Stop()
 	m.tick(time.Now())
 	for {
 		select {
 		case <-m.done.Done():
 			return
-		case now := <-t.C:
+		case now := <-ticker.C:
 			m.tick(now)
 		}
 	}
 }
 
+// tick closes silent links, opens missing ones and sends heartbeats.
 func (m *Mesh) tick(now time.Time) {
 	m.mutex.Lock()
 	for name, l := range m.links {
-		if l.silent(now) {
+		if l.isSilent(now) {
 			l.done.Close()
 			delete(m.links, name)
 			m.table.Suspect(name, now)
@@ -173,11 +175,11 @@
 	m.SendHeartbeats()
 }
 
-// dialMissing opens the links that should be there. The mutex is held.
+// dialMissing opens the links that are missing. The mutex is held.
 func (m *Mesh) dialMissing(now time.Time) {
 	peers := m.table.Peers(m.Self, now)
 	for _, k := range m.table.Alive(now) {
-		if now.Before(m.wanted[k.Name]) && k.Name != m.Self.Name {
+		if now.Before(m.requested[k.Name]) && k.Name != m.Self.Name {
 			peers = append(peers, k)
 		}
 	}
@@ -191,26 +193,26 @@
 	}
 }
 
-// opened registers a link under its peer's name.
-func (m *Mesh) opened(l *link) {
+// registerLink registers a link under its peer's name.
+func (m *Mesh) registerLink(l *link) {
 	m.mutex.Lock()
 	m.init()
 	old := m.links[l.name]
 	m.links[l.name] = l
-	if l.asked != l.name && m.links[l.asked] == l {
-		delete(m.links, l.asked) // a seed that now has a name
+	if l.dialedName != l.name && m.links[l.dialedName] == l {
+		delete(m.links, l.dialedName) // a seed entry whose name is known now
 	}
 	m.table.MarkAlive(l.name, time.Now())
 	m.mutex.Unlock()
 	if old != nil && old != l && old.isOpen() {
-		return // the second of two links that were dialled at once
+		return // both sides dialed at the same time; this is the second link
 	}
 	m.Counters.Add(metric.PeerConnections, 1)
 	event.PeerConnected.Log(m.Logger, slog.String("peer", l.name))
 }
 
-// lost removes a link that broke.
-func (m *Mesh) lost(l *link, err error) {
+// removeLink removes a broken link.
+func (m *Mesh) removeLink(l *link, err error) {
 	l.done.Close()
 	m.mutex.Lock()
 	current := m.links[l.name] == l
@@ -224,8 +226,8 @@
 	}
 }
 
-// heard notes a frame of a peer.
-func (m *Mesh) heard(l *link, f *protocol.PeerFrame) {
+// applyMembership updates the membership table with a frame of a peer.
+func (m *Mesh) applyMembership(l *link, f *protocol.PeerFrame) {
 	m.mutex.Lock()
 	if f.Hello != nil {
 		m.table.Learn([]protocol.Member{*f.Hello}, time.Now())
@@ -240,11 +242,11 @@
 	current := m.links[l.name]
 	m.mutex.Unlock()
 	if f.Heartbeat != nil && current != nil {
-		current.told.Store(f.Heartbeat.Version)
+		current.version.Store(f.Heartbeat.Version)
 	}
 	if current != nil && current != l {
-		// Both sides dialled at once: each sends on its own link, and a word on
-		// either is a sign of life for both.
-		current.note()
+		// Both sides dialed at the same time, and each sends on its own link. A frame on either
+		// shows that the peer is alive, for both links.
+		current.recordFrame()
 	}
 }
