--- a/transport/entry/membership.go
+++ b/transport/entry/membership.go
@@ -104,7 +104,7 @@
 	version, err := r.entry.platform.Put(ctx, protocol.ObjectEntry, r.entry.Settings.Name, r.version, value)
 	var conflict *platform.Conflict
 	if errors.As(err, &conflict) {
-		r.version = conflict.Held()
+		r.version = conflict.Version()
 		version, err = r.entry.platform.Put(ctx, protocol.ObjectEntry, r.entry.Settings.Name, r.version, value)
 	}
 	if err == nil {
--- a/transport/front/registration.go
+++ b/transport/front/registration.go
@@ -190,7 +190,7 @@
 	version, err := f.Dependencies.Objects.Put(ctx, entryKind, f.Settings.Name, r.version, value)
 	var conflict *platform.Conflict
 	if errors.As(err, &conflict) {
-		r.version = conflict.Held()
+		r.version = conflict.Version()
 		version, err = f.Dependencies.Objects.Put(ctx, entryKind, f.Settings.Name, r.version, value)
 	}
 	if err != nil {
--- a/transport/front/seed_entries.go
+++ b/transport/front/seed_entries.go
@@ -48,7 +48,7 @@
 	version, err := r.front.Dependencies.Objects.Put(ctx, seedEntriesKind, seedEntriesName, r.seedEntries.version, value)
 	var conflict *platform.Conflict
 	if errors.As(err, &conflict) {
-		r.seedEntries.version = conflict.Held() // the next read overwrites the object
+		r.seedEntries.version = conflict.Version() // the next read overwrites the object
 		return
 	}
 	if err != nil {
--- a/transport/platform/client.go
+++ b/transport/platform/client.go
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package platform speaks the platform's object API over HTTP.
+// Package platform is a client of the platform's object API over HTTP.
 //
-// Every write is conditional on the version that the writer has seen. A write
-// ends in one of four ways, told apart by type: done (nil), Conflict (another
-// version is there), Unavailable (it had no effect) or Uncertain (it may have
-// taken effect: read the object to find out).
+// Every write is conditional on the version that the writer has seen. A write has one of four
+// results, distinguished by type: success (nil), Conflict (the object has another version),
+// Unavailable (the write had no effect) or Uncertain (it may have taken effect; read the object to
+// find out).
 //
 //	version, err := client.Put(ctx, "claim", "0-17", 0, value)
 package platform
@@ -28,29 +28,29 @@
 )
 
 const (
-	// callLimit bounds one call; a watch may take watchLimit.
-	callLimit  = 2 * time.Second
-	watchLimit = 40 * time.Second
-	// maxListBytes bounds the answer to a list call.
+	// callTimeout bounds one call, and watchTimeout bounds a watch.
+	callTimeout  = 2 * time.Second
+	watchTimeout = 40 * time.Second
+	// maxListBytes bounds the response to a list call.
 	maxListBytes = 64 << 20
 )
 
-// Conflict says that the object has another version than the write named.
-type Conflict struct{ held uint64 }
+// Conflict reports that an object has another version than the write expected.
+type Conflict struct{ version uint64 }
 
-// Error tells the version held and the remedy.
+// Error names the current version and the remedy.
 func (c *Conflict) Error() string {
-	return fmt.Sprintf("the object is at version %d; read it and decide again", c.held)
+	return fmt.Sprintf("the object is at version %d; read it and decide again", c.version)
 }
 
-// Held returns the version in the platform, 0 when the object does not exist.
-func (c *Conflict) Held() uint64 { return c.held }
+// Version returns the version in the platform, 0 if the object does not exist.
+func (c *Conflict) Version() uint64 { return c.version }
 
-// Unavailable says that a call had no effect because the platform refused it or
-// could not be reached.
+// Unavailable reports that a call had no effect because the platform refused it or could not be
+// reached.
 type Unavailable struct{ cause error }
 
-// Error tells the cause and the remedy.
+// Error names the cause and the remedy.
 func (u *Unavailable) Error() string {
 	return "the platform does not answer: " + u.cause.Error() + "; try again later, nothing changed"
 }
@@ -58,10 +58,10 @@
 // Unwrap returns the cause.
 func (u *Unavailable) Unwrap() error { return u.cause }
 
-// Uncertain says that a write may have taken effect.
+// Uncertain reports that a write may have taken effect.
 type Uncertain struct{ cause error }
 
-// Error tells the cause and the remedy.
+// Error names the cause and the remedy.
 func (u *Uncertain) Error() string {
 	return "the platform's answer was lost: " + u.cause.Error() + "; read the object to see whether the write took effect"
 }
@@ -69,7 +69,7 @@
 // Unwrap returns the cause.
 func (u *Uncertain) Unwrap() error { return u.cause }
 
-// NotFound says that the object does not exist.
+// NotFound reports that an object does not exist.
 type NotFound struct{ kind, name string }
 
 // Error names the object and the remedy.
@@ -85,17 +85,17 @@
 	HTTP     http.Client
 }
 
-// Get returns an object, or NotFound.
+// Get returns an object, or *NotFound.
 func (c *Client) Get(ctx context.Context, kind, name string) (protocol.Object, error) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return c.read(ctx, kind, name, "")
 }
 
-// Watch returns the object once its version differs from known, or unchanged
-// when the platform ended the wait.
+// Watch returns the object once its version differs from known, or without a value if the platform
+// ended the wait first.
 func (c *Client) Watch(ctx context.Context, kind, name string, known uint64) (protocol.Object, error) {
-	ctx, cancel := context.WithTimeout(ctx, watchLimit)
+	ctx, cancel := context.WithTimeout(ctx, watchTimeout)
 	defer cancel()
 	o, err := c.read(ctx, kind, name, "?watch="+strconv.FormatUint(known, 10))
 	if o.Version == 0 && err == nil {
@@ -104,6 +104,7 @@
 	return o, err
 }
 
+// read gets one object and maps the response to an error type.
 func (c *Client) read(ctx context.Context, kind, name, query string) (protocol.Object, error) {
 	res, err := c.call(ctx, http.MethodGet, "/objects/"+kind+"/"+name+query, nil, "", "")
 	if err != nil {
@@ -126,26 +127,26 @@
 	}
 }
 
-// Put writes an object whose version is still known, 0 to create it, and
-// returns the new version.
+// Put writes an object if its version is still known, 0 to create it, and returns the new version.
 func (c *Client) Put(ctx context.Context, kind, name string, known uint64, value []byte) (uint64, error) {
 	return c.write(ctx, http.MethodPut, kind, name, known, value)
 }
 
-// Delete removes an object whose version is still known.
+// Delete removes an object if its version is still known.
 func (c *Client) Delete(ctx context.Context, kind, name string, known uint64) error {
 	_, err := c.write(ctx, http.MethodDelete, kind, name, known, nil)
 	return err
 }
 
+// write makes a conditional write and maps the response to an error type.
 func (c *Client) write(ctx context.Context, method, kind, name string, known uint64, value []byte) (uint64, error) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	header, tag := "If-Match", `"`+strconv.FormatUint(known, 10)+`"`
+	header, condition := "If-Match", `"`+strconv.FormatUint(known, 10)+`"`
 	if known == 0 {
-		header, tag = "If-None-Match", "*"
+		header, condition = "If-None-Match", "*"
 	}
-	res, err := c.call(ctx, method, "/objects/"+kind+"/"+name, value, header, tag)
+	res, err := c.call(ctx, method, "/objects/"+kind+"/"+name, value, header, condition)
 	if neverSent(err) {
 		return 0, &Unavailable{cause: err}
 	}
@@ -157,7 +158,7 @@
 	case http.StatusOK, http.StatusNoContent:
 		return versionOf(res), nil
 	case http.StatusPreconditionFailed:
-		return 0, &Conflict{held: versionOf(res)}
+		return 0, &Conflict{version: versionOf(res)}
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusBadRequest:
 		return 0, &Unavailable{cause: errors.New(res.Status)}
 	default:
@@ -172,15 +173,16 @@
 	return list, err
 }
 
-// VMs returns the platform's list of VMs, which lags behind the truth.
+// VMs returns the platform's list of VMs, which may be out of date.
 func (c *Client) VMs(ctx context.Context) ([]protocol.VM, error) {
 	var list []protocol.VM
 	err := c.readJSON(ctx, "/vms", &list)
 	return list, err
 }
 
+// readJSON gets a path and decodes the response.
 func (c *Client) readJSON(ctx context.Context, path string, into any) error {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	res, err := c.call(ctx, http.MethodGet, path, nil, "", "")
 	if err != nil {
@@ -196,16 +198,17 @@
 	return nil
 }
 
-func (c *Client) call(ctx context.Context, method, path string, value []byte, header, tag string) (*http.Response, error) {
+// call sends one request, with a conditional header unless header is empty, and counts it.
+func (c *Client) call(ctx context.Context, method, path string, value []byte, header, condition string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.Base+path, bytes.NewReader(value))
 	if err != nil {
 		return nil, err
 	}
 	if header != "" {
-		req.Header.Set(header, tag)
+		req.Header.Set(header, condition)
 	}
-	// A write whose answer is lost must come back as an error, so the client's
-	// own replay on a fresh connection has to stay off.
+	// A write whose response was lost must return an error. Without GetBody, the HTTP client does
+	// not replay the request on a new connection.
 	req.GetBody = nil
 	if c.Counters != nil {
 		c.Counters.Add(metric.PlatformCalls, 1)
@@ -217,13 +220,13 @@
 	return res, err
 }
 
+// versionOf returns the object version in the ETag header, 0 if there is none.
 func versionOf(res *http.Response) uint64 {
 	v, _ := strconv.ParseUint(strings.Trim(res.Header.Get("ETag"), `"`), 10, 64)
 	return v
 }
 
-// neverSent reports whether no connection was made, so that nothing can have
-// taken effect.
+// neverSent reports whether no connection was made, in which case the write has no effect.
 func neverSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
--- a/transport/platform/errors.go
+++ b/transport/platform/errors.go
@@ -2,12 +2,12 @@
 
 package platform
 
-// Compacted says that the platform no longer has the changes since a revision.
+// Compacted reports that the platform no longer has the changes since a revision.
 type Compacted struct{}
 
-// Error tells the remedy.
+// Error names the remedy.
 func (*Compacted) Error() string {
-	return "the platform forgot the changes since that revision; list the objects and watch from there"
+	return "the platform no longer has the changes since that revision; list the objects and watch from there"
 }
 
 // NewUnavailable returns the error of a call that had no effect.
@@ -16,12 +16,12 @@
 // NewUncertain returns the error of a write that may have taken effect.
 func NewUncertain(cause error) error { return &Uncertain{cause: cause} }
 
-// NewConflict returns the error of a write that met another version, 0 for none.
-func NewConflict(held uint64) error { return &Conflict{held: held} }
+// NewConflict returns the error of a write that found another version, 0 if the object does not
+// exist.
+func NewConflict(version uint64) error { return &Conflict{version: version} }
 
 // NewNotFound returns the error for an object that does not exist.
 func NewNotFound(kind, name string) error { return &NotFound{kind: kind, name: name} }
 
-// NeverSent reports whether no connection was made, so that nothing can have
-// taken effect.
+// NeverSent reports whether no connection was made, in which case the call has no effect.
 func NeverSent(err error) bool { return neverSent(err) }
