--- a/transport/forward/silence.go
+++ b/transport/forward/silence.go
@@ -21,16 +21,16 @@
 
 // The actions on a silence. Their texts appear in the log.
 const (
-	silenceBusy          silenceAction = "its runners are heard on other streams: wait"
-	silenceNotRepeatable silenceAction = "not repeatable: wait"
+	silenceBusy          silenceAction = "other streams hear its runners: wait"
+	silenceNotRepeatable silenceAction = "may not run twice: wait"
 	silenceHedged        silenceAction = "asked elsewhere already: wait"
-	silenceMaxAttempts   silenceAction = "no further attempt is allowed: wait"
-	silenceNoPath        silenceAction = "no healthy path elsewhere: wait"
+	silenceMaxAttempts   silenceAction = "no further send is allowed: wait"
+	silenceNoPath        silenceAction = "no sound path elsewhere: wait"
 	silenceNoBudget      silenceAction = "retry budget spent: wait"
 	silenceElsewhere     silenceAction = "ask elsewhere"
 	silenceNoGain        silenceAction = "slow, and no path is enough faster: wait"
-	silenceTooLate       silenceAction = "slow, and already too late: wait"
-	silenceQuarantined   silenceAction = "may crash its endpoint: no second attempt"
+	silenceTooLate       silenceAction = "slow, and late already: wait"
+	silenceQuarantined   silenceAction = "may end its endpoint: not at two"
 	silenceChanging      silenceAction = "change its path"
 )
 
