--- a/transport/front/dependencies.go
+++ b/transport/front/dependencies.go
@@ -28,7 +28,7 @@
 	director.Objects
 	// ListStale returns the objects of a kind as the platform held them some seconds ago.
 	ListStale(ctx context.Context, kind string) (protocol.Listing, error)
-	// PageStale returns the first page of ListLately that follows a name.
+	// PageStale returns the first page of ListStale that follows a name.
 	PageStale(ctx context.Context, kind, after string) (protocol.Page, error)
 	// GetStale returns an object as the platform held it some seconds ago.
 	GetStale(ctx context.Context, kind, name string) (protocol.Object, error)
