--- a/protocol/chat.go
+++ b/protocol/chat.go
@@ -9,8 +9,8 @@
 	"unicode/utf8"
 )
 
-// ChatRequest is the part of the widely used chat completion form that pinerun
-// acts on. Other fields are ignored.
+// ChatRequest is the subset of the OpenAI-style chat completion request that
+// pinerun uses. Other fields are ignored.
 type ChatRequest struct {
 	Model               string        `json:"model"`
 	Messages            []ChatMessage `json:"messages"`
@@ -25,14 +25,14 @@
 	Content string `json:"content"`
 }
 
-// DefaultMaxTokens is the longest answer to a request that names no limit.
+// DefaultMaxTokens is the maximum number of output tokens of a request that sets no limit.
 const DefaultMaxTokens = 256
 
-// ParseChat reads and checks a chat request.
+// ParseChat decodes and validates a chat request.
 func ParseChat(body []byte) (ChatRequest, error) {
 	var r ChatRequest
 	if err := json.Unmarshal(body, &r); err != nil {
-		return r, Refuse(MalformedRequest, chatMistake(err))
+		return r, Refuse(MalformedRequest, describeDecodeError(err))
 	}
 	switch {
 	case r.Model == "":
@@ -50,15 +50,16 @@
 	return r, nil
 }
 
-func chatMistake(err error) string {
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) {
-		return `"` + wrong.Field + `" holds a ` + wrong.Value + ` in place of a ` + wrong.Type.String()
+// describeDecodeError returns the message for a body that does not decode.
+func describeDecodeError(err error) string {
+	var typeError *json.UnmarshalTypeError
+	if errors.As(err, &typeError) {
+		return `"` + typeError.Field + `" holds a ` + typeError.Value + ` in place of a ` + typeError.Type.String()
 	}
 	return "the body is not JSON: " + err.Error()
 }
 
-// TokenLimit returns the most tokens to answer with.
+// TokenLimit returns the maximum number of output tokens.
 func (r *ChatRequest) TokenLimit() int {
 	if r.MaxCompletionTokens > 0 {
 		return r.MaxCompletionTokens
@@ -69,8 +70,8 @@
 	return DefaultMaxTokens
 }
 
-// Prompt returns the conversation as tokens. The tokenizer is bytes: one token
-// for each byte, as every model that pinerun has met so far takes.
+// Prompt returns the conversation as tokens. The tokenizer produces one token per
+// byte, which all currently served models accept.
 func (r *ChatRequest) Prompt() []int32 {
 	var text strings.Builder
 	for _, m := range r.Messages {
@@ -86,7 +87,7 @@
 	return tokens
 }
 
-// Text returns tokens as text.
+// Text decodes tokens into text. It is the inverse of the tokenizer used by Prompt.
 func Text(tokens []int32) string {
 	b := make([]byte, len(tokens))
 	for i, t := range tokens {
--- a/protocol/claim.go
+++ b/protocol/claim.go
@@ -7,10 +7,11 @@
 	"encoding/binary"
 )
 
-// ClaimKey names a keyed request of one team: a hash of both.
+// ClaimKey identifies an idempotent request of a team. It is a hash of the team
+// and its Idempotency-Key.
 type ClaimKey [16]byte
 
-// NewClaimKey returns the key of a team's Idempotency-Key.
+// NewClaimKey returns the claim key for a team's Idempotency-Key.
 func NewClaimKey(team, key string) ClaimKey {
 	h := sha256.New()
 	_ = binary.Write(h, binary.BigEndian, uint32(len(team)))
@@ -19,55 +20,55 @@
 	return ClaimKey(h.Sum(nil)[:16])
 }
 
-// Shard returns the claim shard of the key among that many.
+// Shard returns the index of the claim shard of the key, out of shards.
 func (k ClaimKey) Shard(shards int) int {
 	return int(binary.BigEndian.Uint32(k[:4]) % uint32(shards))
 }
 
-// ClaimKind tells the records of a claim log apart.
+// ClaimKind is the kind of a claim record.
 type ClaimKind uint8
 
 // The kinds of claim records.
 const (
 	ClaimTaken     ClaimKind = iota // the claimant may run the request
-	ClaimReleased                   // the claimant has not run it and never will
-	ClaimSettled                    // it ran; the record holds the answer if small
-	ClaimUncertain                  // the claimant can't tell whether it ran
+	ClaimReleased                   // the claimant has not run the request and will not
+	ClaimSettled                    // the request ran; the record holds the answer if it is small
+	ClaimUncertain                  // the claimant can't tell whether the request ran
 )
 
-// ClaimRecord is one line of a claim log.
+// ClaimRecord is one record of a claim log.
 type ClaimRecord struct {
 	_           struct{} `cbor:",toarray"`
 	Kind        ClaimKind
 	Key         ClaimKey
-	Digest      uint64 // of the request, to refuse another one under the same key
-	Claimant    uint64 // drawn anew for each try of a caller
-	IssuedMS    int64  // unix milliseconds at which the caller first issued it
+	Digest      uint64 // of the request, to refuse a different request under the same key
+	Claimant    uint64 // random for each attempt of a caller
+	IssuedMS    int64  // Unix milliseconds at which the caller first issued the request
 	Status      int
 	Type        string
 	Answer      []byte
-	Holder      string // the entry that took the claim
-	Incarnation uint64 // the holder's incarnation, so that its next life is told apart
+	Holder      string // the entry that holds the claim
+	Incarnation uint64 // of the holder, to distinguish it from the same entry after a restart
 }
 
-// ClaimBatch is the value of one log slot: the records that were made durable
-// by one write. Sequence counts the batches of a shard from 0.
+// ClaimBatch is the value of one log slot: the records made durable by one write.
+// Sequence counts the batches of a shard from 0.
 type ClaimBatch struct {
 	_        struct{} `cbor:",toarray"`
 	Sequence uint64
 	Records  []ClaimRecord
 }
 
-// EncodeClaims returns a batch's bytes.
+// EncodeClaims encodes a batch.
 func EncodeClaims(b ClaimBatch) ([]byte, error) { return encoder.Marshal(b) }
 
-// DecodeClaims reads a batch.
+// DecodeClaims decodes and validates a batch.
 func DecodeClaims(b []byte) (ClaimBatch, error) {
 	var batch ClaimBatch
 	err := decodeFrame("claim", b, &batch)
 	for i := range batch.Records {
 		if batch.Records[i].Kind > ClaimUncertain {
-			err = &FrameError{what: "claim"}
+			err = &FrameError{kind: "claim"}
 		}
 	}
 	if err != nil {
--- a/protocol/config.go
+++ b/protocol/config.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// PartKind tells the sorts of configuration parts apart.
+// PartKind is the kind of a configuration part.
 type PartKind string
 
-// The sorts of parts that a manifest may list.
+// The kinds of parts that a manifest may list.
 const (
 	TeamPart     PartKind = "team"
 	ModelPart    PartKind = "model"
@@ -20,33 +20,33 @@
 	OperatorPart PartKind = "operator"
 )
 
-// PartRef names one immutable part by the hash of its content.
+// PartRef refers to an immutable part by the hash of its content.
 type PartRef struct {
 	Kind PartKind `json:"kind"`
 	Name string   `json:"name"`
 	Hash string   `json:"hash"`
 }
 
-// Manifest lists the parts that are in force together. Its version only rises;
-// replacing it in the platform is what accepts a configuration.
+// Manifest lists the parts that are in force together. Its version only increases.
+// Replacing the manifest in the platform puts a new configuration in force.
 type Manifest struct {
 	Version uint64    `json:"version"`
 	Plan    string    `json:"plan"`
 	Author  string    `json:"author"`
 	Parts   []PartRef `json:"parts"`
-	// Accepted names the last plans that were accepted, the newest first.
+	// Accepted lists the most recently accepted plans, newest first.
 	Accepted []AcceptedPlan `json:"accepted,omitempty"`
 }
 
-// AcceptedPlan is a plan and the version that accepted it.
+// AcceptedPlan is a plan and the manifest version that put it in force.
 type AcceptedPlan struct {
 	Plan    string `json:"plan"`
 	Version uint64 `json:"version"`
 }
 
-// Team is one of the operator's callers, with the hashes of its bearer keys.
-// Share is its weight among teams; Open bounds its open requests at all entries
-// together. Priority 0 is the most urgent.
+// Team is a team of callers, with the hashes of its bearer keys. Share is its
+// weight among teams. MaxOpen limits its open requests at all entries together.
+// Priority 0 is the most urgent.
 type Team struct {
 	Name      string   `json:"name" validate:"required"`
 	KeyHashes []string `json:"key_hashes" validate:"required,dive,len=64,hexadecimal"`
@@ -55,10 +55,10 @@
 	MaxOpen   int      `json:"open" validate:"gt=0"`
 }
 
-// Model is one served model version. Open bounds the requests of the model that
-// all entries together run at once; Context bounds prompt plus answer tokens.
-// GapMS is the mean gap between tokens, in milliseconds, that admission holds
-// under load; 0 means DefaultGapMS.
+// Model is a served model version. MaxOpen limits the requests of the model that
+// all entries together run concurrently. Context limits the sum of prompt and
+// output tokens. TokenIntervalMS is the mean time between output tokens, in
+// milliseconds, that admission maintains under load; 0 means DefaultTokenIntervalMS.
 type Model struct {
 	Name            string `json:"name" validate:"required"`
 	Version         string `json:"version" validate:"required"`
@@ -68,10 +68,10 @@
 	TokenIntervalMS int    `json:"gap_ms" validate:"gte=0"`
 }
 
-// DefaultTokenIntervalMS is the gap between tokens that a model aims at.
+// DefaultTokenIntervalMS is the default target time between output tokens.
 const DefaultTokenIntervalMS = 60
 
-// TokenInterval returns the gap between tokens that the model aims at.
+// TokenInterval returns the target time between output tokens.
 func (m Model) TokenInterval() time.Duration {
 	if m.TokenIntervalMS == 0 {
 		return DefaultTokenIntervalMS * time.Millisecond
@@ -79,15 +79,15 @@
 	return time.Duration(m.TokenIntervalMS) * time.Millisecond
 }
 
-// Service is a plain service beside the engines. Repeatable says whether its
-// calls may be tried twice when the caller does not say.
+// Service is an HTTP service that is not a model engine. Repeatable reports whether
+// its calls may be retried when the caller does not say.
 type Service struct {
 	Name       string            `json:"name" validate:"required"`
 	Repeatable bool              `json:"repeatable"`
 	Endpoints  []ServiceEndpoint `json:"endpoints" validate:"required,dive"`
 }
 
-// ServiceEndpoint is one place where a plain service is reached, by IP number.
+// ServiceEndpoint is an address of a service. The host is an IP address.
 type ServiceEndpoint struct {
 	Name       string `json:"name" validate:"required"`
 	VM         string `json:"vm" validate:"required"`
@@ -95,8 +95,8 @@
 	Address    string `json:"address" validate:"required,hostname_port"`
 }
 
-// Runner is one engine that holds the layers [From, To) of a model. Speed is in
-// layer passes a second: one layer run over one position.
+// Runner is an engine that holds the layers [From, To) of a model. Speed is in layer
+// passes per second; a layer pass runs one layer over one position.
 type Runner struct {
 	Name        string  `json:"name" validate:"required"`
 	VM          string  `json:"vm" validate:"required"`
@@ -109,13 +109,13 @@
 	Epoch       uint64  `json:"epoch"`
 	Speed       float64 `json:"speed" validate:"gt=0"`
 	Link        string  `json:"link" validate:"omitempty,oneof=near far slow"`
-	Drain       bool    `json:"drain,omitempty"` // takes no new work
-	// StepSeconds is the seconds that a written token takes in one layer; 0 is unknown.
+	Drain       bool    `json:"drain,omitempty"` // accepts no new work
+	// StepSeconds is the time one output token takes in one layer, in seconds; 0 is unknown.
 	StepSeconds float64 `json:"step,omitempty" validate:"gte=0"`
-	// Capacity is how many tokens of requests fit beside the layers; 0 is unknown.
+	// Capacity is the number of request tokens that fit into memory beside the layers; 0 is unknown.
 	Capacity float64 `json:"room,omitempty" validate:"gte=0"`
-	// Restarts is how often the endpoint is known to have started again under its name. What
-	// was measured of an earlier life says nothing of the present one.
+	// Restarts is how often the endpoint is known to have restarted under its name.
+	// Measurements of an earlier incarnation do not apply to the current one.
 	Restarts int `json:"-"`
 }
 
@@ -125,18 +125,18 @@
 	Runners []Runner `json:"runners" validate:"dive"`
 }
 
-// Operator is a person who may state intents. Role is "viewer" or "editor".
+// Operator is a person who may submit intents. Role is "viewer" or "editor".
 type Operator struct {
 	Name    string `json:"name" validate:"required"`
 	KeyHash string `json:"key_hash" validate:"required,len=64,hexadecimal"`
 	Role    string `json:"role" validate:"oneof=viewer editor"`
 }
 
-// HashPart returns the content hash that names a part.
+// HashPart returns the content hash that identifies a part.
 func HashPart(content []byte) string {
 	sum := sha256.Sum256(content)
 	return hex.EncodeToString(sum[:])
 }
 
-// HashKey returns the hash of a bearer key as the configuration holds it.
+// HashKey returns the hash of a bearer key as it is stored in the configuration.
 func HashKey(key string) string { return HashPart([]byte(key)) }
--- a/protocol/doc.go
+++ b/protocol/doc.go
@@ -1,11 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package protocol holds the typed messages of pinerun and the words that
-// every layer shares: outcomes, error kinds, spans of layers and identifiers.
+// Package protocol defines the messages of pinerun and the types that all its
+// packages share: request outcomes, kinds of refusals, layer ranges and
+// identifiers.
 //
-// Messages that cross the network have exported fields, because the codecs
-// need them; everything else in the project hides its fields. A refusal always
-// says three things, and a caller can act on each of them:
+// Message types have exported fields because the codecs need them. Other types
+// of the project keep their fields unexported. A refusal carries its kind, the
+// outcome of the request and a remedy:
 //
 //	r := protocol.Refuse(protocol.UnknownModel, "model \"fares\" is not configured")
 //	r.Outcome() // protocol.NotRun: it is safe to send the request again
--- a/protocol/engine.go
+++ b/protocol/engine.go
@@ -8,12 +8,12 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds of one frame between an entry and an engine. A frame beyond them is
-// refused before its content is built.
+// Limits of a frame between an entry and an engine. A larger frame is rejected
+// before its content is decoded.
 const (
 	MaxFrameBytes = 4 << 20
 	maxFrameItems = 16384
-	// HiddenStateBytes is the size of one position's hidden state on the wire.
+	// HiddenStateBytes is the encoded size of the hidden state of one position.
 	HiddenStateBytes = 8
 )
 
@@ -24,21 +24,23 @@
 	To   int
 }
 
-// Layers returns how many layers the span covers.
+// Layers returns the number of layers in the range.
 func (s Span) Layers() int { return s.To - s.From }
 
-// Valid reports whether the span lies within a model of that many layers.
+// Valid reports whether the range lies within a model of that many layers.
 func (s Span) Valid(layers int) bool { return s.From >= 0 && s.From < s.To && s.To <= layers }
 
-// String returns the span as "[From,To)".
+// String returns the range as "[From,To)".
 func (s Span) String() string { return fmt.Sprintf("[%d,%d)", s.From, s.To) }
 
 // Step asks an engine to run its layers over Count positions of one sequence,
-// starting at Position. The first stage gets Tokens, later stages get Hidden
-// (HiddenBytes for each position). Attempt fences: an engine that has seen a
-// higher attempt of the request ignores the step. Number tells an attempt's
-// steps apart and comes back in the reply, so that a reply with a wrong position
-// can't pass for that of a later step.
+// starting at Position. The first stage receives Tokens; later stages receive Hidden,
+// with HiddenStateBytes per position.
+//
+// Attempt is a fencing token: an engine that has seen a higher attempt of the request
+// ignores the step. Number identifies the step within its attempt and is repeated in
+// the reply, so that a reply with a wrong position is not taken for the reply to a
+// later step.
 type Step struct {
 	_        struct{} `cbor:",toarray"`
 	Request  RequestID
@@ -53,20 +55,20 @@
 	Hidden   []byte
 }
 
-// Fault is what an engine says when it did not run a step.
+// Fault is the reason an engine gives for not running a step.
 type Fault uint8
 
-// The faults of a step. FaultNone means that the step ran.
+// The faults of a step.
 const (
-	FaultNone         Fault = iota
-	FaultWrongLayers        // the engine holds other layers, or another epoch of them
-	FaultCacheMissing       // the engine has no KV cache up to this position
-	FaultFenced             // a higher attempt of the request was seen
-	FaultLeaving            // the engine is leaving and takes no new sequence
-	FaultOverload           // the engine's queue is full
+	FaultNone         Fault = iota // the step ran
+	FaultWrongLayers               // the engine holds other layers, or another epoch of them
+	FaultCacheMissing              // the engine has no KV cache up to this position
+	FaultFenced                    // the engine has seen a higher attempt of the request
+	FaultLeaving                   // the engine is leaving and accepts no new sequence
+	FaultOverload                  // the engine's queue is full
 )
 
-// String returns the fault in words.
+// String returns a description of the fault.
 func (f Fault) String() string {
 	switch f {
 	case FaultNone:
@@ -86,8 +88,8 @@
 	}
 }
 
-// Reply is an engine's answer to one step: the range that it ran, and either
-// the hidden states for the next stage or, after the last layer, the token.
+// Reply is an engine's answer to one step. It has the positions that ran and either
+// the hidden states for the next stage or, after the last layer, the output token.
 type Reply struct {
 	_        struct{} `cbor:",toarray"`
 	Request  RequestID
@@ -102,21 +104,22 @@
 	Token    int32
 }
 
-// Cancel tells an engine to forget a request up to and including an attempt.
+// Cancel tells an engine to drop the state of a request for all attempts up to and
+// including Attempt.
 type Cancel struct {
 	_       struct{} `cbor:",toarray"`
 	Request RequestID
 	Attempt uint32
 }
 
-// StepFrame carries many steps and cancels to one engine.
+// StepFrame is a batch of steps and cancels for one engine.
 type StepFrame struct {
 	_       struct{} `cbor:",toarray"`
 	Steps   []Step
 	Cancels []Cancel
 }
 
-// ReplyFrame carries many replies from one engine, and now and then its load.
+// ReplyFrame is a batch of replies from one engine. Report is set from time to time.
 type ReplyFrame struct {
 	_       struct{} `cbor:",toarray"`
 	Replies []Reply
@@ -131,7 +134,7 @@
 func mustEncoder() cbor.EncMode {
 	mode, err := cbor.EncOptions{}.EncMode()
 	if err != nil {
-		panic(err) // constant options: a programming error
+		panic(err) // the options are constant
 	}
 	return mode
 }
@@ -145,74 +148,75 @@
 		ExtraReturnErrors: cbor.ExtraDecErrorUnknownField,
 	}.DecMode()
 	if err != nil {
-		panic(err) // constant options: a programming error
+		panic(err) // the options are constant
 	}
 	return mode
 }
 
-// FrameError is the error for bytes that are no valid frame.
+// FrameError is the error for bytes that are not a valid frame.
 type FrameError struct {
-	what  string
+	kind  string
 	cause error
 }
 
-// Error names the frame and the remedy.
-func (b *FrameError) Error() string {
-	text := "broken " + b.what + " frame"
-	if b.cause != nil {
-		text += ": " + b.cause.Error()
+// Error returns the kind of frame, the cause and the remedy.
+func (e *FrameError) Error() string {
+	text := "broken " + e.kind + " frame"
+	if e.cause != nil {
+		text += ": " + e.cause.Error()
 	}
 	return text + "; close the connection and open a new one"
 }
 
 // Unwrap returns the decoder's error, or nil.
-func (b *FrameError) Unwrap() error { return b.cause }
+func (e *FrameError) Unwrap() error { return e.cause }
 
-// EncodeSteps returns the frame's bytes.
+// EncodeSteps encodes a frame of steps.
 func EncodeSteps(f StepFrame) ([]byte, error) { return encoder.Marshal(f) }
 
-// EncodeReplies returns the frame's bytes.
+// EncodeReplies encodes a frame of replies.
 func EncodeReplies(f ReplyFrame) ([]byte, error) { return encoder.Marshal(f) }
 
-// DecodeSteps reads a frame and checks each step's shape.
+// DecodeSteps decodes a frame and validates each step.
 func DecodeSteps(b []byte) (StepFrame, error) {
 	var f StepFrame
 	if err := decodeFrame("step", b, &f); err != nil {
 		return StepFrame{}, err
 	}
 	for i := range f.Steps {
-		if !f.Steps[i].wellFormed() {
-			return StepFrame{}, &FrameError{what: "step"}
+		if !f.Steps[i].valid() {
+			return StepFrame{}, &FrameError{kind: "step"}
 		}
 	}
 	return f, nil
 }
 
-// DecodeReplies reads a frame and checks each reply's shape.
+// DecodeReplies decodes a frame and validates each reply.
 func DecodeReplies(b []byte) (ReplyFrame, error) {
 	var f ReplyFrame
 	if err := decodeFrame("reply", b, &f); err != nil {
 		return ReplyFrame{}, err
 	}
 	for i := range f.Replies {
-		if !f.Replies[i].wellFormed() {
-			return ReplyFrame{}, &FrameError{what: "reply"}
+		if !f.Replies[i].valid() {
+			return ReplyFrame{}, &FrameError{kind: "reply"}
 		}
 	}
 	return f, nil
 }
 
-func decodeFrame(what string, b []byte, into any) error {
+func decodeFrame(kind string, b []byte, into any) error {
 	if len(b) > MaxFrameBytes {
-		return &FrameError{what: what}
+		return &FrameError{kind: kind}
 	}
 	if err := decoder.Unmarshal(b, into); err != nil {
-		return &FrameError{what: what, cause: err}
+		return &FrameError{kind: kind, cause: err}
 	}
 	return nil
 }
 
-func (s *Step) wellFormed() bool {
+// valid reports whether the positions, layers and payload of the step are consistent.
+func (s *Step) valid() bool {
 	if s.Position < 0 || s.Count <= 0 || s.Span.From < 0 || s.Span.From >= s.Span.To {
 		return false
 	}
@@ -222,7 +226,8 @@
 	return len(s.Hidden) == s.Count*HiddenStateBytes
 }
 
-func (r *Reply) wellFormed() bool {
+// valid reports whether the positions, layers and hidden states of the reply are consistent.
+func (r *Reply) valid() bool {
 	if r.Fault != FaultNone {
 		return true
 	}
@@ -232,8 +237,8 @@
 	return len(r.Hidden) == 0 || len(r.Hidden) == r.Count*HiddenStateBytes
 }
 
-// LoadReport is what an engine says about itself, with a lag. Queued counts
-// layer passes (positions times layers) that wait or run.
+// LoadReport is the state that an engine reports about itself, with a delay. Queued
+// is the number of layer passes (positions times layers) that wait or run.
 type LoadReport struct {
 	Runner  string `json:"runner"`
 	Epoch   uint64 `json:"epoch"`
@@ -243,6 +248,6 @@
 	Streams int    `json:"streams"`
 	Leaving bool   `json:"leaving"`
 	UnixMS  int64  `json:"unix_ms"`
-	// Incarnation tells this process from the runner's next one; an engine need not tell.
+	// Incarnation distinguishes this process of the runner from a restarted one. It is optional.
 	Incarnation Incarnation `json:"started_ms,omitempty"`
 }
--- a/protocol/fingerprint.go
+++ b/protocol/fingerprint.go
@@ -7,22 +7,22 @@
 	"encoding/hex"
 )
 
-// fingerprintBytes is the length of a Fingerprint: 128 bits, so that no team can make a request
-// whose fingerprint is that of another one.
+// fingerprintBytes is the length of a Fingerprint. With 128 bits, no team can craft a
+// request whose fingerprint equals that of another request.
 const fingerprintBytes = 16
 
-// Fingerprint tells the same work from other work, whichever entry it comes to and whatever ID
-// its try has: it is a hash of who asks, for what, and with which body. The zero value is of no
-// request.
+// Fingerprint identifies the content of a request, independent of the entry that receives it
+// and of the ID of the attempt. It is a hash of the team, method, host, target and body. The
+// zero value stands for no request.
 type Fingerprint [fingerprintBytes]byte
 
-// FingerprintOf returns the fingerprint of a request. The team is "" where callers have no keys;
-// the target is the path with its query as the caller sent it.
+// FingerprintOf returns the fingerprint of a request. The team is "" where callers have no keys.
+// The target is the path with its query as the caller sent it.
 func FingerprintOf(team, method, host, target string, body []byte) Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{team, method, host, target} {
 		h.Write([]byte(part))
-		h.Write([]byte{0}) // none of them holds one
+		h.Write([]byte{0}) // a separator that occurs in none of the fields
 	}
 	h.Write(body)
 	var f Fingerprint
@@ -30,7 +30,7 @@
 	return f
 }
 
-// ParseFingerprint returns the fingerprint that String wrote, and whether the text is one.
+// ParseFingerprint parses the output of String and reports whether the text is valid.
 func ParseFingerprint(text string) (Fingerprint, bool) {
 	var f Fingerprint
 	if hex.DecodedLen(len(text)) != len(f) {
@@ -42,8 +42,8 @@
 	return f, !f.IsZero()
 }
 
-// IsZero reports whether it is of no request.
+// IsZero reports whether f is the zero fingerprint.
 func (f Fingerprint) IsZero() bool { return f == Fingerprint{} }
 
-// String returns it in hexadecimal.
+// String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
--- a/protocol/fingerprint_test.go
+++ b/protocol/fingerprint_test.go
@@ -10,22 +10,22 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-func TestAFingerprintTellsWorkApart(t *testing.T) {
+func TestFingerprintDiffersByField(t *testing.T) {
 	same := protocol.FingerprintOf("team", "POST", "host", "/a?x", []byte("body"))
 	require.Equal(t, same, protocol.FingerprintOf("team", "POST", "host", "/a?x", []byte("body")))
 	for what, other := range map[string]protocol.Fingerprint{
-		"the team":       protocol.FingerprintOf("meat", "POST", "host", "/a?x", []byte("body")),
-		"the method":     protocol.FingerprintOf("team", "PUT", "host", "/a?x", []byte("body")),
-		"the host":       protocol.FingerprintOf("team", "POST", "tsoh", "/a?x", []byte("body")),
-		"the target":     protocol.FingerprintOf("team", "POST", "host", "/a?y", []byte("body")),
-		"the body":       protocol.FingerprintOf("team", "POST", "host", "/a?x", []byte("ydob")),
-		"where one ends": protocol.FingerprintOf("team", "POST", "hos", "t/a?x", []byte("body")),
+		"the team":           protocol.FingerprintOf("meat", "POST", "host", "/a?x", []byte("body")),
+		"the method":         protocol.FingerprintOf("team", "PUT", "host", "/a?x", []byte("body")),
+		"the host":           protocol.FingerprintOf("team", "POST", "tsoh", "/a?x", []byte("body")),
+		"the target":         protocol.FingerprintOf("team", "POST", "host", "/a?y", []byte("body")),
+		"the body":           protocol.FingerprintOf("team", "POST", "host", "/a?x", []byte("ydob")),
+		"the field boundary": protocol.FingerprintOf("team", "POST", "hos", "t/a?x", []byte("body")),
 	} {
 		require.NotEqual(t, same, other, what)
 	}
 }
 
-func TestAFingerprintIsReadBack(t *testing.T) {
+func TestFingerprintRoundTrip(t *testing.T) {
 	f := protocol.FingerprintOf("", "GET", "host", "/", nil)
 	back, ok := protocol.ParseFingerprint(f.String())
 	require.True(t, ok)
--- a/protocol/forward.go
+++ b/protocol/forward.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// RequestTerms is what a caller asks for beside the request itself. Deadline is
-// zero when there is none. AnswerTokens is the caller's guess, or the most.
+// RequestTerms holds what a caller specifies in addition to the request. A zero Deadline
+// means none. AnswerTokens is the caller's estimate or its maximum.
 type RequestTerms struct {
 	RequestID    string
 	Deadline     time.Time
@@ -15,15 +15,15 @@
 	AnswerTokens int
 }
 
-// AttemptTerms is what an endpoint is told beside the request itself. Path is empty
-// for a plain service.
+// AttemptTerms holds what an endpoint receives in addition to the request. Path is empty
+// for a service that is not a model engine.
 type AttemptTerms struct {
 	EndpointID  string
 	Team        string
 	Deadline    time.Time
 	LastEvent   string
 	Path        []PathStage
-	HasPriority bool // whether Urgency is told
+	HasPriority bool // whether Priority is sent
 	Priority    int  // 0 is the most urgent, 9 the least
 }
 
@@ -33,42 +33,42 @@
 	Layers  Span
 }
 
-// AnswerTerms is what an endpoint says of a request in the head of its answer.
+// AnswerTerms holds what an endpoint reports about a request in its response headers.
 type AnswerTerms struct {
 	RequestID string
-	Signed    bool   // the answer is the endpoint's own
-	NotRun    bool   // the request did not run there and never will
-	AtFault   string // address of the engine of the path that could not run it
-	// EndpointID is the ID of the endpoint that answered, "" if it does not tell. It differs
-	// from the one asked for when another process has its address.
+	Signed    bool   // the endpoint itself wrote the answer
+	NotRun    bool   // the request did not run there and will not
+	AtFault   string // address of the engine of the path that could not run the request
+	// EndpointID is the ID of the endpoint that answered, "" if unknown. It differs from the
+	// requested one when another process has its address.
 	EndpointID string
 }
 
-// PlacementOrder tells an engine to hold a span of layers. Orders is how many orders
-// the engine is expected to have taken before.
+// PlacementOrder tells an engine to hold a range of layers. PriorOrders is how many orders
+// the engine is expected to have accepted before.
 type PlacementOrder struct {
 	EndpointID  string
 	Address     string
 	Layers      Span
 	Epoch       uint64
 	PriorOrders int
-	Abort       bool // break off what passes through the layers given up, instead of waiting for it
+	Abort       bool // abort requests that use removed layers instead of waiting for them
 }
 
-// OrderAnswer is what became of an order.
+// OrderAnswer is the result of an order.
 type OrderAnswer uint8
 
-// An order that was not answered may be carried out later, or never.
+// The results of an order. The engine may execute an unanswered order later, or never.
 const (
 	OrderUnanswered OrderAnswer = iota
-	OrderStarted
-	OrderFulfilled
+	OrderStarted                // the engine has begun to execute the order
+	OrderFulfilled              // the engine already holds the layers
 	OrderRefused
 )
 
-// PathChangeOrder tells the first engine of a path to run a request over another path from now
-// on, with the same first stage. Stages that both paths have keep what they hold of the
-// request, the others read it.
+// PathChangeOrder tells the first engine of a path to run a request over another path from
+// now on, with the same first stage. Stages that are on both paths keep their state of the
+// request; the other stages prefill it.
 type PathChangeOrder struct {
 	EndpointID string // of the first engine
 	Address    string // of the first engine
@@ -76,24 +76,24 @@
 	Path       []PathStage
 }
 
-// PathAnswer is what became of an order to change a path: PathTaken, PathUnknown,
-// PathUnfit, PathRefused or PathUnanswered.
+// PathAnswer is the result of an order to change a path: PathAccepted, PathUnknown,
+// PathStageUnavailable, PathRefused or PathUnanswered.
 type PathAnswer interface{ pathAnswer() }
 
-// PathAccepted says that the request runs over the new path from now on.
+// PathAccepted means that the request runs over the new path from now on.
 type PathAccepted struct{}
 
-// PathUnknown says that the engine has no such request.
+// PathUnknown means that the engine has no such request.
 type PathUnknown struct{}
 
-// PathStageUnavailable says that a stage can't take the request: it does not hold its layers or has
-// no room. Address is the stage's, "" if it is not told.
+// PathStageUnavailable means that a stage can't run the request because it does not hold
+// its layers or lacks capacity. Address is that of the stage, "" if unknown.
 type PathStageUnavailable struct{ Address string }
 
-// PathRefused says that the engine did not take the order for another reason.
+// PathRefused means that the engine rejected the order for another reason.
 type PathRefused struct{ Cause error }
 
-// PathUnanswered says that the order may have been taken, or may be yet.
+// PathUnanswered means that the engine may have accepted the order, or may still accept it.
 type PathUnanswered struct{ Cause error }
 
 func (PathAccepted) pathAnswer()         {}
--- a/protocol/id.go
+++ b/protocol/id.go
@@ -12,24 +12,24 @@
 
 const requestPrefix = "r-"
 
-// RequestID names one request over all entries. It is random, never zero.
+// RequestID identifies a request across all entries. It is random and never zero.
 type RequestID uint64
 
-// NewRequestID returns an id from the system's random source.
+// NewRequestID returns a random request ID.
 func NewRequestID() RequestID {
 	var b [8]byte
 	for {
-		_, _ = rand.Read(b[:]) // never fails, says crypto/rand
+		_, _ = rand.Read(b[:]) // documented never to fail
 		if id := binary.LittleEndian.Uint64(b[:]); id != 0 {
 			return RequestID(id)
 		}
 	}
 }
 
-// String returns the id as callers see it, like "r-00c0ffee00c0ffee".
+// String returns the ID as callers see it, like "r-00c0ffee00c0ffee".
 func (r RequestID) String() string { return fmt.Sprintf("%s%016x", requestPrefix, uint64(r)) }
 
-// ParseRequestID reads what String wrote.
+// ParseRequestID parses the output of String.
 func ParseRequestID(s string) (RequestID, error) {
 	digits, ok := strings.CutPrefix(s, requestPrefix)
 	n, err := strconv.ParseUint(digits, 16, 64)
--- a/protocol/kind.go
+++ b/protocol/kind.go
@@ -4,11 +4,11 @@
 
 import "net/http"
 
-// Kind tells one sort of refusal from another. Each has an HTTP status, a
-// counter of its own and a remedy for the caller.
+// Kind is the kind of a refusal. Each kind has an HTTP status, a counter and a
+// remedy for the caller.
 type Kind string
 
-// The kinds of refusals, as callers read them in the field "kind".
+// The kinds of refusals, as sent in the field "kind" of an error.
 const (
 	MalformedRequest    Kind = "malformed_request"
 	RequestLate         Kind = "request_late"
--- a/protocol/loss.go
+++ b/protocol/loss.go
@@ -2,20 +2,18 @@
 
 package protocol
 
-// LossObservation is what an entry met at an endpoint that may be lost.
+// LossObservation is what an entry observed at an endpoint that may be lost.
 type LossObservation uint8
 
-// The signs: its port refused a connection, so that the process is gone; it did not answer
-// a question that takes some ms; it answered after all; what answers at its address is
-// another process, or holds other layers than its record says.
+// The observations of a loss.
 const (
-	LossRefused LossObservation = iota + 1
-	LossSilent
-	LossAnswered
-	LossMismatch
+	LossRefused  LossObservation = iota + 1 // its port refused a connection, so the process is gone
+	LossSilent                              // it did not answer a probe that takes a few ms
+	LossAnswered                            // it answered after all
+	LossMismatch                            // another process answers at its address, or it holds other layers than its record says
 )
 
-// String returns the sign as logs say it.
+// String returns the observation as it appears in logs.
 func (s LossObservation) String() string {
 	switch s {
 	case LossRefused:
@@ -31,8 +29,8 @@
 	}
 }
 
-// LossReport tells that an entry, the witness, met a sign of one life of an endpoint, AgoMS
-// milliseconds before the frame was written.
+// LossReport says that an entry, the observer, made an observation of one incarnation of an
+// endpoint, AgoMS milliseconds before the frame was written.
 type LossReport struct {
 	_           struct{} `cbor:",toarray"`
 	Endpoint    string
@@ -40,20 +38,20 @@
 	Observer    string
 	Observation LossObservation
 	AgoMS       float64
-	// AddressOwner is the ID of what answers at the endpoint's address, "" if that is not known.
+	// AddressOwner is the ID of the endpoint that answers at the address, "" if unknown.
 	AddressOwner string
 }
 
-// sound reports whether the news has the shape that it may have.
-func (l *LossReport) sound() bool {
+// valid reports whether all fields of the report are in range.
+func (l *LossReport) valid() bool {
 	return l.Endpoint != "" && l.Observer != "" && l.Incarnation >= 0 &&
 		l.Observation >= LossRefused && l.Observation <= LossMismatch && l.AgoMS >= 0
 }
 
-// soundLosses reports whether all news of a frame do.
-func soundLosses(all []LossReport) bool {
-	for i := range all {
-		if !all[i].sound() {
+// validLosses reports whether all reports are valid.
+func validLosses(reports []LossReport) bool {
+	for i := range reports {
+		if !reports[i].valid() {
 			return false
 		}
 	}
--- a/protocol/object.go
+++ b/protocol/object.go
@@ -2,10 +2,10 @@
 
 package protocol
 
-// MaxObjectBytes is the largest value that the platform holds.
+// MaxObjectBytes is the maximum size of a value in the platform.
 const MaxObjectBytes = 1 << 20
 
-// Object is one value in the platform with the version that conditional updates
+// Object is a value in the platform with the version that conditional updates
 // compare. Version 0 means that the object does not exist.
 type Object struct {
 	Kind    string `json:"kind"`
@@ -14,14 +14,14 @@
 	Value   []byte `json:"value"`
 }
 
-// VM is one line of the platform's list of VMs, which lags behind the truth.
+// VM is an item of the platform's list of VMs. The list lags behind the actual state.
 type VM struct {
 	Name       string `json:"name"`
 	DataCenter string `json:"data_center"`
 	Leaving    bool   `json:"leaving"`
 }
 
-// The kinds of objects that pinerun keeps in the platform.
+// The kinds of objects that pinerun stores in the platform.
 const (
 	ObjectManifest = "manifest"
 	ObjectPart     = "part"
@@ -29,36 +29,36 @@
 	ObjectLease    = "lease"
 	ObjectPlan     = "plan"
 	ObjectEntry    = "entry"
-	// ManifestName is the name of the one manifest.
+	// ManifestName is the name of the only manifest.
 	ManifestName = "current"
 )
 
-// Listing is every object of a kind and the revision from which to watch it.
-// Relayed says that another entry passed it on, so that it proves nothing about what
-// the platform holds now.
+// Listing holds all objects of a kind and the revision from which to watch for changes.
+// Relayed means that another entry forwarded it, so it does not prove what the platform
+// holds now.
 type Listing struct {
 	Objects  []Object
 	Revision uint64
 	Relayed  bool
 }
 
-// Page is a part of a Listing, in order of name, as it was at its revision. More says that
-// names follow.
+// Page is a part of a Listing, ordered by name, as of its revision. More means that
+// further names follow.
 type Page struct {
 	Listing
 	More bool
 }
 
-// Changes are the changes of a kind in order, and the revision from which to
-// watch on. Relayed says that another entry passed them on, so that they prove
-// nothing about what the platform holds now.
+// Changes holds the changes of a kind in order, and the revision from which to continue
+// watching. Relayed means that another entry forwarded them, so they do not prove what
+// the platform holds now.
 type Changes struct {
 	Changes  []Change
 	Revision uint64
 	Relayed  bool
 }
 
-// Change is an object as it now is, or was when it went.
+// Change is the new state of an object, or its last state if it was deleted.
 type Change struct {
 	Object  Object
 	Deleted bool
--- a/protocol/order.go
+++ b/protocol/order.go
@@ -2,19 +2,18 @@
 
 package protocol
 
-// Order tells an engine what to be. It names the wanted state, so that giving it
-// twice does no harm. Fence is the epoch of the lease under which it is given:
-// an engine that checks refuses one below the highest that it has seen.
+// Order sets the desired state of an engine. It is idempotent. Fence is the epoch of the
+// lease under which the order is given; an engine that checks it rejects an order below
+// the highest fence that it has seen.
 type Order struct {
 	Fence uint64 `json:"fence"`
-	// Leave says whether the engine is to take no new sequences; nil leaves that
-	// as it is.
+	// Leave sets whether the engine stops accepting new sequences; nil leaves that unchanged.
 	Leave *bool `json:"leave,omitempty"`
-	// Load, if not nil, names the layers to hold, under a load epoch of their own.
+	// Load, if not nil, sets the layers to hold and their load epoch.
 	Load *LayerLoad `json:"load,omitempty"`
 }
 
-// LayerLoad is a span of layers under a load epoch, which rises with each load.
+// LayerLoad is a range of layers and its load epoch, which increases with each load.
 type LayerLoad struct {
 	From  int    `json:"from"`
 	To    int    `json:"to"`
--- a/protocol/outcome.go
+++ b/protocol/outcome.go
@@ -2,20 +2,20 @@
 
 package protocol
 
-// Outcome says what became of a request as far as its caller may rely on it.
-// The zero value is MayHaveRun, the only one that is never untrue.
+// Outcome is what a caller may assume about the execution of its request. The zero
+// value is MayHaveRun, the only one that is always true.
 type Outcome uint8
 
 const (
-	// MayHaveRun means that an endpoint got at least a byte of the request.
+	// MayHaveRun means that an endpoint received at least one byte of the request.
 	MayHaveRun Outcome = iota
 	// NotRun means that no endpoint ran any part of the request.
 	NotRun
-	// Answered means that the caller got the whole answer.
+	// Answered means that the caller received the complete answer.
 	Answered
 )
 
-// String returns the outcome as callers read it in errors and stories.
+// String returns the outcome as it appears in errors and request traces.
 func (o Outcome) String() string {
 	switch o {
 	case NotRun:
--- a/protocol/peer.go
+++ b/protocol/peer.go
@@ -2,8 +2,8 @@
 
 package protocol
 
-// Member is one entry as the others know it. Incarnation is drawn anew at each
-// start, so that a replaced entry is told from the one before it.
+// Member is an entry as known to its peers. Incarnation is random for each start, so that
+// a restarted entry is distinguished from its predecessor.
 type Member struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
@@ -13,18 +13,18 @@
 	Incarnation uint64
 }
 
-// PeerHeartbeat is what an entry tells each peer once a second.
+// PeerHeartbeat is what an entry sends to each peer once a second.
 type PeerHeartbeat struct {
 	_           struct{} `cbor:",toarray"`
 	Version     uint64   // of the configuration in force
 	Leaving     []string // runners known to be leaving
 	LeavingVMs  []string // VMs that the platform lists as leaving
-	VMListAgeMS int64    // milliseconds since that list was read, 0 when it never was
-	Stopping    bool     // the sender takes no new work any more
+	VMListAgeMS int64    // milliseconds since the VM list was read, 0 if never
+	Stopping    bool     // the sender accepts no new work
 }
 
-// ConfigChange takes a configuration from version Base to Version. A change
-// whose Base is 0 holds everything. Contents has the parts that the receiver may
+// ConfigChange updates a configuration from version Base to Version. A change with
+// Base 0 holds the complete configuration. Contents has the parts that the receiver may
 // not know, by hash.
 type ConfigChange struct {
 	_        struct{} `cbor:",toarray"`
@@ -34,7 +34,7 @@
 	Author   string
 	Set      []PartRef
 	Removed  []PartRef
-	Sum      string // HashPart of the whole manifest's JSON
+	Sum      string // HashPart of the JSON of the complete manifest
 	Contents map[string][]byte
 }
 
@@ -45,49 +45,49 @@
 	Record ClaimRecord
 }
 
-// ClaimAnswer answers an ask. Verdict is one of coordination/claim.
+// ClaimAnswer answers a ClaimRequest. Verdict is one of those in coordination/claim.
 type ClaimAnswer struct {
 	_       struct{} `cbor:",toarray"`
 	ID      uint64
-	Failed  bool // no verdict: the asker must find out by itself
+	Failed  bool // no verdict: the requesting entry must determine the result itself
 	Verdict uint8
 	Held    ClaimRecord
 }
 
-// PeerFrame is one message between entries; any of its parts may be absent.
+// PeerFrame is a message between entries. Any of its fields may be empty.
 type PeerFrame struct {
 	_             struct{} `cbor:",toarray"`
 	Hello         *Member
 	Heartbeat     *PeerHeartbeat
 	Change        *ConfigChange
-	WantConfig    bool // the receiver's whole configuration is wanted
+	WantConfig    bool // request for the receiver's complete configuration
 	ClaimRequests []ClaimRequest
 	ClaimAnswers  []ClaimAnswer
 	Members       []Member
-	Work          []WorkReport // what entries met of work that may end runners
+	Work          []WorkReport // observations of work that may crash runners
 }
 
-// EncodePeer returns the frame's bytes.
+// EncodePeer encodes a frame.
 func EncodePeer(f PeerFrame) ([]byte, error) { return encoder.Marshal(f) }
 
-// DecodePeer reads a frame and checks its shape.
+// DecodePeer decodes and validates a frame.
 func DecodePeer(b []byte) (PeerFrame, error) {
 	var f PeerFrame
 	if err := decodeFrame("peer", b, &f); err != nil {
 		return PeerFrame{}, err
 	}
 	if f.Hello != nil && (f.Hello.Name == "" || f.Hello.Address == "") {
-		return PeerFrame{}, &FrameError{what: "peer"}
+		return PeerFrame{}, &FrameError{kind: "peer"}
 	}
-	if !soundWork(f.Work) {
-		return PeerFrame{}, &FrameError{what: "peer"}
+	if !validWork(f.Work) {
+		return PeerFrame{}, &FrameError{kind: "peer"}
 	}
 	if f.Change != nil && (f.Change.Version == 0 || f.Change.Base >= f.Change.Version) {
-		return PeerFrame{}, &FrameError{what: "peer"}
+		return PeerFrame{}, &FrameError{kind: "peer"}
 	}
 	for i := range f.ClaimRequests {
 		if f.ClaimRequests[i].Record.Kind > ClaimUncertain {
-			return PeerFrame{}, &FrameError{what: "peer"}
+			return PeerFrame{}, &FrameError{kind: "peer"}
 		}
 	}
 	return f, nil
--- a/protocol/protocol_test.go
+++ b/protocol/protocol_test.go
@@ -20,13 +20,13 @@
 	}
 }
 
-func TestAnUnforeseenErrorNeverClaimsSafety(t *testing.T) {
+func TestUnexpectedErrorMayHaveRun(t *testing.T) {
 	r := protocol.AsRefusal(errors.New("surprise"))
 	require.Equal(t, protocol.MayHaveRun, r.Outcome())
 	require.Equal(t, protocol.Internal, r.Kind())
 }
 
-func TestRequestIDsAreReadBack(t *testing.T) {
+func TestRequestIDRoundTrip(t *testing.T) {
 	id := protocol.NewRequestID()
 	got, err := protocol.ParseRequestID(id.String())
 	require.NoError(t, err)
@@ -52,7 +52,7 @@
 		}
 		for _, s := range frame.Steps {
 			if s.Count <= 0 || s.Span.Layers() <= 0 || s.Span.From == 0 && len(s.Tokens) != s.Count {
-				t.Fatalf("a malformed step was taken: %+v", s)
+				t.Fatalf("a malformed step was accepted: %+v", s)
 			}
 		}
 		again, err := protocol.EncodeSteps(frame)
@@ -76,7 +76,7 @@
 		}
 		for _, r := range frame.Replies {
 			if r.Fault == protocol.FaultNone && len(r.Hidden) != 0 && len(r.Hidden) != r.Count*protocol.HiddenStateBytes {
-				t.Fatalf("a malformed reply was taken: %+v", r)
+				t.Fatalf("a malformed reply was accepted: %+v", r)
 			}
 		}
 	})
@@ -93,7 +93,7 @@
 		}
 		for _, r := range batch.Records {
 			if r.Kind > protocol.ClaimUncertain {
-				t.Fatalf("an unknown record was taken: %+v", r)
+				t.Fatalf("an unknown record was accepted: %+v", r)
 			}
 		}
 	})
@@ -115,10 +115,10 @@
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if h, err := protocol.DecodeRelayHello(b); err == nil && (h.Name == "" || len(h.Known) == 0) {
-			t.Fatalf("a hello without a name or kinds was taken: %+v", h)
+			t.Fatalf("a hello without a name or kinds was accepted: %+v", h)
 		}
 		if a, err := protocol.DecodeRelayRequest(b); err == nil && !(a.HoldMS >= 0) {
-			t.Fatalf("an answer was to be held back for %v ms", a.HoldMS)
+			t.Fatalf("a delay of %v ms was accepted", a.HoldMS)
 		}
 		frame, err := protocol.DecodeRelayFrame(b)
 		if err != nil {
@@ -126,11 +126,11 @@
 		}
 		for _, r := range frame.Deltas {
 			if r.Kind == "" || r.After >= r.Revision {
-				t.Fatalf("a run that goes nowhere was taken: %+v", r)
+				t.Fatalf("a delta that does not advance the revision was accepted: %+v", r)
 			}
 		}
 		if a := frame.Answer; a != nil && (a.ConfirmedMS < 0 && a.ConfirmedMS != -1 || !(a.HeldMS >= 0)) {
-			t.Fatalf("a confirmation of the future was taken: %+v", a)
+			t.Fatalf("a confirmation in the future was accepted: %+v", a)
 		}
 	})
 }
@@ -151,18 +151,18 @@
 			return
 		}
 		if frame.Hello != nil && frame.Hello.Name == "" || frame.Change != nil && frame.Change.Base >= frame.Change.Version {
-			t.Fatalf("a malformed frame was taken: %+v", frame)
+			t.Fatalf("a malformed frame was accepted: %+v", frame)
 		}
 		for _, w := range frame.Work {
 			if w.Work.IsZero() || w.Endpoint == "" || w.Observer == "" || !w.Observation.Known() || !(w.AgoMS >= 0) {
-				t.Fatalf("a report of no work was taken: %+v", w)
+				t.Fatalf("an invalid work report was accepted: %+v", w)
 			}
 		}
 	})
 }
 
-// TestAPeersReportOfNoWorkIsRefused changes one field of a report at a time.
-func TestAPeersReportOfNoWorkIsRefused(t *testing.T) {
+// TestPeerFrameRejectsInvalidWorkReport invalidates one field of a report at a time.
+func TestPeerFrameRejectsInvalidWorkReport(t *testing.T) {
 	good := protocol.WorkReport{Work: protocol.Fingerprint{1}, Endpoint: "r", Observer: "e2", Observation: protocol.WorkBroke, AgoMS: 2}
 	decode := func(w protocol.WorkReport) error {
 		b, err := protocol.EncodePeer(protocol.PeerFrame{Work: []protocol.WorkReport{w}})
@@ -196,13 +196,12 @@
 			return
 		}
 		if r.TokenLimit() <= 0 || len(r.Prompt()) == 0 {
-			t.Fatalf("an empty request was taken: %+v", r)
+			t.Fatalf("an empty request was accepted: %+v", r)
 		}
 	})
 }
 
-// BenchmarkBeat measures one heartbeat: its bytes, and the time to write and
-// read it.
+// BenchmarkBeat measures one heartbeat: its encoded size, and the time to encode and decode it.
 func BenchmarkBeat(b *testing.B) {
 	beat := protocol.PeerFrame{Heartbeat: &protocol.PeerHeartbeat{Version: 123456, Leaving: []string{"runner-17", "runner-4711"}}}
 	size := 0
--- a/protocol/record.go
+++ b/protocol/record.go
@@ -2,12 +2,12 @@
 
 package protocol
 
-// RecordFault is why a record in the platform names no endpoint to use. The empty fault
-// means that it names one.
+// RecordFault is why a record in the platform does not describe a usable endpoint. The empty
+// fault means that it does.
 type RecordFault string
 
-// What is wrong with a record that can't be decoded: nothing in it can be read, it is
-// too long to be one, or a field is missing, of another type, or out of range.
+// The faults of a record that can't be decoded: it can't be parsed, it is too long, or a
+// field is missing, has the wrong type or is out of range.
 const (
 	RecordUnreadable  RecordFault = "unreadable"
 	RecordTooLong     RecordFault = "too_long"
@@ -25,7 +25,7 @@
 	RecordHeartbeats  RecordFault = "heartbeats"
 )
 
-// What is wrong with a record that can be decoded, but does not fit what is in force.
+// The faults of a record that can be decoded but contradicts the configuration in force.
 const (
 	RecordServiceUnknown     RecordFault = "service_unknown"
 	RecordDataCenterUnknown  RecordFault = "data_center_unknown"
@@ -33,7 +33,7 @@
 	RecordLayersOutside      RecordFault = "layers_outside"
 )
 
-// RecordFaults returns every fault.
+// RecordFaults returns all faults.
 func RecordFaults() []RecordFault {
 	return []RecordFault{
 		RecordUnreadable, RecordTooLong, RecordNameless, RecordID, RecordService, RecordAddress,
@@ -43,28 +43,28 @@
 	}
 }
 
-// RecordError is the error for a record that names no endpoint to use.
+// RecordError is the error for a record that does not describe a usable endpoint.
 type RecordError struct {
 	fault RecordFault
 	cause error
 }
 
-// NewRecordError returns the error for a record with a fault; the cause may be nil.
+// NewRecordError returns the error for a record with a fault. The cause may be nil.
 func NewRecordError(fault RecordFault, cause error) *RecordError {
 	return &RecordError{fault: fault, cause: cause}
 }
 
-// Fault returns what is wrong.
-func (u *RecordError) Fault() RecordFault { return u.fault }
+// Fault returns the fault of the record.
+func (e *RecordError) Fault() RecordFault { return e.fault }
 
-// Error names what is wrong and the remedy.
-func (u *RecordError) Error() string {
-	text := "the record can't be used (" + string(u.fault) + ")"
-	if u.cause != nil {
-		text += ": " + u.cause.Error()
+// Error returns the fault, its cause and the remedy.
+func (e *RecordError) Error() string {
+	text := "the record can't be used (" + string(e.fault) + ")"
+	if e.cause != nil {
+		text += ": " + e.cause.Error()
 	}
-	return text + "; its endpoint is left out until it writes a sound one"
+	return text + "; its endpoint is not used until it writes a valid one"
 }
 
-// Unwrap returns the cause.
-func (u *RecordError) Unwrap() error { return u.cause }
+// Unwrap returns the cause, or nil.
+func (e *RecordError) Unwrap() error { return e.cause }
--- a/protocol/refusal.go
+++ b/protocol/refusal.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// Refusal is the error that a caller or operator gets: a kind, what it may rely
-// on (the outcome) and what to do next. A refusal made by Refuse says "not run".
+// Refusal is the error returned to a caller or operator. It has a kind, the outcome of the
+// request and a remedy.
 type Refusal struct {
 	kind    Kind
 	outcome Outcome
 	message string
-	again   time.Time
+	retryAt time.Time
 	cause   error
 }
 
-// Refuse returns a refusal of a request that no endpoint got a byte of.
+// Refuse returns a refusal with the outcome NotRun: no endpoint received a byte of the request.
 func Refuse(k Kind, message string) *Refusal {
 	return &Refusal{kind: k, outcome: NotRun, message: message}
 }
@@ -28,19 +28,19 @@
 	return &Refusal{kind: k, outcome: MayHaveRun, message: message}
 }
 
-// WithCause returns r with the error that caused it, for logs and errors.Is.
+// WithCause sets the error that caused the refusal, for logs and errors.Is, and returns r.
 func (r *Refusal) WithCause(err error) *Refusal {
 	r.cause = err
 	return r
 }
 
-// WithRetryAt returns r with the time from which it is worth asking again.
+// WithRetryAt sets the time from which a retry may succeed, and returns r.
 func (r *Refusal) WithRetryAt(at time.Time) *Refusal {
-	r.again = at
+	r.retryAt = at
 	return r
 }
 
-// Error returns the message, its cause and its remedy in one line.
+// Error returns the kind, message, cause and remedy in one line.
 func (r *Refusal) Error() string {
 	text := string(r.kind) + ": " + r.message
 	if r.cause != nil {
@@ -52,20 +52,20 @@
 // Unwrap returns the cause, or nil.
 func (r *Refusal) Unwrap() error { return r.cause }
 
-// Kind returns the sort of refusal.
+// Kind returns the kind of the refusal.
 func (r *Refusal) Kind() Kind { return r.kind }
 
-// Outcome returns what the caller may rely on.
+// Outcome returns what the caller may assume about the execution of the request.
 func (r *Refusal) Outcome() Outcome { return r.outcome }
 
-// Message returns what went wrong, without the remedy.
+// Message returns the description of the failure, without the remedy.
 func (r *Refusal) Message() string { return r.message }
 
-// Remedy returns what the caller can do about it.
+// Remedy returns what the caller can do about the failure.
 func (r *Refusal) Remedy() string { return kinds[r.kind].remedy }
 
-// RetryAt returns the time from which to ask again; zero when that is no help.
-func (r *Refusal) RetryAt() time.Time { return r.again }
+// RetryAt returns the time from which a retry may succeed, or zero if a retry does not help.
+func (r *Refusal) RetryAt() time.Time { return r.retryAt }
 
 // Status returns the HTTP status of the refusal.
 func (r *Refusal) Status() int {
@@ -76,8 +76,8 @@
 	return info.status
 }
 
-// AsRefusal returns the refusal inside err. Any other error becomes one of kind
-// Internal that may have run, so that an unforeseen fault never claims safety.
+// AsRefusal returns the refusal that err wraps. Any other error becomes a refusal of kind
+// Internal with the outcome MayHaveRun, since it is unknown whether the request ran.
 func AsRefusal(err error) *Refusal {
 	var r *Refusal
 	if errors.As(err, &r) {
--- a/protocol/relay.go
+++ b/protocol/relay.go
@@ -2,37 +2,38 @@
 
 package protocol
 
-// EntryRecord is what an entry writes of itself in the platform, under its name. Key
-// is what an entry shows that wants to follow it. The entry keeps it over restarts, so
-// that others which know an older record can follow at once.
+// EntryRecord is the record that an entry writes to the platform under its own name. An
+// entry presents its Key to an entry that it wants to follow. The key survives restarts, so
+// that entries which know an older record can still be followed at once.
 type EntryRecord struct {
 	Name          string `json:"-"`
 	DataCenter    string `json:"data_center"`
 	CallerAddress string `json:"callers"`         // IP:port
-	PeerAddress   string `json:"peers,omitempty"` // IP:port, empty when it serves no peers
+	PeerAddress   string `json:"peers,omitempty"` // IP:port, empty when the entry serves no peers
 	Key           string `json:"key,omitempty"`
-	// MemoryMB is the memory of the entry's VM. Larger VMs have faster links too, and
-	// are followed first.
+	// MemoryMB is the memory of the entry's VM. Larger VMs also have faster links, so
+	// they are followed first.
 	MemoryMB  float64 `json:"memory_mb,omitempty"`
-	Heartbeat uint64  `json:"beat"` // rises each time it is written
+	Heartbeat uint64  `json:"beat"` // increases with each write
 }
 
-// SeedEntries are the records of the entries that all others try to follow, as the one that
-// calls the platform for all keeps them there: who starts reads them in place of all records.
+// SeedEntries holds the records of the entries that all others try to follow. The entry that
+// calls the platform for all others maintains it. A starting entry reads it instead of all
+// records.
 type SeedEntries struct {
 	Entries []NamedEntry `json:"entries"`
 }
 
-// NamedEntry is the record of an entry with its name.
+// NamedEntry is the name and the record of an entry.
 type NamedEntry struct {
 	Name   string      `json:"name"`
 	Record EntryRecord `json:"record"`
 }
 
-// RelayHello is the first frame of an entry that follows another one: who it is and
-// up to which revision it knows each kind. NewsOnly says that it does not reach the platform
-// either: it follows for what entries tell each other, also where what the platform holds is not
-// known any better.
+// RelayHello is the first frame of a follower. It has the follower's name and the revision of
+// each kind that it knows. ReportsOnly means that the follower does not reach the platform
+// either: it follows to receive the reports that entries exchange, even from an entry whose
+// platform data is no more recent than its own.
 type RelayHello struct {
 	_           struct{} `cbor:",toarray"`
 	Name        string
@@ -40,17 +41,17 @@
 	ReportsOnly bool
 }
 
-// KindRevision is a revision of a kind.
+// KindRevision is the revision of a kind.
 type KindRevision struct {
 	_        struct{} `cbor:",toarray"`
 	Kind     string
 	Revision uint64
 }
 
-// RelayRequest asks how fresh the answering entry's knowledge is. The answer may wait for
-// news of that, up to HoldMS milliseconds. Losses are what the asking entry has to tell;
-// with the number 0 that is all, and nothing is asked. Slow is news of slow endpoints, Work of work
-// that endpoints may have ended under.
+// RelayRequest asks how recent the data of the followed entry is. The answer may be delayed by up
+// to HoldMS milliseconds until that changes. A frame with Number 0 carries only reports and
+// asks nothing. Losses, Slow and Work are the reports of the requesting entry about lost endpoints,
+// slow endpoints and work under which endpoints may have crashed.
 type RelayRequest struct {
 	_      struct{} `cbor:",toarray"`
 	Number uint64
@@ -60,24 +61,25 @@
 	Work   []WorkReport
 }
 
-// RelayFrame is what the followed entry sends: changes as they come, and an answer
-// when it was asked.
+// RelayFrame is what the followed entry sends: changes as they arrive, and the answer to a
+// RelayRequest.
 type RelayFrame struct {
 	_      struct{} `cbor:",toarray"`
 	Deltas []RelayDelta
 	Answer *RelayAnswer
-	// FailedMS is how long ago the platform last failed to answer the sender, in
-	// milliseconds, or -1 when it never did.
+	// FailedMS is the time since the platform last failed to answer the sender, in
+	// milliseconds, or -1 if it never failed.
 	FailedMS int64
 	Losses   []LossReport
 	Slow     []SlownessReport
 	Work     []WorkReport
 }
 
-// RelayDelta takes whoever knows a kind as it was at After to At; if it is the
-// difference between two lists, only who knows exactly that. Whole says that it holds
-// every object there was at At, for who knows none of them or something else. Long runs
-// have Packed in place of Changes: their encoding, compressed (raw DEFLATE).
+// RelayDelta takes a follower that knows a kind at revision After to Revision. A ListDiff is
+// the difference between two lists and applies only at exactly After. A Snapshot holds every
+// object that existed at Revision, for a follower that knows none of them or other ones.
+// A large delta has Packed, the compressed encoding (raw DEFLATE) of its changes, instead of
+// Changes.
 type RelayDelta struct {
 	_        struct{} `cbor:",toarray"`
 	Kind     string
@@ -89,7 +91,7 @@
 	Packed   []byte
 }
 
-// RelayChange is a changed object, or one that went.
+// RelayChange is a changed or deleted object.
 type RelayChange struct {
 	_       struct{} `cbor:",toarray"`
 	Name    string
@@ -98,58 +100,59 @@
 	Value   []byte
 }
 
-// RelayAnswer says how many milliseconds before it was written the platform was last
-// asked for the object that both confirm, -1 when never, and which version it had. The
-// answer was held back for HeldMS milliseconds.
+// RelayAnswer answers a RelayRequest. ConfirmedMS is the time between the last read of the object
+// that both entries use for confirmation and the writing of the answer, in milliseconds, or
+// -1 if the object was never read. Version is the version that was read. The answer was
+// delayed by HeldMS milliseconds.
 type RelayAnswer struct {
 	_           struct{} `cbor:",toarray"`
 	Number      uint64
 	ConfirmedMS float64
 	HeldMS      float64
 	Version     uint64
-	// Unsent is the object itself if no run has told of that version yet: a watch of the
-	// platform may be deaf.
+	// Unsent holds the object itself if no delta has carried that version yet, because the
+	// watch of the platform may have stalled.
 	Unsent *RelayDelta
 }
 
-// EncodeRelay returns the bytes of a hello, an ask, a frame or the changes of a run.
+// EncodeRelay encodes a RelayHello, a RelayRequest, a RelayFrame or the changes of a delta.
 func EncodeRelay(message any) ([]byte, error) { return encoder.Marshal(message) }
 
-// DecodeRelayChanges reads the changes of a run.
+// DecodeRelayChanges decodes the changes of a delta.
 func DecodeRelayChanges(b []byte) ([]RelayChange, error) {
 	var c []RelayChange
 	if err := decoder.Unmarshal(b, &c); err != nil {
-		return nil, &FrameError{what: "relay changes"}
+		return nil, &FrameError{kind: "relay changes"}
 	}
 	return c, nil
 }
 
-// DecodeRelayHello reads a hello and checks its shape.
+// DecodeRelayHello decodes and validates a RelayHello.
 func DecodeRelayHello(b []byte) (RelayHello, error) {
 	var h RelayHello
 	if err := decodeFrame("relay hello", b, &h); err != nil {
 		return RelayHello{}, err
 	}
 	if h.Name == "" || len(h.Known) == 0 {
-		return RelayHello{}, &FrameError{what: "relay hello"}
+		return RelayHello{}, &FrameError{kind: "relay hello"}
 	}
 	return h, nil
 }
 
-// DecodeRelayRequest reads an ask.
+// DecodeRelayRequest decodes and validates a RelayRequest.
 func DecodeRelayRequest(b []byte) (RelayRequest, error) {
 	var a RelayRequest
 	if err := decodeFrame("relay ask", b, &a); err != nil {
 		return RelayRequest{}, err
 	}
-	if !(a.HoldMS >= 0) || !soundLosses(a.Losses) || !soundSlow(a.Slow) || !soundWork(a.Work) {
-		return RelayRequest{}, &FrameError{what: "relay ask"}
+	if !(a.HoldMS >= 0) || !validLosses(a.Losses) || !validSlowness(a.Slow) || !validWork(a.Work) {
+		return RelayRequest{}, &FrameError{kind: "relay ask"}
 	}
 	return a, nil
 }
 
-// DecodeRelayFrame reads a frame and checks its shape: runs go forward, and no
-// answer claims to be of the future.
+// DecodeRelayFrame decodes and validates a RelayFrame. Each delta must advance the revision,
+// and an answer must not lie in the future.
 func DecodeRelayFrame(b []byte) (RelayFrame, error) {
 	var f RelayFrame
 	if err := decodeFrame("relay", b, &f); err != nil {
@@ -157,14 +160,14 @@
 	}
 	for i := range f.Deltas {
 		if r := &f.Deltas[i]; r.Kind == "" || r.After >= r.Revision {
-			return RelayFrame{}, &FrameError{what: "relay"}
+			return RelayFrame{}, &FrameError{kind: "relay"}
 		}
 	}
-	if !soundLosses(f.Losses) || !soundSlow(f.Slow) || !soundWork(f.Work) {
-		return RelayFrame{}, &FrameError{what: "relay"}
+	if !validLosses(f.Losses) || !validSlowness(f.Slow) || !validWork(f.Work) {
+		return RelayFrame{}, &FrameError{kind: "relay"}
 	}
 	if a := f.Answer; a != nil && (!(a.ConfirmedMS >= 0 || a.ConfirmedMS == -1) || !(a.HeldMS >= 0)) {
-		return RelayFrame{}, &FrameError{what: "relay"}
+		return RelayFrame{}, &FrameError{kind: "relay"}
 	}
 	return f, nil
 }
--- a/protocol/status.go
+++ b/protocol/status.go
@@ -2,56 +2,56 @@
 
 package protocol
 
-// FleetStatus is what one entry believes of the endpoints, for an operator to read.
+// FleetStatus is the state of the endpoints as one entry knows it, for operators.
 type FleetStatus struct {
 	Entry      string           `json:"entry"`
 	DataCenter string           `json:"data_center"`
 	Routing    uint64           `json:"routing_version"` // 0 before the first table
-	Endpoints  []EndpointStatus `json:"endpoints"`       // in order of ID
-	// Waiting is who waits at this entry for room at engines, in order of service, priority and team.
+	Endpoints  []EndpointStatus `json:"endpoints"`       // ordered by ID
+	// Waiting lists the requests queued at this entry for engine capacity, ordered by service, priority and team.
 	Waiting []WaitingStatus `json:"waiting,omitempty"`
 }
 
-// WaitingStatus is the requests of one team and priority that wait for room at a service's engines.
+// WaitingStatus describes the requests of one team and priority that wait for capacity at a service's engines.
 type WaitingStatus struct {
 	Service  string `json:"service"`
 	Priority int    `json:"priority"` // 0 is the most urgent, -1 a stream that has begun
 	Team     string `json:"team"`
 	Requests int    `json:"requests"`
-	OldestMS int64  `json:"oldest_ms"` // how long the first of them has waited
+	OldestMS int64  `json:"oldest_ms"` // wait of the oldest request
 }
 
-// EndpointStatus is what an entry believes of one endpoint.
+// EndpointStatus is the state of one endpoint as an entry knows it.
 type EndpointStatus struct {
 	ID              string        `json:"id"`
 	Service         string        `json:"service"`
 	DataCenter      string        `json:"data_center"`
 	Address         string        `json:"address"`
 	Accelerator     string        `json:"accelerator,omitempty"`
-	From            int           `json:"from"` // the layers held, none if To is not above
+	From            int           `json:"from"` // the layers held; none unless To is greater
 	To              int           `json:"to"`
-	StartedMS       int64         `json:"started_ms,omitempty"` // Unix time of its start, if it tells
+	StartedMS       int64         `json:"started_ms,omitempty"` // Unix time of its start, if reported
 	State           EndpointState `json:"state"`
 	Reason          RecordFault   `json:"reason,omitempty"`   // why its record can't be used
-	AddressOwner    string        `json:"occupant,omitempty"` // who has its address instead
-	Utilization     float64       `json:"fill"`               // part of its room for requests that is taken, as far as known
-	OpenLayerPasses int64         `json:"open"`               // layer passes of this entry's requests under way there
-	OrderedFrom     int           `json:"ordered_from"`       // what it was lately ordered to hold, as far as this entry knows,
-	OrderedTo       int           `json:"ordered_to"`         // nothing if OrderedTo is not above
+	AddressOwner    string        `json:"occupant,omitempty"` // the endpoint that has its address instead
+	Utilization     float64       `json:"fill"`               // fraction of the request capacity in use, as far as known
+	OpenLayerPasses int64         `json:"open"`               // layer passes of this entry's requests in progress at the endpoint
+	OrderedFrom     int           `json:"ordered_from"`       // the layers it was last ordered to hold, as far as this entry knows;
+	OrderedTo       int           `json:"ordered_to"`         // none unless OrderedTo is greater
 }
 
-// EndpointState says whether an endpoint gets new work, or why it does not.
+// EndpointState says whether an endpoint gets new work, and if not, why.
 type EndpointState string
 
 // The states of an endpoint.
 const (
 	EndpointServing  EndpointState = "serves"
 	EndpointEmpty    EndpointState = "empty"    // it holds no layers
-	EndpointLeaving  EndpointState = "leaves"   // it said so
-	EndpointLost     EndpointState = "lost"     // it failed, or others found it dead
-	EndpointSlow     EndpointState = "slow"     // its work takes longer than usual; it gets less
-	EndpointEjected  EndpointState = "rests"    // left out for a moment after a failure or refusal
-	EndpointUnusable EndpointState = "unusable" // its record names no endpoint to use
-	// EndpointSuperseded says that another process has its address.
+	EndpointLeaving  EndpointState = "leaves"   // it announced that it is leaving
+	EndpointLost     EndpointState = "lost"     // it failed, or other entries reported it lost
+	EndpointSlow     EndpointState = "slow"     // its work takes longer than typical, so it gets less
+	EndpointEjected  EndpointState = "rests"    // not used for a short time after a failure or refusal
+	EndpointUnusable EndpointState = "unusable" // its record does not describe a usable endpoint
+	// EndpointSuperseded means that another process has its address.
 	EndpointSuperseded EndpointState = "superseded"
 )
--- a/protocol/work.go
+++ b/protocol/work.go
@@ -4,21 +4,19 @@
 
 import "time"
 
-// WorkObservation is what an entry met when it sent some work to an endpoint.
+// WorkObservation is what an entry observed when it sent some work to an endpoint.
 type WorkObservation uint8
 
-// The signs: its answer broke off, or fell silent, soon after it began to run there; it ran
-// there, and the endpoint lived on; the entry sends it there alone, to find out; that is over; it
-// waited for that endpoint, a later stage of its path, when that was lost.
+// The observations of work.
 const (
-	WorkBroke WorkObservation = iota + 1
-	WorkRan
-	WorkIsolatedRun
-	WorkIsolatedRunOver
-	WorkBrokeAtLaterStage
+	WorkBroke             WorkObservation = iota + 1 // its answer broke off or went silent soon after it began to run there
+	WorkRan                                          // it ran there and the endpoint survived
+	WorkIsolatedRun                                  // the entry runs it there alone to find out whether it crashes the endpoint
+	WorkIsolatedRunOver                              // the isolated run is over
+	WorkBrokeAtLaterStage                            // it waited for that endpoint, a later stage of its path, when the endpoint was lost
 )
 
-// String returns the sign as logs say it.
+// String returns the observation as it appears in logs.
 func (s WorkObservation) String() string {
 	switch s {
 	case WorkBroke:
@@ -36,14 +34,14 @@
 	}
 }
 
-// Known reports whether it is one of the signs.
+// Known reports whether s is one of the defined observations.
 func (s WorkObservation) Known() bool { return s >= WorkBroke && s <= WorkBrokeAtLaterStage }
 
-// Broke reports whether it says that the work was where an endpoint may have ended.
+// Broke reports whether the work was at an endpoint that may have crashed.
 func (s WorkObservation) Broke() bool { return s == WorkBroke || s == WorkBrokeAtLaterStage }
 
-// WorkReport tells that an entry, the witness, met a sign of some work at one life of an
-// endpoint, AgoMS milliseconds before the frame was written.
+// WorkReport says that an entry, the observer, made an observation of some work at one
+// incarnation of an endpoint, AgoMS milliseconds before the frame was written.
 type WorkReport struct {
 	_           struct{} `cbor:",toarray"`
 	Work        Fingerprint
@@ -54,35 +52,35 @@
 	AgoMS       float64
 }
 
-// At returns when the witness met it, by the clock of who was told at a time.
-func (w *WorkReport) At(told time.Time) time.Time {
-	return told.Add(-time.Duration(w.AgoMS * float64(time.Millisecond)))
+// At returns when the observation was made, by the clock of the receiver of the report.
+func (w *WorkReport) At(received time.Time) time.Time {
+	return received.Add(-time.Duration(w.AgoMS * float64(time.Millisecond)))
 }
 
-// sound reports whether the news has the shape that it may have.
-func (w *WorkReport) sound() bool {
+// valid reports whether all fields of the report are in range.
+func (w *WorkReport) valid() bool {
 	return !w.Work.IsZero() && w.Endpoint != "" && w.Observer != "" && w.Incarnation >= 0 &&
 		w.Observation.Known() && w.AgoMS >= 0
 }
 
-// soundWork reports whether all news of a frame do.
-func soundWork(all []WorkReport) bool {
-	for i := range all {
-		if !all[i].sound() {
+// validWork reports whether all reports are valid.
+func validWork(reports []WorkReport) bool {
+	for i := range reports {
+		if !reports[i].valid() {
 			return false
 		}
 	}
 	return true
 }
 
-// RefusedWork is what the platform keeps of work that entries refuse, under its fingerprint, so
-// that it outlasts all entries.
+// RefusedWork is what the platform stores about work that entries refuse, under its fingerprint,
+// so that the refusal outlasts all entries.
 type RefusedWork struct {
 	Crashes []WorkCrash `json:"ends"`
-	UntilMS int64       `json:"till_ms"` // Unix time until which it is refused, in milliseconds
+	UntilMS int64       `json:"till_ms"` // Unix time in milliseconds until which the work is refused
 }
 
-// WorkCrash is one end of an endpoint under some work.
+// WorkCrash is a crash of an endpoint attributed to some work.
 type WorkCrash struct {
 	Endpoint    string      `json:"endpoint"`
 	Incarnation Incarnation `json:"lifetime,omitempty"`
