--- a/settings/read.go
+++ b/settings/read.go
@@ -14,8 +14,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// Mistake is one thing wrong in a settings file. Line is 0 when the mistake is
-// that something is absent from the whole file.
+// Mistake is an error in a settings file. Line is 0 if something is missing from the
+// file as a whole.
 type Mistake struct {
 	line   int
 	field  string
@@ -23,7 +23,7 @@
 	remedy string
 }
 
-// Error returns the mistake in one line.
+// Error returns the line, field, error and remedy in one line.
 func (m Mistake) Error() string {
 	where := "file"
 	if m.line > 0 {
@@ -35,11 +35,11 @@
 	return where + ": " + m.what + "; " + m.remedy
 }
 
-// Line returns the line of the mistake, counted from 1, or 0.
+// Line returns the line number, counted from 1, or 0.
 func (m Mistake) Line() int { return m.line }
 
-// Read returns the settings and every mistake in them. Use the settings only if
-// there is none.
+// Read parses and validates settings and returns them with all mistakes. The settings are
+// usable only if there are no mistakes.
 func Read(content []byte) (File, []Mistake) {
 	var f File
 	tree, err := hujson.Parse(content)
@@ -59,7 +59,7 @@
 }
 
 func syntaxMistake(err error) Mistake {
-	m := Mistake{what: err.Error(), remedy: "mend the JSON at this place"}
+	m := Mistake{what: err.Error(), remedy: "fix the JSON at this place"}
 	var line, column int
 	if _, scanErr := fmt.Sscanf(err.Error(), "hujson: line %d, column %d:", &line, &column); scanErr == nil {
 		m.line = line
@@ -69,12 +69,12 @@
 
 func decodeMistake(content []byte, dec *json.Decoder, err error) Mistake {
 	m := Mistake{line: lineAt(content, int(dec.InputOffset())), what: err.Error(), remedy: "use the fields and types of docs/operators/running.md"}
-	var wrongType *json.UnmarshalTypeError
-	if errors.As(err, &wrongType) {
-		m.line = lineAt(content, int(wrongType.Offset))
-		m.field = wrongType.Field
-		m.what = "holds a " + wrongType.Value
-		m.remedy = "give a value of type " + wrongType.Type.String()
+	var typeError *json.UnmarshalTypeError
+	if errors.As(err, &typeError) {
+		m.line = lineAt(content, int(typeError.Offset))
+		m.field = typeError.Field
+		m.what = "holds a " + typeError.Value
+		m.remedy = "give a value of type " + typeError.Type.String()
 	}
 	if name, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
 		m.field = strings.Trim(name, `"`)
@@ -100,33 +100,32 @@
 
 func validateFile(content []byte, tree *hujson.Value, f File) []Mistake {
 	err := newValidator().Struct(f)
-	var wrong validator.ValidationErrors
-	if !errors.As(err, &wrong) {
+	var invalid validator.ValidationErrors
+	if !errors.As(err, &invalid) {
 		return nil
 	}
-	mistakes := make([]Mistake, 0, len(wrong))
-	for _, w := range wrong {
+	mistakes := make([]Mistake, 0, len(invalid))
+	for _, w := range invalid {
 		_, field, _ := strings.Cut(w.Namespace(), ".")
 		mistakes = append(mistakes, Mistake{
 			line:   lineOf(content, tree, field),
 			field:  field,
-			what:   fmt.Sprintf("the value %v does not meet %q", shown(w), w.Tag()),
+			what:   fmt.Sprintf("the value %v does not meet %q", printableValue(w), w.Tag()),
 			remedy: remedyFor(w),
 		})
 	}
 	return mistakes
 }
 
-// shown returns the value for a message, never a key.
-func shown(w validator.FieldError) any {
+// printableValue returns the value as shown in messages. It hides keys.
+func printableValue(w validator.FieldError) any {
 	if strings.Contains(strings.ToLower(w.Field()), "key") {
 		return "(hidden)"
 	}
 	return fmt.Sprintf("%q", fmt.Sprint(w.Value()))
 }
 
-// lineOf finds the line of a field, or of the nearest part of its path that is
-// in the file.
+// lineOf returns the line of a field, or of its nearest ancestor that is present in the file.
 func lineOf(content []byte, tree *hujson.Value, field string) int {
 	pointer := "/" + strings.NewReplacer(".", "/", "[", "/", "]", "").Replace(field)
 	for pointer != "" {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package settings reads the settings files of pinerun: JSON with comments and
-// trailing commas. Unknown fields are refused, and every mistake is told with
+// trailing commas. Unknown fields are rejected, and every error is reported with
 // its line and remedy.
 //
 //	file, mistakes := settings.Read(content)
@@ -14,7 +14,7 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// File is a whole settings file. Each process reads the section that it needs.
+// File is a complete settings file. Each process uses the section that it needs.
 type File struct {
 	Entry   *Entry   `json:"entry"`
 	Standin *Standin `json:"standin"`
@@ -23,7 +23,7 @@
 	Fleet   *Fleet   `json:"fleet"`
 }
 
-// Entry is the settings of one entry process. All addresses are IP:port.
+// Entry holds the settings of one entry process. All addresses are IP:port.
 type Entry struct {
 	Name        string `json:"name" validate:"required,hostname_rfc1123"`
 	DataCenter  string `json:"data_center" validate:"required"`
@@ -34,7 +34,7 @@
 	CallerTLS   TLS    `json:"caller_tls"`
 	OperatorTLS TLS    `json:"operator_tls"`
 	PeerTLS     TLS    `json:"peer_tls"`
-	// Seeds are peer addresses to ask when the platform is down at the start.
+	// Seeds are the peer addresses to contact if the platform is down at startup.
 	Seeds        []string `json:"seeds" validate:"dive,hostname_port"`
 	PeerKey      string   `json:"peer_key" validate:"required,min=16"`
 	LogLevel     string   `json:"log_level" validate:"omitempty,oneof=debug info warn error"`
@@ -43,22 +43,22 @@
 	StopWithinMS int      `json:"stop_within_ms" validate:"gte=0"`
 }
 
-// Listen is where an entry serves callers, operators and its peers.
+// Listen holds the addresses on which an entry serves callers, operators and peers.
 type Listen struct {
 	Callers   string `json:"callers" validate:"required,hostname_port"`
 	Operators string `json:"operators" validate:"required,hostname_port"`
 	Peers     string `json:"peers" validate:"required,hostname_port"`
 }
 
-// TLS names the files of a certificate, its key and the authority that signs
-// the other side's certificates. Empty means plain TCP.
+// TLS names the files of a certificate, its key, and the authority that signs the
+// peer's certificates. Empty means plain TCP.
 type TLS struct {
 	Certificate string `json:"certificate" validate:"required_with=Key,omitempty,file"`
 	Key         string `json:"key" validate:"required_with=Certificate,omitempty,file"`
 	Authority   string `json:"authority" validate:"omitempty,file"`
 }
 
-// Limits bound what callers may do to an entry. Zero means the default.
+// Limits limits the requests of callers to an entry. Zero means the default.
 type Limits struct {
 	BodyBytes         int64 `json:"body_bytes" validate:"gte=0"`
 	HeaderBytes       int   `json:"header_bytes" validate:"gte=0"`
@@ -82,7 +82,7 @@
 	defaultClaimShards    = 4
 )
 
-// WithDefaults returns the entry with every zero limit replaced.
+// WithDefaults returns a copy of the entry with each zero limit set to its default.
 func (e Entry) WithDefaults() Entry {
 	l := &e.Limits
 	setDefault64(&l.BodyBytes, defaultBodyBytes)
@@ -109,45 +109,45 @@
 	}
 }
 
-// WriteDeadline returns the time by which a caller must have taken a write made
-// now.
+// WriteDeadline returns the time by which a caller must have received data written now.
 func (l *Limits) WriteDeadline(now time.Time) time.Time { return now.Add(milliseconds(l.SlowCallerMS)) }
 
-// DefaultDeadline returns the deadline of a request that names none.
+// DefaultDeadline returns the deadline of a request that sets none.
 func (l *Limits) DefaultDeadline(now time.Time) time.Time {
 	return now.Add(milliseconds(l.DefaultDeadlineMS))
 }
 
-// LongestDeadline returns the latest deadline that a request may name.
+// LongestDeadline returns the latest deadline that a request may set.
 func (l *Limits) LongestDeadline(now time.Time) time.Time {
 	return now.Add(milliseconds(l.LongestDeadlineMS))
 }
 
-// KeyExpiry returns until when a key issued then is remembered.
+// KeyExpiry returns how long an idempotency key issued then is remembered.
 func (l *Limits) KeyExpiry(issued time.Time) time.Time {
 	return issued.Add(milliseconds(l.KeyRetentionMS))
 }
 
-// StopBy returns when an entry told to stop now must have ended.
+// StopBy returns when an entry that is told to stop now must have exited.
 func (e *Entry) StopBy(now time.Time) time.Time { return now.Add(milliseconds(e.StopWithinMS)) }
 
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Standin is the settings of a process that plays everything outside.
+// Standin holds the settings of a process that simulates the platform, the engines and the
+// services around the entries.
 type Standin struct {
 	Platform string             `json:"platform" validate:"required,hostname_port"`
 	Weights  string             `json:"weights" validate:"omitempty,hostname_port"`
 	Models   []protocol.Model   `json:"models" validate:"required,dive"`
 	Runners  []RunnerGroup      `json:"runners" validate:"required,dive"`
 	Services []protocol.Service `json:"services" validate:"dive"`
-	// ExternalServices are services that run already and are only configured.
+	// ExternalServices are services that already run; they are configured but not started.
 	ExternalServices []protocol.Service `json:"elsewhere" validate:"dive"`
 	Teams            []Team             `json:"teams" validate:"required,dive"`
 	Operator         OperatorKey        `json:"operator"`
 	OtherOperators   []OperatorKey      `json:"other_operators" validate:"dive"`
 }
 
-// RunnerGroup is Count stand-in engines alike, on ports that follow each other.
+// RunnerGroup is a group of Count identical stand-in engines on consecutive ports.
 type RunnerGroup struct {
 	Name        string  `json:"name" validate:"required"`
 	Count       int     `json:"count" validate:"gt=0,lte=200"`
@@ -161,7 +161,7 @@
 	Link        string  `json:"link" validate:"omitempty,oneof=near far slow"`
 }
 
-// Team is a team of a stand-in deployment with its key in clear.
+// Team is a team of a stand-in deployment with its key in plain text.
 type Team struct {
 	Name     string  `json:"name" validate:"required"`
 	Key      string  `json:"key" validate:"required,min=8"`
@@ -170,22 +170,22 @@
 	MaxOpen  int     `json:"open" validate:"gt=0"`
 }
 
-// OperatorKey is the operator of a stand-in deployment with the key in clear.
+// OperatorKey is an operator of a stand-in deployment with the key in plain text.
 type OperatorKey struct {
 	Name string `json:"name" validate:"required"`
 	Key  string `json:"key" validate:"required,min=8"`
-	Role string `json:"role" validate:"omitempty,oneof=viewer editor"` // editor if left out
+	Role string `json:"role" validate:"omitempty,oneof=viewer editor"` // editor if empty
 }
 
-// Load is the settings of the load tool.
+// Load holds the settings of the load generator.
 type Load struct {
 	Entries   []string `json:"entries" validate:"required,dive,http_url"`
 	Model     string   `json:"model" validate:"required"`
 	Service   string   `json:"service"`
 	Keys      []string `json:"keys" validate:"required"`
 	MaxTokens int      `json:"max_tokens" validate:"gt=0"`
-	// Layers lets the load tool check the answers of stand-in engines; the
-	// bounds, in positions a second, are printed beside the throughput.
+	// Layers lets the load generator check the answers of stand-in engines. The bounds, in
+	// positions per second, are printed next to the throughput.
 	Layers     int     `json:"layers" validate:"gte=0"`
 	FlowBound  float64 `json:"flow_bound" validate:"gte=0"`
 	FleetBound float64 `json:"fleet_bound" validate:"gte=0"`
