--- a/internal/metric/ejection.go
+++ b/internal/metric/ejection.go
@@ -2,23 +2,23 @@
 
 package metric
 
-// Ejection says why a runner was left out for a while.
+// Ejection is why a runner was ejected for a while.
 type Ejection string
 
-// The reasons for which an entry leaves a runner out, each with a counter
-// "runners_ejected_by.REASON". The first three are met where a stream fell silent.
+// The reasons for ejecting a runner, each with a counter "runners_ejected_by.REASON". The
+// first three apply after a stream went silent.
 const (
-	EjectedUnreported Ejection = "does_not_report" // it did not tell how it stands
-	EjectedStalled    Ejection = "requests_wait"   // requests wait for it, as another engine says
-	EjectedUnanswered Ejection = "does_not_answer" // the same, and it did not answer a question
-	EjectedFailed     Ejection = "answer_failed"   // an answer of its own failed or broke off
-	EjectedLost       Ejection = "told_lost"       // entries agree that it is gone
-	EjectedConnection Ejection = "connection_lost" // the connection to it broke or did not open
-	EjectedSilent     Ejection = "silent"          // a step was not answered, nor any other since
-	EjectedBadReply   Ejection = "bad_reply"       // it answered what was not asked for
+	EjectedUnreported Ejection = "does_not_report" // it did not report its state
+	EjectedStalled    Ejection = "requests_wait"   // another engine reports requests that wait for it
+	EjectedUnanswered Ejection = "does_not_answer" // as EjectedStalled, and it did not answer a probe
+	EjectedFailed     Ejection = "answer_failed"   // an answer of its own failed or was aborted
+	EjectedLost       Ejection = "told_lost"       // entries agree that it is lost
+	EjectedConnection Ejection = "connection_lost" // the connection to it broke or could not be opened
+	EjectedSilent     Ejection = "silent"          // it answered neither a step nor any later one
+	EjectedBadReply   Ejection = "bad_reply"       // it answered something that was not asked for
 )
 
-// Ejections returns every reason.
+// Ejections returns all reasons.
 func Ejections() []Ejection {
 	return []Ejection{
 		EjectedUnreported, EjectedStalled, EjectedUnanswered, EjectedFailed, EjectedLost,
@@ -26,14 +26,14 @@
 	}
 }
 
-// CountEjection counts a runner that is left out for a while, in all and by why.
-func (s *Set) CountEjection(why Ejection) {
+// CountEjection counts the ejection of a runner, in total and by reason.
+func (s *Set) CountEjection(reason Ejection) {
 	s.Add(RunnersEjected, 1)
-	s.counters.Add(string(RunnersEjected)+"_by."+string(why), 1)
+	s.counters.Add(string(RunnersEjected)+"_by."+string(reason), 1)
 }
 
-// CountOrder counts an order to hold layers, in all and by the name of why it was given.
-func (s *Set) CountOrder(why string) {
+// CountOrder counts an order to hold layers, in total and by the name of its reason.
+func (s *Set) CountOrder(reason string) {
 	s.Add(OrdersGiven, 1)
-	s.counters.Add(string(OrdersGiven)+"_by."+why, 1)
+	s.counters.Add(string(OrdersGiven)+"_by."+reason, 1)
 }
--- a/internal/metric/ejection_test.go
+++ b/internal/metric/ejection_test.go
@@ -10,7 +10,7 @@
 	"pinerun.example/pinerun/internal/metric"
 )
 
-func TestEjectionsAndOrdersAreCountedInAllAndByWhy(t *testing.T) {
+func TestEjectionsAndOrdersCountTotalAndReason(t *testing.T) {
 	var s metric.Set
 	for _, e := range metric.Ejections() {
 		s.CountEjection(e)
--- a/internal/metric/metric.go
+++ b/internal/metric/metric.go
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package metric counts what an entry did, in expvar's form. Each entry has a
-// Set of its own, so that several entries can live in one process.
+// Package metric holds the counters and latencies of an entry, in expvar's form. Each
+// entry has its own Set, so that several entries can run in one process.
 //
 //	var s metric.Set
-//	s.Refused(protocol.QueueFull)
-//	s.Retried("stream_error")
+//	s.CountRefusal(protocol.QueueFull)
+//	s.CountRetry("stream_error")
 //	s.String() // {"refused.queue_full": 1, "retried.stream_error": 1}
 package metric
 
@@ -17,11 +17,10 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// Reason says why a request was tried again.
+// Reason is why a request was retried.
 type Reason string
 
-// The reasons for which an entry tries again, each with a counter
-// "retried.REASON".
+// The reasons for a retry, each with a counter "retried.REASON".
 const (
 	StreamError   Reason = "stream_error"
 	Silence       Reason = "silence"
@@ -35,7 +34,7 @@
 	ClaimLost     Reason = "claim_answer_lost"
 )
 
-// Reasons returns every retry reason.
+// Reasons returns all retry reasons.
 func Reasons() []Reason {
 	return []Reason{
 		StreamError, Silence, CacheLost, SpanMoved, RunnerLeaving, Overloaded,
@@ -43,7 +42,7 @@
 	}
 }
 
-// Name is a counter that is neither a refusal nor a retry.
+// Name is the name of a counter that counts neither refusals nor retries.
 type Name string
 
 // The other counters.
@@ -91,7 +90,7 @@
 	WorkRefused         Name = "work_refused"
 )
 
-// Names returns every counter that is neither a refusal nor a retry.
+// Names returns all counters that count neither refusals nor retries.
 func Names() []Name {
 	return []Name{
 		Requests, AnsweredInTime, AnsweredLate, TokensEmitted, StepsSent, FramesSent,
@@ -105,60 +104,60 @@
 	}
 }
 
-// Call is what a call to the platform asks for.
+// Call is the kind of a call to the platform.
 type Call string
 
-// The calls, each with a counter "platform_calls_by.CALL KIND", where KIND is that of the
-// objects.
+// The kinds of calls, each with a counter "platform_calls_by.CALL KIND", where KIND is the
+// kind of the objects.
 const (
 	Read      Call = "read"
 	Write     Call = "write"
 	List      Call = "list"
-	ListStale Call = "list_lately" // as the platform held it some seconds ago
-	ReadStale Call = "read_lately" // likewise
+	ListStale Call = "list_lately" // may return a state that is some seconds old
+	ReadStale Call = "read_lately" // may return a state that is some seconds old
 	Watch     Call = "watch"
 	Delete    Call = "delete"
 )
 
-// Set is one entry's counters and latencies. The zero value counts from nothing.
+// Set holds the counters and latencies of one entry. The zero value is empty and ready to use.
 type Set struct {
-	counters expvar.Map
-	times    sync.Map // of *Times by Timed
+	counters  expvar.Map
+	latencies sync.Map // of *Histogram by Latency
 }
 
-// RecordDuration records how long something took.
-func (s *Set) RecordDuration(what Latency, d time.Duration) { s.timesOf(what).Record(d) }
+// RecordDuration adds a duration to the histogram of a latency.
+func (s *Set) RecordDuration(latency Latency, d time.Duration) { s.histogram(latency).Record(d) }
 
-func (s *Set) timesOf(what Latency) *Histogram {
-	t, ok := s.times.Load(what)
+func (s *Set) histogram(latency Latency) *Histogram {
+	t, ok := s.latencies.Load(latency)
 	if !ok {
-		t, _ = s.times.LoadOrStore(what, &Histogram{})
+		t, _ = s.latencies.LoadOrStore(latency, &Histogram{})
 	}
 	return t.(*Histogram)
 }
 
-// CountRefusal counts a refusal of that kind.
+// CountRefusal counts a refusal of the kind.
 func (s *Set) CountRefusal(k protocol.Kind) { s.counters.Add("refused."+string(k), 1) }
 
-// CountRetry counts a further try for that reason.
+// CountRetry counts a retry for the reason.
 func (s *Set) CountRetry(r Reason) { s.counters.Add("retried."+string(r), 1) }
 
-// CountUnusableRecord counts a record that was found to name no endpoint to use, for a reason that
-// it did not have before.
+// CountUnusableRecord counts a record that turned out not to describe a usable endpoint, for a
+// fault that it did not have before.
 func (s *Set) CountUnusableRecord(f protocol.RecordFault) {
 	s.counters.Add("records_unusable."+string(f), 1)
 }
 
 // CountPlatformCall counts a call to the platform for objects of a kind.
-func (s *Set) CountPlatformCall(what Call, kind string) {
+func (s *Set) CountPlatformCall(call Call, kind string) {
 	s.Add(PlatformCalls, 1)
-	s.counters.Add("platform_calls_by."+string(what)+" "+kind, 1)
+	s.counters.Add("platform_calls_by."+string(call)+" "+kind, 1)
 }
 
-// Add raises a counter by n.
+// Add increases a counter by delta.
 func (s *Set) Add(n Name, delta int64) { s.counters.Add(string(n), delta) }
 
-// Value returns a counter by its full name, zero when it was never raised.
+// Value returns the value of the counter with that full name, zero if it was never increased.
 func (s *Set) Value(name string) int64 {
 	if v, ok := s.counters.Get(name).(*expvar.Int); ok {
 		return v.Value()
--- a/internal/metric/path.go
+++ b/internal/metric/path.go
@@ -4,8 +4,8 @@
 
 import "pinerun.example/pinerun/protocol"
 
-// AnswerName returns the name of an answer to an order to change a path, under which it is
-// counted as "path_orders_by.NAME".
+// AnswerName returns the name of an answer to an order to change a path, which is counted as
+// "path_orders_by.NAME".
 func AnswerName(a protocol.PathAnswer) string {
 	switch a.(type) {
 	case protocol.PathAccepted:
--- a/internal/metric/process.go
+++ b/internal/metric/process.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// Process is what the process has used: processor seconds, bytes of heap in use,
-// and goroutines.
+// Process holds the resource usage of the process: CPU seconds, heap bytes in use and
+// goroutines.
 type Process struct {
 	CPUSeconds float64 `json:"cpu_seconds"`
 	HeapBytes  uint64  `json:"heap_bytes"`
 	Goroutines int     `json:"goroutines"`
 }
 
-// ReadProcess returns the use so far.
+// ReadProcess returns the current resource usage.
 func ReadProcess() Process {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return Process{CPUSeconds: CPUTime().Seconds(), HeapBytes: m.HeapInuse, Goroutines: runtime.NumGoroutine()}
 }
 
-// CPUTime returns the processor time that the process has used.
+// CPUTime returns the CPU time used by the process.
 func CPUTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
--- a/internal/metric/text.go
+++ b/internal/metric/text.go
@@ -9,14 +9,14 @@
 	"strings"
 )
 
-// prefix begins the name of every figure in the text form.
+// prefix is the prefix of all metric names in the text format.
 const prefix = "pinerun_"
 
-// quantiles are the percentiles that the text form tells of a histogram.
+// quantiles are the percentiles written for each histogram.
 var quantiles = []float64{50, 90, 95, 99, 99.9}
 
-// WriteText writes the counters as lines that common scrapers read, and the latencies
-// after them. A counter "refused.no_path" becomes pinerun_refused{reason="no_path"}.
+// WriteText writes the counters in the Prometheus text format, followed by the latencies. A
+// counter "refused.no_path" becomes pinerun_refused{reason="no_path"}.
 func (s *Set) WriteText(w io.Writer) error {
 	var failed error
 	s.counters.Do(func(v expvar.KeyValue) {
@@ -28,15 +28,15 @@
 			failed = err
 		}
 	})
-	for _, what := range Latencies() {
+	for _, latency := range Latencies() {
 		if failed == nil {
-			failed = s.timesOf(what).writeText(w, string(what))
+			failed = s.histogram(latency).writeText(w, string(latency))
 		}
 	}
 	return failed
 }
 
-// writeText writes the percentiles of what was recorded, in seconds.
+// writeText writes the percentiles and the count of the histogram, in seconds.
 func (t *Histogram) writeText(w io.Writer, name string) error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/metric/times.go
+++ b/internal/metric/times.go
@@ -9,29 +9,29 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of what Times records.
+// Parameters of a Histogram.
 const (
-	longestMicroseconds = int64(10 * time.Minute / time.Microsecond)
-	timesAccuracy       = 2
+	maxMicroseconds   = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 2
 )
 
-// Histogram records how long something took. The zero value has recorded nothing.
+// Histogram records durations. The zero value is empty and ready to use.
 type Histogram struct {
 	mutex     sync.Mutex
 	histogram *hdrhistogram.Histogram
 }
 
-// Record adds one duration; it is kept to the microsecond.
+// Record adds a duration, with microsecond resolution.
 func (t *Histogram) Record(d time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.histogram == nil {
-		t.histogram = hdrhistogram.New(1, longestMicroseconds, timesAccuracy)
+		t.histogram = hdrhistogram.New(1, maxMicroseconds, significantDigits)
 	}
-	_ = t.histogram.RecordValue(min(max(1, d.Microseconds()), longestMicroseconds))
+	_ = t.histogram.RecordValue(min(max(1, d.Microseconds()), maxMicroseconds))
 }
 
-// AddTo merges what was recorded into a histogram of microseconds.
+// AddTo merges the recorded durations into a histogram of microseconds.
 func (t *Histogram) AddTo(h *hdrhistogram.Histogram) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -40,14 +40,14 @@
 	}
 }
 
-// Latency names what a Set records the time of.
+// Latency is the name of a latency that a Set records.
 type Latency string
 
-// FirstEvent and WholeAnswer are counted from when a request came in; Pause is the
-// longest between two events of a stream; Detection is how long a stream was silent
-// when it was asked for elsewhere; StoreCall and EngineCall are calls to the platform
-// (watches left out, which wait) and to engines; PathChange is the pause of a stream whose
-// path changed.
+// FirstEvent and WholeAnswer are measured from the arrival of a request. Pause is the
+// longest time between two events of a stream. Detection is how long a stream was silent
+// when it was requested from another endpoint. StoreCall and EngineCall are calls to the
+// platform (except watches, which block) and to engines. QueueWait is the time in the wait
+// queue. PathChange is the pause of a stream whose path changed.
 const (
 	FirstEvent  Latency = "first_event"
 	WholeAnswer Latency = "whole_answer"
@@ -59,19 +59,19 @@
 	PathChange  Latency = "path_change"
 )
 
-// Latencies returns everything that a Set records the time of.
+// Latencies returns all latencies that a Set records.
 func Latencies() []Latency {
 	return []Latency{FirstEvent, WholeAnswer, Pause, Detection, StoreCall, EngineCall, QueueWait, PathChange}
 }
 
-// Summary is a snapshot in milliseconds.
+// Summary holds the count and percentiles of a histogram, in milliseconds.
 type Summary struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
 	P95   float64 `json:"p95"`
 }
 
-// Summary returns the percentiles so far.
+// Summary returns the current summary.
 func (t *Histogram) Summary() Summary {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
