--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package event is the catalogue of log events. Each has a number that never
-// changes and a line in docs/EVENTS.md; a test compares the two.
+// Package event is the catalogue of log events. The number of an event never changes. Each
+// event is documented in docs/EVENTS.md; a test compares the two.
 //
 //	event.EntryReady.Log(logger, slog.String("entry", "e1"))
 package event
@@ -11,14 +11,14 @@
 	"log/slog"
 )
 
-// Event is one sort of log line.
+// Event is a kind of log event.
 type Event struct {
 	number int
 	name   string
 	level  slog.Level
 }
 
-// The events of an entry, by number.
+// The events of an entry.
 var (
 	EntryReady          = Event{1001, "entry ready", slog.LevelInfo}
 	EntryStopping       = Event{1002, "entry stopping", slog.LevelInfo}
@@ -91,7 +91,7 @@
 	PlanConfirmed       = Event{9001, "plan confirmed", slog.LevelInfo}
 )
 
-// All returns the whole catalogue in order of number.
+// All returns all events in order of their numbers.
 func All() []Event {
 	return []Event{
 		EntryReady, EntryStopping, EntryStopped, SettingsRead, SettingsIgnored, VMSuspended,
@@ -114,17 +114,17 @@
 // Number returns the event's number.
 func (e Event) Number() int { return e.number }
 
-// Name returns the event's name, which is also the log line's message.
+// Name returns the event's name, which is also the message of its log lines.
 func (e Event) Name() string { return e.name }
 
-// Level returns how grave the event is.
+// Level returns the level at which the event is logged.
 func (e Event) Level() slog.Level { return e.level }
 
-// Log writes the event with its number and details. A nil logger writes nothing.
-func (e Event) Log(l *slog.Logger, details ...slog.Attr) {
+// Log writes the event with its number and the attributes. A nil logger writes nothing.
+func (e Event) Log(l *slog.Logger, attrs ...slog.Attr) {
 	if l == nil {
 		return
 	}
-	details = append([]slog.Attr{slog.Int("event", e.number)}, details...)
-	l.LogAttrs(context.Background(), e.level, e.name, details...)
+	attrs = append([]slog.Attr{slog.Int("event", e.number)}, attrs...)
+	l.LogAttrs(context.Background(), e.level, e.name, attrs...)
 }
