--- a/internal/logs/bench_test.go
+++ b/internal/logs/bench_test.go
@@ -12,8 +12,8 @@
 	"pinerun.example/pinerun/internal/logs"
 )
 
-// BenchmarkLine is one line of a request on its way into the buffer, without the
-// budget of its event, which would drop most of them here; and one below the level.
+// BenchmarkLine measures one log line of a request on its way into the buffer, and one below
+// the log level. It bypasses the budget of the event, which would drop most lines here.
 func BenchmarkLine(b *testing.B) {
 	for _, c := range []struct {
 		name  string
--- a/internal/logs/handler.go
+++ b/internal/logs/handler.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// ordinaryBudget and gravestBudget are how many lines a second one event may
-	// write: ordinary decisions give way first.
+	// ordinaryBudget and warnBudget are how many lines per second one event may write. Events
+	// below the level Warn have the smaller budget.
 	ordinaryBudget = 150
-	gravestBudget  = 600
+	warnBudget     = 600
 )
 
-// Handler is a slog.Handler with a budget for each event.
+// Handler is a slog.Handler with a line budget for each event.
 type Handler struct {
 	slog.Handler
 
@@ -27,10 +27,10 @@
 
 // budgets counts the lines of each event in the current second.
 type budgets struct {
-	mutex  sync.Mutex
-	second int64
-	count  map[string]int
-	told   int64
+	mutex    sync.Mutex
+	second   int64
+	count    map[string]int
+	reported int64
 }
 
 // NewHandler returns a handler that writes JSON lines.
@@ -42,12 +42,12 @@
 	}
 }
 
-// Handle writes a line if its event has budget left.
+// Handle writes a record if its event has budget left.
 func (h *Handler) Handle(ctx context.Context, r slog.Record) error {
-	told, allowed := h.shared.take(r, h.writer)
-	if told > 0 {
+	dropped, allowed := h.shared.take(r, h.writer)
+	if dropped > 0 {
 		line := slog.NewRecord(r.Time, event.LinesDropped.Level(), event.LinesDropped.Name(), 0)
-		line.AddAttrs(slog.Int("event", event.LinesDropped.Number()), slog.Int64("lines", told))
+		line.AddAttrs(slog.Int("event", event.LinesDropped.Number()), slog.Int64("lines", dropped))
 		if err := h.Handler.Handle(ctx, line); err != nil {
 			return err
 		}
@@ -59,34 +59,32 @@
 	return h.Handler.Handle(ctx, r)
 }
 
-// take counts a line against its budget. It also returns how many dropped lines
-// are to be told of, once a second.
+// take counts a record against the budget of its event and reports whether it may be written.
+// Once a second, it also returns how many dropped lines to report.
 func (b *budgets) take(r slog.Record, w *Writer) (int64, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	var told int64
+	var dropped int64
 	if second := r.Time.Unix(); second != b.second {
 		b.second = second
 		clear(b.count)
 		total := w.Dropped()
-		told, b.told = total-b.told, total
+		dropped, b.reported = total-b.reported, total
 	}
-	most := ordinaryBudget
+	limit := ordinaryBudget
 	if r.Level >= slog.LevelWarn {
-		most = gravestBudget
+		limit = warnBudget
 	}
 	b.count[r.Message]++
-	return told, b.count[r.Message] <= most
+	return dropped, b.count[r.Message] <= limit
 }
 
-// WithAttrs returns a handler that adds details to each line, with the same
-// budgets.
-func (h *Handler) WithAttrs(details []slog.Attr) slog.Handler {
-	return &Handler{Handler: h.Handler.WithAttrs(details), writer: h.writer, shared: h.shared}
+// WithAttrs returns a handler that adds attributes to each line and shares the budgets.
+func (h *Handler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &Handler{Handler: h.Handler.WithAttrs(attrs), writer: h.writer, shared: h.shared}
 }
 
-// WithGroup returns a handler that puts later details into a group, with the
-// same budgets.
+// WithGroup returns a handler that puts later attributes into a group and shares the budgets.
 func (h *Handler) WithGroup(name string) slog.Handler {
 	return &Handler{Handler: h.Handler.WithGroup(name), writer: h.writer, shared: h.shared}
 }
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,11 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package logs writes structured log lines without ever holding a request up.
+// Package logs writes structured log lines without ever blocking a request.
 //
-// Lines go into a bounded buffer that a goroutine writes out. When a reader
-// stands still and the buffer is full, or one event comes more often than its
-// budget, lines are dropped, counted, and the count is told in a line of its
-// own:
+// Lines go to a bounded buffer that a goroutine writes out. Lines are dropped and
+// counted if the buffer is full because the reader is stalled, or if one event exceeds
+// its budget. The number of dropped lines is logged in a line of its own:
 //
 //	w := &logs.Writer{Out: os.Stdout}
 //	w.Start()
@@ -24,61 +23,61 @@
 )
 
 const (
-	// bufferMost bounds the lines that wait to be written: a second at the
+	// maxBufferBytes limits the buffered lines. It holds one second of output at the
 	// budget of all events.
-	bufferMost = 1 << 20
-	// writeEvery gathers lines, so that a line does not cost a system call.
-	writeEvery = 100 * time.Millisecond
-	// writeMost is how much is written at a time: a pipe takes so much whole, so
-	// that a collector meets no half lines.
-	writeMost = 4 << 10
+	maxBufferBytes = 1 << 20
+	// flushInterval batches lines, so that not every line costs a system call.
+	flushInterval = 100 * time.Millisecond
+	// maxWriteBytes is the maximum size of one write. A pipe accepts this much atomically,
+	// so a log collector does not see partial lines.
+	maxWriteBytes = 4 << 10
 )
 
 // Writer is an io.Writer that never blocks. Set Out before Start.
 type Writer struct {
 	Out      io.Writer
-	Counters *metric.Set // counts dropped lines, nil for nobody
+	Counters *metric.Set // counts dropped lines; may be nil
 
 	done    lifecycle.Done
-	ended   lifecycle.Done
+	stopped lifecycle.Done
 	mutex   sync.Mutex
-	waiting bytes.Buffer
+	buffer  bytes.Buffer
 	dropped atomic.Int64
-	news    chan struct{} // holds something while lines wait
+	pending chan struct{} // holds an item while lines are buffered
 }
 
-// Start begins to write out.
+// Start starts the goroutine that writes the buffered lines.
 func (w *Writer) Start() {
-	w.news = make(chan struct{}, 1)
+	w.pending = make(chan struct{}, 1)
 	go w.run()
 }
 
-// Close writes out what waits and ends, but not later than the deadline.
+// Close flushes the buffer and stops the writer. It returns at the deadline at the latest.
 func (w *Writer) Close(deadline time.Time) {
 	w.done.Close()
 	t := time.NewTimer(time.Until(deadline))
 	defer t.Stop()
 	select {
-	case <-w.ended.Done():
+	case <-w.stopped.Done():
 	case <-t.C:
 	}
 }
 
-// Write takes one line, or drops it.
+// Write buffers a line, or drops it if the buffer is full.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.waiting.Len()+len(line) > bufferMost {
+	if w.buffer.Len()+len(line) > maxBufferBytes {
 		w.drop(1)
 		return len(line), nil
 	}
-	if w.waiting.Len() == 0 {
+	if w.buffer.Len() == 0 {
 		select {
-		case w.news <- struct{}{}:
+		case w.pending <- struct{}{}:
 		default:
 		}
 	}
-	return w.waiting.Write(line)
+	return w.buffer.Write(line)
 }
 
 // drop counts lines that are not written.
@@ -93,15 +92,15 @@
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
 func (w *Writer) run() {
-	defer w.ended.Close()
+	defer w.stopped.Close()
 	for {
 		select {
-		case <-w.news:
+		case <-w.pending:
 		case <-w.done.Done():
 			w.flush()
 			return
 		}
-		t := time.NewTimer(writeEvery)
+		t := time.NewTimer(flushInterval)
 		select {
 		case <-t.C:
 		case <-w.done.Done():
@@ -113,28 +112,28 @@
 
 func (w *Writer) flush() {
 	w.mutex.Lock()
-	lines := bytes.Clone(w.waiting.Bytes())
-	w.waiting.Reset()
+	lines := bytes.Clone(w.buffer.Bytes())
+	w.buffer.Reset()
 	w.mutex.Unlock()
 	for len(lines) > 0 {
-		piece := lines[:pieceEnd(lines)]
-		lines = lines[len(piece):]
-		if _, err := w.Out.Write(piece); err != nil {
-			// There is nowhere left to tell it but the count.
-			w.drop(int64(bytes.Count(piece, newline)))
+		chunk := lines[:chunkEnd(lines)]
+		lines = lines[len(chunk):]
+		if _, err := w.Out.Write(chunk); err != nil {
+			// The error can't be logged, only counted.
+			w.drop(int64(bytes.Count(chunk, newline)))
 		}
 	}
 }
 
 var newline = []byte("\n")
 
-// pieceEnd returns the end of the last whole line that fits into one write, or of
-// the first line if that is longer.
-func pieceEnd(lines []byte) int {
-	if len(lines) <= writeMost {
+// chunkEnd returns the end of the last complete line that fits into one write, or of the first
+// line if that is longer.
+func chunkEnd(lines []byte) int {
+	if len(lines) <= maxWriteBytes {
 		return len(lines)
 	}
-	if i := bytes.LastIndexByte(lines[:writeMost], '\n'); i >= 0 {
+	if i := bytes.LastIndexByte(lines[:maxWriteBytes], '\n'); i >= 0 {
 		return i + 1
 	}
 	if i := bytes.IndexByte(lines, '\n'); i >= 0 {
--- a/internal/logs/logs_test.go
+++ b/internal/logs/logs_test.go
@@ -17,17 +17,17 @@
 	"pinerun.example/pinerun/internal/metric"
 )
 
-// stuck is a reader that stands still.
-type stuck struct{ gate chan struct{} }
+// stalledWriter is an output whose writes block until the gate is closed.
+type stalledWriter struct{ gate chan struct{} }
 
-func (s *stuck) Write(b []byte) (int, error) {
+func (s *stalledWriter) Write(b []byte) (int, error) {
 	<-s.gate
 	return len(b), nil
 }
 
-func TestAReaderThatStandsStillHoldsNothingUp(t *testing.T) {
+func TestStalledReaderDoesNotBlockWriters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stuck{gate: make(chan struct{})}
+		out := &stalledWriter{gate: make(chan struct{})}
 		w := &logs.Writer{Out: out, Counters: &metric.Set{}}
 		w.Start()
 		began := time.Now()
@@ -40,13 +40,13 @@
 		require.Positive(t, w.Dropped())
 		require.Equal(t, w.Dropped(), w.Counters.Value(string(metric.LinesDropped)))
 		w.Close(time.Now().Add(time.Second))
-		require.Equal(t, time.Second, time.Since(began), "the end waits no longer than told")
+		require.Equal(t, time.Second, time.Since(began), "Close returns at its deadline")
 		close(out.gate)
 		synctest.Wait()
 	})
 }
 
-func TestEachEventHasABudgetAndWhatWasDroppedIsTold(t *testing.T) {
+func TestEventBudgetDropsAndReportsLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		w := &logs.Writer{Out: &out}
@@ -55,29 +55,29 @@
 		for range 1000 {
 			event.RequestSent.Log(logger, slog.String("request", "r"))
 		}
-		event.StreamCut.Log(logger, slog.String("request", "the one that failed"))
+		event.StreamCut.Log(logger, slog.String("request", "the failed request"))
 		time.Sleep(2 * time.Second)
 		event.RequestSent.Log(logger, slog.String("request", "later"))
 		w.Close(time.Now().Add(time.Second))
 		text := out.String()
-		require.Contains(t, text, "the one that failed", "ordinary lines don't take the place of grave ones")
+		require.Contains(t, text, "the failed request", "ordinary lines do not displace warnings")
 		require.Contains(t, text, "later")
 		require.Contains(t, text, event.LinesDropped.Name())
 		require.Less(t, strings.Count(text, event.RequestSent.Name()), 500)
 	})
 }
 
-// pieces keeps each write by itself.
-type pieces struct{ writes [][]byte }
+// recordingWriter records each write separately.
+type recordingWriter struct{ writes [][]byte }
 
-func (p *pieces) Write(b []byte) (int, error) {
+func (p *recordingWriter) Write(b []byte) (int, error) {
 	p.writes = append(p.writes, bytes.Clone(b))
 	return len(b), nil
 }
 
-func TestEveryWriteHoldsWholeLines(t *testing.T) {
+func TestWritesContainCompleteLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &pieces{}
+		out := &recordingWriter{}
 		w := &logs.Writer{Out: out}
 		w.Start()
 		for i := range 300 {
