--- a/internal/lifecycle/context_test.go
+++ b/internal/lifecycle/context_test.go
@@ -10,7 +10,7 @@
 	"pinerun.example/pinerun/internal/lifecycle"
 )
 
-func TestTheContextEndsWithThePiece(t *testing.T) {
+func TestContextIsCancelledOnClose(t *testing.T) {
 	var d lifecycle.Done
 	ctx, cancel := d.Context()
 	defer cancel()
--- a/internal/lifecycle/part.go
+++ b/internal/lifecycle/lifecycle.go
@@ -1,31 +1,31 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package part gives each long-lived piece of a process its done channel.
+// Package lifecycle provides done channels and change signals for long-lived components.
 //
-// A piece embeds Done by value. Its goroutines end when the channel closes:
+// A component embeds Done by value. Its goroutines return when the channel closes:
 //
-//	type Relay struct{ done part.Done }
+//	type Relay struct{ done lifecycle.Done }
 //	func (r *Relay) run() { <-r.done.Done() }
 //	func (r *Relay) Close() { r.done.Close() }
 package lifecycle
 
 import "sync"
 
-// Done is closed at most once. The zero value is open.
+// Done is a channel that is closed at most once. The zero value is open.
 type Done struct {
 	mutex  sync.Mutex
-	open   chan struct{}
+	ch     chan struct{}
 	closed bool
 }
 
-// Done returns the channel that closes when the piece ends.
+// Done returns the channel that closes when Close is called.
 func (d *Done) Done() <-chan struct{} {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.channel()
 }
 
-// Close ends the piece and reports whether this call was the first.
+// Close closes the channel and reports whether this call was the first.
 func (d *Done) Close() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -45,8 +45,8 @@
 }
 
 func (d *Done) channel() chan struct{} {
-	if d.open == nil {
-		d.open = make(chan struct{})
+	if d.ch == nil {
+		d.ch = make(chan struct{})
 	}
-	return d.open
+	return d.ch
 }
--- a/internal/lifecycle/signal.go
+++ b/internal/lifecycle/signal.go
@@ -4,13 +4,13 @@
 
 import "sync"
 
-// Signal tells any number of waiters that something has changed. A waiter takes the
-// channel before it looks at what may have changed, so that it misses nothing. The zero
-// value is ready.
+// Signal notifies any number of waiters of a change. A waiter takes the channel before it
+// reads the state that may have changed, so that it misses no change. The zero value is ready
+// to use.
 //
 //	for {
-//		changed := s.Awaited()
-//		... // look
+//		changed := s.Changed()
+//		... // read the state
 //		<-changed
 //	}
 type Signal struct {
@@ -18,7 +18,7 @@
 	next  chan struct{}
 }
 
-// Changed returns a channel that closes at the next Tell.
+// Changed returns a channel that closes at the next Broadcast.
 func (s *Signal) Changed() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -28,7 +28,7 @@
 	return s.next
 }
 
-// Broadcast wakes all who wait.
+// Broadcast wakes all waiters.
 func (s *Signal) Broadcast() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/lifecycle/signal_test.go
+++ b/internal/lifecycle/signal_test.go
@@ -10,16 +10,16 @@
 	"pinerun.example/pinerun/internal/lifecycle"
 )
 
-func TestASignalWakesAllWhoWaitAndNobodyAfter(t *testing.T) {
+func TestBroadcastWakesCurrentWaitersOnly(t *testing.T) {
 	var s lifecycle.Signal
-	s.Broadcast() // nobody waits
+	s.Broadcast() // no waiters
 	one, two := s.Changed(), s.Changed()
 	s.Broadcast()
 	<-one
 	<-two
 	select {
 	case <-s.Changed():
-		require.Fail(t, "what was told before wakes nobody")
+		require.Fail(t, "an earlier broadcast wakes no later waiter")
 	default:
 	}
 }
