--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package clock tells a time that goes on while the VM is suspended.
+// Package clock provides a monotonic time that advances while the VM is suspended.
 //
-// The steady clock behind time.Now stands still then, so that a lease, a key or a confirmation
-// looks as fresh after the VM wakes as before, whatever happened meanwhile; the time of day goes
-// on, and jumps. Now counts what the steady clock left out, and is as steady otherwise. What is compared with it
-// has to come from it too:
+// The monotonic clock behind time.Now stops during a suspension, so a lease, a key or a
+// confirmation would look as fresh after it as before. The wall clock advances, but it jumps.
+// Now adds the suspended time to the monotonic clock and is otherwise as steady. Only compare
+// its times with times from this package:
 //
-//	lease.Till(clock.Now())
+//	lease.Next(clock.Now())
 //	timer.Reset(clock.Until(deadline))
-//	conn.SetDeadline(clock.Timer(deadline))
+//	conn.SetDeadline(clock.TimerDeadline(deadline))
 //
-// Timers and tickers stand still as well and fire late: who must act at once looks whether Slept
-// has grown.
+// Timers and tickers stop during a suspension too and fire late. Code that must react at once
+// checks whether Suspended has increased.
 package clock
 
 import (
@@ -23,104 +23,107 @@
 )
 
 const (
-	// driftLeast is by how much the time of day must have moved against the steady clock for the
-	// kernel to be asked whether the VM was suspended: more than a correction of the time
-	// of day between two looks, less than a suspension that matters.
-	driftLeast = 5 * time.Millisecond
-	// sleptLeast is the shortest suspension that Slept tells of: the least time by which
-	// anything here lapses.
-	sleptLeast = 50 * time.Millisecond
+	// minDrift is by how much the wall clock must have moved against the monotonic clock
+	// before the kernel is asked whether the VM was suspended. It is more than a wall clock
+	// correction between two calls of Now, and less than a suspension that matters.
+	minDrift = 5 * time.Millisecond
+	// suspensionUnit is the resolution of Suspended: the shortest duration after which
+	// anything in pinerun expires.
+	suspensionUnit = 50 * time.Millisecond
 )
 
 var (
-	start   = time.Now()
-	startBy = startGap() // what the steady clock had left out by then
-	left    atomic.Int64 // what it has left out since, in nanoseconds
-	drift   atomic.Int64 // of the time of day against the steady clock, when left was read
+	start       = time.Now()
+	startOffset = readStartOffset() // the boot time offset at the start
+	suspended   atomic.Int64        // time suspended since the start, in nanoseconds
+	drift       atomic.Int64        // of the wall clock against the monotonic clock when suspended was read
 )
 
-// Now returns the time by which deadlines are set and judged. Its time of day is not exact after
-// a suspension; what is written for others to read takes time.Now.
+// Now returns the time for setting and checking deadlines. Its wall clock reading is inexact
+// after a suspension; use time.Now for times that are written for others to read.
 func Now() time.Time {
 	now := time.Now()
 	moved := int64(now.Round(0).Sub(start.Round(0)) - now.Sub(start))
-	if before := drift.Load(); moved-before > int64(driftLeast) || before-moved > int64(driftLeast) {
+	if before := drift.Load(); moved-before > int64(minDrift) || before-moved > int64(minDrift) {
 		drift.Store(moved)
 		Refresh()
 	}
-	return now.Add(time.Duration(left.Load()))
+	return now.Add(time.Duration(suspended.Load()))
 }
 
-// Since returns how long ago a time of Now was.
+// Since returns the time elapsed since t, a time from Now.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Until returns how far ahead a time of Now is.
+// Until returns the duration until t, a time from Now.
 func Until(t time.Time) time.Duration { return t.Sub(Now()) }
 
-// TimerDeadline returns the time for which the runtime's timers have to be set to fire at a time of
-// Now: deadlines of connections and contexts. The zero time stays zero.
+// TimerDeadline returns the time to set a runtime timer to, such as the deadline of a
+// connection or context, so that it fires at t, a time from Now. It returns the zero time
+// unchanged.
 func TimerDeadline(t time.Time) time.Time {
 	if t.IsZero() {
 		return t
 	}
-	return t.Add(-time.Duration(left.Load()))
+	return t.Add(-time.Duration(suspended.Load()))
 }
 
-// Suspended returns how long the VM was suspended since the process began, as far as is known, without
-// what is too short to matter.
-func Suspended() time.Duration { return time.Duration(left.Load()).Truncate(sleptLeast) }
+// Suspended returns how long the VM was suspended since the process started, as far as known.
+// It omits durations that are too short to matter.
+func Suspended() time.Duration { return time.Duration(suspended.Load()).Truncate(suspensionUnit) }
 
-// Refresh asks the kernel how long the VM was suspended. Now does so by itself where the
-// time of day moved; a VM whose time of day is kept by hand needs to be asked.
-func Refresh() { note(int64(gap() - startBy)) }
+// Refresh asks the kernel how long the VM was suspended. Now calls it when the wall clock has
+// moved; it needs an explicit call on a VM whose wall clock is set by hand.
+func Refresh() { raiseSuspended(int64(bootOffset() - startOffset)) }
 
-// note takes it that the steady clock has left so much out. What it knows never shrinks.
-func note(out int64) {
+// raiseSuspended records the total suspended time. The recorded value never decreases.
+func raiseSuspended(total int64) {
 	for {
-		before := left.Load()
-		if out <= before || left.CompareAndSwap(before, out) {
+		before := suspended.Load()
+		if total <= before || suspended.CompareAndSwap(before, total) {
 			return
 		}
 	}
 }
 
-// SimulateSuspension makes Now as it is after a suspension of that length, for tests, which can't suspend
-// the machine. Several add up. The returned function takes it back, once nothing is left that
-// saw it.
-func SimulateSuspension(d time.Duration) (forget func()) {
-	before := left.Load()
-	note(before + int64(d))
-	return func() { left.Store(before) }
+// SimulateSuspension changes Now as a suspension of that length would, for tests, which can't
+// suspend the machine. Several simulated suspensions add up. The returned function undoes it;
+// call it when nothing that used the changed time remains.
+func SimulateSuspension(d time.Duration) (undo func()) {
+	before := suspended.Load()
+	raiseSuspended(before + int64(d))
+	return func() { suspended.Store(before) }
 }
 
-// startReads is how often the kernel is asked at the start: a process that has to wait for the
-// processor between two clocks finds too little, and the rest would look like a suspension later.
+// startReads is how often the offset is read at the start. A process that waits for the CPU
+// between the two clock reads gets too small an offset, and the difference would later look
+// like a suspension.
 const startReads = 5
 
-// startGap returns gap at the start, as exactly as can be.
-func startGap() time.Duration {
-	most := gap()
+// readStartOffset returns the boot time offset at the start as exactly as possible: the largest
+// of several reads.
+func readStartOffset() time.Duration {
+	largest := bootOffset()
 	for range startReads - 1 {
-		most = max(most, gap())
+		largest = max(largest, bootOffset())
 	}
-	return most
+	return largest
 }
 
-// gap returns how much longer the machine has been up than its steady clock says. It is read
-// between two clocks and a little too short, so that it never runs ahead.
-func gap() time.Duration {
-	boot, err := read(unix.CLOCK_BOOTTIME)
+// bootOffset returns how much longer the machine has been up than its monotonic clock says. The
+// boot clock is read first, so that the result is slightly too small and never too large.
+func bootOffset() time.Duration {
+	boot, err := readClock(unix.CLOCK_BOOTTIME)
 	if err != nil {
-		return 0 // no such clock: suspensions can't be told
+		return 0 // no such clock: suspensions can't be detected
 	}
-	steady, err := read(unix.CLOCK_MONOTONIC)
+	monotonic, err := readClock(unix.CLOCK_MONOTONIC)
 	if err != nil {
 		return 0
 	}
-	return boot - steady
+	return boot - monotonic
 }
 
-func read(id int32) (time.Duration, error) {
+func readClock(id int32) (time.Duration, error) {
 	var t unix.Timespec
 	if err := unix.ClockGettime(id, &t); err != nil {
 		return 0, err
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -12,26 +12,26 @@
 	"pinerun.example/pinerun/internal/clock"
 )
 
-// TestASuspensionCounts suspends the machine, as far as a test can: the steady clock leaves it
-// out, Now does not.
-func TestASuspensionCounts(t *testing.T) {
-	steady, set := time.Now(), clock.Now()
-	till := set.Add(10 * time.Second)
-	slept := clock.Suspended()
+// TestNowIncludesSuspendedTime simulates suspensions: the monotonic clock does not include them,
+// Now does.
+func TestNowIncludesSuspendedTime(t *testing.T) {
+	began, now := time.Now(), clock.Now()
+	deadline := now.Add(10 * time.Second)
+	suspended := clock.Suspended()
 	defer clock.SimulateSuspension(4 * time.Second)()
 	defer clock.SimulateSuspension(5 * time.Second)()
-	require.GreaterOrEqual(t, clock.Suspended()-slept, 9*time.Second)
-	require.Less(t, time.Since(steady), 5*time.Second)
-	require.GreaterOrEqual(t, clock.Since(set), 9*time.Second)
-	require.LessOrEqual(t, clock.Until(till), time.Second)
-	require.LessOrEqual(t, time.Until(clock.TimerDeadline(till)), time.Second, "a timer fires when the time is over")
+	require.GreaterOrEqual(t, clock.Suspended()-suspended, 9*time.Second)
+	require.Less(t, time.Since(began), 5*time.Second)
+	require.GreaterOrEqual(t, clock.Since(now), 9*time.Second)
+	require.LessOrEqual(t, clock.Until(deadline), time.Second)
+	require.LessOrEqual(t, time.Until(clock.TimerDeadline(deadline)), time.Second, "a timer fires at the deadline")
 	require.True(t, clock.TimerDeadline(time.Time{}).IsZero())
-	clock.Refresh() // the kernel knows nothing of it
-	require.GreaterOrEqual(t, clock.Since(set), 9*time.Second, "it never steps back")
+	clock.Refresh() // the kernel does not know the simulated suspension
+	require.GreaterOrEqual(t, clock.Since(now), 9*time.Second, "the clock never goes back")
 }
 
-// TestItIsTheTimeOfVirtualTests: tests that play in virtual time do so with this clock too.
-func TestItIsTheTimeOfVirtualTests(t *testing.T) {
+// TestNowFollowsSynctestTime checks that tests in virtual time can use this clock.
+func TestNowFollowsSynctestTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		before := clock.Now()
 		time.Sleep(time.Hour)
@@ -45,13 +45,13 @@
 	}
 }
 
-func BenchmarkSteadyNow(b *testing.B) {
+func BenchmarkTimeNow(b *testing.B) {
 	for range b.N {
 		_ = time.Now()
 	}
 }
 
-func BenchmarkLook(b *testing.B) {
+func BenchmarkRefresh(b *testing.B) {
 	for range b.N {
 		clock.Refresh()
 	}
