--- a/internal/serving/finish_test.go
+++ b/internal/serving/finish_test.go
@@ -15,79 +15,77 @@
 	"pinerun.example/pinerun/internal/serving"
 )
 
-// Callers of an entry that was stopped as planned got a stream without its end: the last event
-// was there, the last chunk was not, so their clients took the answer as cut off. The entry had counted it
-// as answered: its handler had returned, all requests were over, and the connections were closed
-// before the server had written the end of the answer.
+// These tests guard against streams that lose their last chunk during a planned stop. The handler
+// had returned and the entry had counted the request as answered, but the connections were closed
+// before the server had written the last chunk, so clients saw a truncated answer.
 //
-// Evidence: the body of the one stream of 20 that was not whole ended with its last event, and the error
-// was an unexpected EOF.
+// In the observed failure, 1 of 20 streams ended with its last event and an unexpected EOF.
 
-// lastChunk ends an answer whose length is not told.
+// lastChunk ends an answer of unknown length.
 const lastChunk = "0\r\n\r\n"
 
-// slowSocket is a listener whose connections write the end of an answer only once its server is
-// about to end, or has ended.
-type slowSocket struct {
+// delayedListener is a listener whose connections delay the last chunk of an answer until
+// the server shuts down or has been closed.
+type delayedListener struct {
 	net.Listener
-	reached chan struct{} // closed when the end of an answer waits
-	ending  chan struct{} // closed when the server waits for its answers
-	ended   chan struct{} // closed when it has ended
+	reached  chan struct{} // closed when the last chunk is about to be written
+	shutdown chan struct{} // closed when the server waits for its answers
+	closed   chan struct{} // closed when the server has been closed
 }
 
-func (s *slowSocket) Accept() (net.Conn, error) {
+func (s *delayedListener) Accept() (net.Conn, error) {
 	c, err := s.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &slowConn{Conn: c, socket: s}, nil
+	return &delayedConn{Conn: c, listener: s}, nil
 }
 
-type slowConn struct {
+type delayedConn struct {
 	net.Conn
-	socket *slowSocket
+	listener *delayedListener
 }
 
-func (c *slowConn) Write(p []byte) (int, error) {
+func (c *delayedConn) Write(p []byte) (int, error) {
 	if bytes.HasSuffix(p, []byte(lastChunk)) {
-		close(c.socket.reached)
+		close(c.listener.reached)
 		select {
-		case <-c.socket.ending:
-		case <-c.socket.ended:
+		case <-c.listener.shutdown:
+		case <-c.listener.closed:
 		}
 	}
 	return c.Conn.Write(p)
 }
 
-// stopping ends a server as an entry does whose requests are over.
-type stopping struct {
-	server *http.Server
-	socket *slowSocket
+// serverStopper stops a server like an entry whose requests have all finished.
+type serverStopper struct {
+	server   *http.Server
+	listener *delayedListener
 }
 
-func (s *stopping) run() {
-	<-s.socket.reached
+func (s *serverStopper) run() {
+	<-s.listener.reached
 	serving.Shutdown(s.server, time.Now().Add(time.Minute))
 	_ = s.server.Close()
-	close(s.socket.ended)
+	close(s.listener.closed)
 }
 
-func TestTheEndOfAnAnswerIsWrittenBeforeItsServerEnds(t *testing.T) {
+func TestShutdownWaitsForLastChunk(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	socket := &slowSocket{Listener: l, reached: make(chan struct{}), ending: make(chan struct{}), ended: make(chan struct{})}
+	listener := &delayedListener{Listener: l, reached: make(chan struct{}), shutdown: make(chan struct{}), closed: make(chan struct{})}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "all of it")
 		_ = http.NewResponseController(w).Flush()
 	})}
-	server.RegisterOnShutdown(func() { close(socket.ending) })
-	go (&stopping{server: server, socket: socket}).run()
-	go func() { _ = server.Serve(socket) }()
+	server.RegisterOnShutdown(func() { close(listener.shutdown) })
+	go (&serverStopper{server: server, listener: listener}).run()
+	go func() { _ = server.Serve(listener) }()
 	res, err := http.Get("http://" + l.Addr().String())
 	require.NoError(t, err)
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
 	require.NoError(t, err)
 	require.Equal(t, "all of it", string(body))
-	<-socket.ended
+	<-listener.closed
 }
