--- a/explain/breaks.go
+++ b/explain/broken_work.go
@@ -4,13 +4,14 @@
 
 import "pinerun.example/pinerun/internal/event"
 
-// breaks is at which endpoints the sends of each fingerprint broke. The zero value is empty.
-type breaks struct {
+// brokenWork collects the endpoints at which the attempts of each fingerprint broke. The zero
+// value is empty.
+type brokenWork struct {
 	endpoints map[string]map[string]bool // by fingerprint
 }
 
-// add takes a line that tells of a broken send.
-func (b *breaks) add(l *Line) {
+// add records the endpoint of a broken attempt and ignores other lines.
+func (b *brokenWork) add(l *Line) {
 	if l.Event != event.AttemptBroken.Number() || l.Fingerprint == "" {
 		return
 	}
@@ -23,9 +24,10 @@
 	b.endpoints[l.Fingerprint][l.Endpoint] = true
 }
 
-// tallies returns the fingerprints whose sends broke at several endpoints, those with most
-// first. One that broke at a single endpoint was there when it ended, as many are.
-func (b *breaks) tallies() []Tally {
+// tallies returns the fingerprints whose attempts broke at several endpoints, in descending
+// order of their number. One that broke at a single endpoint is left out: many requests are at
+// an endpoint when it crashes.
+func (b *brokenWork) tallies() []Tally {
 	counts := make(map[string]int)
 	for f, at := range b.endpoints {
 		if len(at) > 1 {
--- a/explain/judge.go
+++ b/explain/cause.go
@@ -11,24 +11,24 @@
 	"pinerun.example/pinerun/internal/event"
 )
 
-// judge names the cause.
-func (r *Report) judge(lines []Line) string {
+// findCause returns why the request ended as it did, or "".
+func (r *Report) findCause(lines []Line) string {
 	end := &r.lines[len(r.lines)-1]
 	switch end.Event {
 	case event.RequestRefused.Number():
-		return r.judgeRefusal(end)
+		return r.describeRefusal(end)
 	case event.StreamCut.Number():
-		return fmt.Sprintf("the stream was broken off after %d events: %s", end.Events, r.judgeAttempts(end))
+		return fmt.Sprintf("the stream was broken off after %d events: %s", end.Events, r.describeAttempts(end))
 	case event.RequestAnswered.Number():
-		return r.judgeAnswer(end)
+		return r.describeAnswer(end)
 	case event.CallerLeft.Number():
-		return "the caller closed its connection; " + r.judgeWait()
+		return "the caller closed its connection; " + r.describeWait()
 	}
 	if restarted(lines, end) {
-		return "the entry " + end.Entry + " ended while the request was open, and started anew"
+		return "the entry " + end.Entry + " ended while the request was open, and restarted"
 	}
-	if fellSilent(lines, end) {
-		return "the entry " + end.Entry + " has no line after this, while others have: it ended for good, or its log was cut off"
+	if wentSilent(lines, end) {
+		return "the entry " + end.Entry + " has no line after this, while others have: it exited, or its log was truncated"
 	}
 	return ""
 }
@@ -39,11 +39,11 @@
 	})
 }
 
-// silentFor is how much longer others must have written for an entry to be taken as
-// gone: one that serves requests writes several lines a second.
-const silentFor = 5 * time.Second
+// silenceThreshold is how long an entry must have written no line, while others have, to
+// be considered gone. An entry that serves requests writes several lines a second.
+const silenceThreshold = 5 * time.Second
 
-func fellSilent(lines []Line, end *Line) bool {
+func wentSilent(lines []Line, end *Line) bool {
 	var own, all time.Time
 	for i := range lines {
 		l := &lines[i]
@@ -54,39 +54,39 @@
 			own = l.Time
 		}
 	}
-	return all.Sub(own) > silentFor
+	return all.Sub(own) > silenceThreshold
 }
 
-func (r *Report) judgeRefusal(end *Line) string {
+func (r *Report) describeRefusal(end *Line) string {
 	switch end.Kind {
 	case "platform_down":
-		why := fmt.Sprintf("%s: the platform last confirmed the routing table %d ms before", end.Message, end.ConfirmedMS)
-		if l := last(r.beliefs, event.PlatformUnreached); l != nil {
-			why += "; it does not answer: " + l.Cause
+		text := fmt.Sprintf("%s: the platform last confirmed the routing table %d ms before", end.Message, end.ConfirmedMS)
+		if l := last(r.entryState, event.PlatformUnreached); l != nil {
+			text += "; it does not answer: " + l.Cause
 		}
-		return why
+		return text
 	case "wrong_key", "unknown_service":
 		return fmt.Sprintf("%s in routing table %d", end.Message, end.Routing)
 	case "queue_full":
-		return end.Message + ": " + r.judgeRoom()
+		return end.Message + ": " + r.describeQueueing()
 	case "no_path":
 		return "no path holds every layer; look for events 3008, 3003 and 8003 before it"
 	case "stopping", "no_configuration", "body_too_large", "malformed_request":
 		return end.Message
 	}
-	return end.Message + ": " + r.judgeAttempts(end)
+	return end.Message + ": " + r.describeAttempts(end)
 }
 
-// judgeRoom says what became of a request for which the engines had no room.
-func (r *Report) judgeRoom() string {
+// describeQueueing says what happened to a request for which the engines had no capacity.
+func (r *Report) describeQueueing() string {
 	if l := last(r.lines, event.QueueWaitFailed); l != nil {
 		return fmt.Sprintf("it waited %d ms in vain; look for events 3008, 3003 and 8003 before it", l.HeldMS)
 	}
-	return "refused at once, since those ahead of it would take longer than its caller waits"
+	return "refused at once, since the requests queued before it would take longer than its caller waits"
 }
 
-// judgeAttempts says how the sends of the request ended.
-func (r *Report) judgeAttempts(end *Line) string {
+// describeAttempts says how the attempts of the request ended.
+func (r *Report) describeAttempts(end *Line) string {
 	var parts []string
 	for i := range r.lines {
 		l := &r.lines[i]
@@ -99,10 +99,10 @@
 			parts = append(parts, fmt.Sprintf("attempt %d was silent for %d ms", l.Attempt, l.SilentMS))
 		}
 	}
-	if l := last(r.beliefs, event.RunnerEjected); l != nil {
+	if l := last(r.entryState, event.RunnerEjected); l != nil {
 		parts = append(parts, "runner "+l.Runner+" was left out ("+l.Reason+")")
 	}
-	if l := last(r.beliefs, event.EndpointGone); l != nil {
+	if l := last(r.entryState, event.EndpointGone); l != nil {
 		parts = append(parts, "endpoint "+l.Endpoint+" is gone: "+l.Reason)
 	}
 	if len(parts) == 0 {
@@ -118,23 +118,23 @@
 	return " because of the engine at " + l.AtFault
 }
 
-func (r *Report) judgeAnswer(end *Line) string {
+func (r *Report) describeAnswer(end *Line) string {
 	if end.Status >= 500 {
 		return fmt.Sprintf("the endpoint itself answered %d after %d sends", end.Status, end.Sends)
 	}
-	why := fmt.Sprintf("answered %d after %d ms", end.Status, end.TookMS)
+	text := fmt.Sprintf("answered %d after %d ms", end.Status, end.TookMS)
 	if end.Events > 0 {
-		why += fmt.Sprintf(", first event after %d ms, longest pause %d ms", end.FirstMS, end.PauseMS)
+		text += fmt.Sprintf(", first event after %d ms, longest pause %d ms", end.FirstMS, end.PauseMS)
 	}
-	if trouble := r.judgeAttempts(end); !strings.HasPrefix(trouble, "no answer") {
-		why += ": " + trouble
+	if attempts := r.describeAttempts(end); !strings.HasPrefix(attempts, "no answer") {
+		text += ": " + attempts
 	}
-	return why
+	return text
 }
 
-func (r *Report) judgeWait() string {
+func (r *Report) describeWait() string {
 	if last(r.lines, event.RequestSent) == nil {
 		return "nothing had been sent"
 	}
-	return r.judgeAttempts(&r.lines[len(r.lines)-1])
+	return r.describeAttempts(&r.lines[len(r.lines)-1])
 }
--- a/explain/explain.go
+++ b/explain/explain.go
@@ -1,11 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package explain tells from collected logs what became of a request and why.
+// Package explain determines from collected logs what happened to a request and why.
 //
-// It reads the lines of any number of entries, in any order, and picks out the
-// request's own lines and, for the entry that served it, what that entry believed
-// at the time: the routing table, the platform, the endpoints of the paths that
-// were tried.
+// It reads the lines of any number of entries, in any order. It selects the request's own
+// lines and the relevant state of the entry that served it at that time: the routing table,
+// the platform, and the endpoints of the attempted paths.
 //
 //	lines, err := explain.Read(file)
 //	fmt.Println(explain.Explain(lines, "9c41d07be2a35f68"))
@@ -20,26 +19,26 @@
 	"pinerun.example/pinerun/internal/event"
 )
 
-// believedFor is how long before a request an event on an endpoint still matters
-// to it: a record goes several missed heartbeats after its endpoint.
-const believedFor = 10 * time.Second
+// contextWindow is how long before a request an endpoint's event is still relevant to it.
+// A record is removed several missed heartbeats after its endpoint is gone.
+const contextWindow = 10 * time.Second
 
-// Report is what is known of one request.
+// Report is what the logs say about one request.
 type Report struct {
-	id      string
-	lines   []Line // of the request, in order of time
-	beliefs []Line // of its entry, up to its end
-	cause   string
+	id         string
+	lines      []Line // of the request, in order of time
+	entryState []Line // events of its entry, up to the end of the request
+	cause      string
 }
 
-// Cause returns why the request ended as it did, or "" when the lines don't say.
+// Cause returns why the request ended as it did, or "" if the lines don't show it.
 func (r *Report) Cause() string { return r.cause }
 
-// String returns the whole story.
+// String returns all relevant lines and the cause.
 func (r *Report) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "request %s\n", r.id)
-	all := append(slices.Clone(r.beliefs), r.lines...)
+	all := append(slices.Clone(r.entryState), r.lines...)
 	slices.SortStableFunc(all, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	for i := range all {
 		fmt.Fprintf(&b, "  %s\n", all[i].text)
@@ -52,7 +51,7 @@
 	return b.String()
 }
 
-// Explain picks a request's story out of the lines of all entries.
+// Explain builds the report of a request from the lines of all entries.
 func Explain(lines []Line, id string) *Report {
 	r := &Report{id: id}
 	for i := range lines {
@@ -62,16 +61,16 @@
 	}
 	slices.SortStableFunc(r.lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	if len(r.lines) == 0 {
-		r.cause = absent(lines)
+		r.cause = explainMissing(lines)
 		return r
 	}
-	r.believe(lines)
-	r.cause = r.judge(lines)
+	r.collectEntryState(lines)
+	r.cause = r.findCause(lines)
 	return r
 }
 
-// absent says why there may be no line of a request.
-func absent(lines []Line) string {
+// explainMissing returns why there may be no line of a request.
+func explainMissing(lines []Line) string {
 	var dropped int64
 	for i := range lines {
 		if lines[i].Event == event.LinesDropped.Number() {
@@ -84,11 +83,11 @@
 	return "no entry of these logs read it: its connection was refused or closed first; look for entries that stopped or were killed"
 }
 
-// believe collects what the request's entry believed: the last routing table and
-// state of the platform, and what happened to the endpoints of its paths.
-func (r *Report) believe(lines []Line) {
+// collectEntryState collects the state of the request's entry: its last routing table, whether
+// the platform was reachable, and the events of the endpoints of the request's paths.
+func (r *Report) collectEntryState(lines []Line) {
 	entry, end := r.lines[0].Entry, r.lines[len(r.lines)-1].Time
-	var table, reach *Line
+	var table, reachability *Line
 	for i := range lines {
 		l := &lines[i]
 		if l.Entry != entry || l.Time.After(end) || l.Request == r.id {
@@ -98,21 +97,21 @@
 		case event.ConfigInForce.Number():
 			table = later(table, l)
 		case event.PlatformUnreached.Number(), event.PlatformBack.Number():
-			reach = later(reach, l)
+			reachability = later(reachability, l)
 		default:
-			if r.touches(l) && l.Time.After(r.lines[0].Time.Add(-believedFor)) {
-				r.beliefs = append(r.beliefs, *l)
+			if r.concernsPath(l) && l.Time.After(r.lines[0].Time.Add(-contextWindow)) {
+				r.entryState = append(r.entryState, *l)
 			}
 		}
 	}
-	for _, l := range []*Line{table, reach} {
+	for _, l := range []*Line{table, reachability} {
 		if l != nil {
-			r.beliefs = append(r.beliefs, *l)
+			r.entryState = append(r.entryState, *l)
 		}
 	}
 }
 
-// later returns the later of two lines, of which the first may be nil.
+// later returns the later of two lines. The first may be nil.
 func later(a, b *Line) *Line {
 	if a == nil || b.Time.After(a.Time) {
 		return b
@@ -120,8 +119,8 @@
 	return a
 }
 
-// touches reports whether a line is about an endpoint of one of the paths.
-func (r *Report) touches(l *Line) bool {
+// concernsPath reports whether a line is about an endpoint of one of the request's paths.
+func (r *Report) concernsPath(l *Line) bool {
 	name := l.Endpoint + l.Runner
 	if name == "" || l.Request != "" && l.Event != event.RunnerEjected.Number() {
 		return false
@@ -129,7 +128,7 @@
 	return slices.ContainsFunc(r.lines, func(own Line) bool { return strings.Contains(own.Path, name) || own.Endpoint == name })
 }
 
-// last returns the last line of an event among some, or nil.
+// last returns the last line with the event, or nil.
 func last(lines []Line, e event.Event) *Line {
 	for i := len(lines) - 1; i >= 0; i-- {
 		if lines[i].Event == e.Number() {
--- a/explain/line.go
+++ b/explain/line.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Line is one log line with the fields that explaining needs.
+// Line is a log line with the fields that this package uses.
 type Line struct {
 	Time        time.Time `json:"time"`
 	Event       int       `json:"event"`
@@ -48,11 +48,11 @@
 // String returns the line as it was read.
 func (l *Line) String() string { return l.text }
 
-// maxLineBytes bounds one line.
+// maxLineBytes limits the length of a line.
 const maxLineBytes = 1 << 20
 
-// Read returns the log lines of a reader. Whatever stands before the JSON of a
-// line, such as a collector's own mark, and lines without JSON are passed over.
+// Read returns the log lines of a reader. It skips lines without JSON, and any text before the
+// JSON of a line, such as the prefix of a log collector.
 func Read(r io.Reader) ([]Line, error) {
 	s := bufio.NewScanner(r)
 	s.Buffer(nil, maxLineBytes)
--- a/explain/summary.go
+++ b/explain/summary.go
@@ -12,67 +12,68 @@
 	"pinerun.example/pinerun/internal/event"
 )
 
-// faultsMost is how many engines, and entries, a summary lists.
-const faultsMost = 10
+// maxListed is how many engines, entries and fingerprints a summary lists.
+const maxListed = 10
 
-// Summary tells what became of many requests: in each span of time, by cause, and which
-// engines did not run what they were sent. Where calls to the platform were logged, it
-// tells what for and by which entries.
+// Summary aggregates the outcomes of many requests: by time interval, by cause, and by the
+// engines that did not run what they were sent. If calls to the platform were logged, it also
+// counts them by kind and by entry.
 type Summary struct {
-	spans   []Interval
-	causes  []Tally
-	faults  []Tally
-	calls   []Tally
-	callers []Tally
-	broken  []Tally
+	intervals      []Interval
+	causes         []Tally
+	faults         []Tally
+	calls          []Tally
+	callingEntries []Tally
+	brokenWork     []Tally
 }
 
-// Interval is what happened in one span of time.
+// Interval holds the counts of one time interval.
 type Interval struct {
 	From     time.Time
 	Sent     int // attempts
-	NotRun   int // of them, by the engines' own word
-	Held     int // requests that waited for room in vain
+	NotRun   int // attempts that engines reported as not run
+	Held     int // requests that waited for capacity in vain
 	Answered int
 	Refused  int
-	Cut      int // streams broken off
-	Left     int // callers who closed first
+	Cut      int // aborted streams
+	Left     int // callers that closed the connection first
 	Calls    int // to the platform
-	Failed   int // of them, without an answer or refused
+	Failed   int // calls that were refused or not answered
 	WaitMS   int64
 }
 
-// Tally is how often something was seen.
+// Tally is a name and how often it occurred.
 type Tally struct {
 	Name  string
 	Count int
 }
 
-// Intervals returns the spans in order of time.
-func (s *Summary) Intervals() []Interval { return s.spans }
+// Intervals returns the intervals in order of time.
+func (s *Summary) Intervals() []Interval { return s.intervals }
 
-// Causes returns how requests failed, the most frequent first.
+// Causes returns how requests failed, most frequent first.
 func (s *Summary) Causes() []Tally { return s.causes }
 
-// Faults returns the engines that did not run requests, the most frequent first.
+// Faults returns the engines that did not run requests, most frequent first.
 func (s *Summary) Faults() []Tally { return s.faults }
 
-// Calls returns the calls to the platform by what they asked for, the most frequent first.
+// Calls returns the calls to the platform by kind, most frequent first.
 func (s *Summary) Calls() []Tally { return s.calls }
 
-// CallingEntries returns the entries that made them, the busiest first.
-func (s *Summary) CallingEntries() []Tally { return s.callers }
+// CallingEntries returns the entries that made the calls, most frequent first.
+func (s *Summary) CallingEntries() []Tally { return s.callingEntries }
 
-// BrokenWork returns the work whose sends broke at two endpoints or more, by fingerprint: the same
-// request under any ID, at any entry. Count is the number of endpoints.
-func (s *Summary) BrokenWork() []Tally { return s.broken }
+// BrokenWork returns the fingerprints of work whose attempts broke at two or more endpoints. The
+// fingerprint of a request is the same under any ID and at any entry. Count is the number of
+// endpoints.
+func (s *Summary) BrokenWork() []Tally { return s.brokenWork }
 
-// Summarize adds up the lines of any number of entries.
+// Summarize aggregates the lines of any number of entries into intervals of length step.
 func Summarize(lines []Line, step time.Duration) *Summary {
 	spans := map[time.Time]*Interval{}
 	causes, faults := map[string]int{}, map[string]int{}
 	calls, callers := map[string]int{}, map[string]int{}
-	var broken breaks
+	var broken brokenWork
 	for i := range lines {
 		l := &lines[i]
 		called := l.Event == event.PlatformCalled.Number()
@@ -96,15 +97,15 @@
 			faults[cmp.Or(l.AtFault, l.Endpoint)]++
 		}
 	}
-	s := &Summary{causes: tallies(causes), faults: tallies(faults), calls: tallies(calls), callers: tallies(callers), broken: broken.tallies()}
+	s := &Summary{causes: tallies(causes), faults: tallies(faults), calls: tallies(calls), callingEntries: tallies(callers), brokenWork: broken.tallies()}
 	for _, p := range spans {
-		s.spans = append(s.spans, *p)
+		s.intervals = append(s.intervals, *p)
 	}
-	slices.SortFunc(s.spans, func(a, b Interval) int { return a.From.Compare(b.From) })
+	slices.SortFunc(s.intervals, func(a, b Interval) int { return a.From.Compare(b.From) })
 	return s
 }
 
-// add counts a line of a request or a call.
+// add counts a line of a request or of a call to the platform.
 func (p *Interval) add(l *Line) {
 	switch l.Event {
 	case event.PlatformCalled.Number():
@@ -130,8 +131,8 @@
 	}
 }
 
-// failure returns how a request failed by its last line, "" if the line is not that or
-// the request did not fail.
+// failure returns how a request failed according to its last line, or "" for other lines and
+// requests that did not fail.
 func failure(l *Line) string {
 	switch l.Event {
 	case event.RequestRefused.Number():
@@ -142,12 +143,12 @@
 		if l.Events == 0 {
 			return "caller left before the first event"
 		}
-		return "caller left within the stream"
+		return "caller left during the stream"
 	}
 	return ""
 }
 
-// tallies returns counts, the largest first.
+// tallies returns the counts in descending order.
 func tallies(counts map[string]int) []Tally {
 	var all []Tally
 	for name, n := range counts {
@@ -162,24 +163,24 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-12s %6s %8s %8s %9s %8s %5s %6s %9s %6s %7s\n",
 		"from", "sent", "not run", "waited", "answered", "refused", "cut", "left", "first ms", "calls", "failed")
-	for i := range s.spans {
-		p := &s.spans[i]
+	for i := range s.intervals {
+		p := &s.intervals[i]
 		fmt.Fprintf(&b, "%-12s %6d %8d %8d %9d %8d %5d %6d %9d %6d %7d\n", p.From.UTC().Format("15:04:05.0"),
 			p.Sent, p.NotRun, p.Held, p.Answered, p.Refused, p.Cut, p.Left, p.WaitMS, p.Calls, p.Failed)
 	}
-	write(&b, "how requests failed", s.causes)
-	write(&b, "engines that did not run requests", s.faults[:min(faultsMost, len(s.faults))])
+	writeTallies(&b, "how requests failed", s.causes)
+	writeTallies(&b, "engines that did not run requests", s.faults[:min(maxListed, len(s.faults))])
 	if len(s.calls) > 0 {
-		write(&b, "calls to the platform", s.calls)
-		write(&b, "entries that made them", s.callers[:min(faultsMost, len(s.callers))])
+		writeTallies(&b, "calls to the platform", s.calls)
+		writeTallies(&b, "entries that made them", s.callingEntries[:min(maxListed, len(s.callingEntries))])
 	}
-	if len(s.broken) > 0 {
-		write(&b, "work whose sends broke at several endpoints, by fingerprint", s.broken[:min(faultsMost, len(s.broken))])
+	if len(s.brokenWork) > 0 {
+		writeTallies(&b, "work whose sends broke at several endpoints, by fingerprint", s.brokenWork[:min(maxListed, len(s.brokenWork))])
 	}
 	return b.String()
 }
 
-func write(b *strings.Builder, title string, list []Tally) {
+func writeTallies(b *strings.Builder, title string, list []Tally) {
 	fmt.Fprintf(b, "\n%s\n", title)
 	for _, t := range list {
 		fmt.Fprintf(b, "%8d  %s\n", t.Count, t.Name)
--- a/explain/summary_test.go
+++ b/explain/summary_test.go
@@ -12,7 +12,7 @@
 	"pinerun.example/pinerun/explain"
 )
 
-const badHour = `
+const requestLog = `
 {"time":"2026-01-01T00:00:01Z","entry":"e","event":2003,"request":"a","attempt":1}
 {"time":"2026-01-01T00:00:01.5Z","entry":"e","event":2010,"request":"a","attempt":1,"endpoint":"i-1","at_fault":"10.0.0.2:80"}
 {"time":"2026-01-01T00:00:01.6Z","entry":"e","event":2003,"request":"a","attempt":2}
@@ -24,15 +24,15 @@
 {"time":"2026-01-01T00:00:03.3Z","entry":"f","event":3003,"runner":"i-9"}
 `
 
-// outage is what two entries asked of the platform, one of them in vain.
-const outage = `
+// platformCallLog has calls of two entries to the platform, one of which failed.
+const platformCallLog = `
 {"time":"2026-01-01T00:00:01Z","entry":"e","event":5003,"call":"read","objects":"config","took_ms":4,"cause":""}
 {"time":"2026-01-01T00:00:01.4Z","entry":"e","event":5003,"call":"read","objects":"config","took_ms":4,"cause":"503 Service Unavailable"}
 {"time":"2026-01-01T00:00:03Z","entry":"f","event":5003,"call":"watch","objects":"servers","took_ms":900,"cause":""}
 `
 
-func TestASummaryAddsUpCallsToThePlatform(t *testing.T) {
-	lines, err := explain.Read(strings.NewReader(outage))
+func TestSummaryCountsPlatformCalls(t *testing.T) {
+	lines, err := explain.Read(strings.NewReader(platformCallLog))
 	require.NoError(t, err)
 	s := explain.Summarize(lines, 2*time.Second)
 	require.Len(t, s.Intervals(), 2)
@@ -42,8 +42,8 @@
 	require.Contains(t, s.String(), "calls to the platform")
 }
 
-func TestASummaryAddsUpWhatBecameOfRequests(t *testing.T) {
-	lines, err := explain.Read(strings.NewReader(badHour))
+func TestSummaryCountsRequestOutcomes(t *testing.T) {
+	lines, err := explain.Read(strings.NewReader(requestLog))
 	require.NoError(t, err)
 	s := explain.Summarize(lines, 2*time.Second)
 	require.Len(t, s.Intervals(), 2)
@@ -60,30 +60,30 @@
 	require.Contains(t, s.String(), "refused: queue_full")
 }
 
-func TestASummaryOfNothingIsEmpty(t *testing.T) {
+func TestSummaryOfNoLinesIsEmpty(t *testing.T) {
 	s := explain.Summarize(nil, time.Second)
 	require.Empty(t, s.Intervals())
 	require.Contains(t, s.String(), "how requests failed")
 }
 
-func TestARequestWithoutRoomIsExplained(t *testing.T) {
-	lines, err := explain.Read(strings.NewReader(badHour + `{"time":"2026-01-01T00:00:04Z","entry":"f","event":2001,"request":"e","kind":"queue_full","message":"no room"}`))
+func TestQueueFullIsExplained(t *testing.T) {
+	lines, err := explain.Read(strings.NewReader(requestLog + `{"time":"2026-01-01T00:00:04Z","entry":"f","event":2001,"request":"e","kind":"queue_full","message":"no room"}`))
 	require.NoError(t, err)
 	require.Contains(t, explain.Explain(lines, "b").Cause(), "waited 1600 ms in vain")
 	require.Contains(t, explain.Explain(lines, "e").Cause(), "refused at once")
 }
 
-// brokenSends is one piece of work that broke under two IDs at two entries, and one that broke
-// twice at the same endpoint.
-const brokenSends = `
+// brokenAttemptLog has work that broke under two IDs at two entries, and work that broke twice
+// at the same endpoint.
+const brokenAttemptLog = `
 {"time":"2026-01-01T00:00:01Z","entry":"e","event":2006,"request":"a","endpoint":"i-1","fingerprint":"aa"}
 {"time":"2026-01-01T00:00:01Z","entry":"e","event":2006,"request":"b","endpoint":"i-1","fingerprint":"bb"}
 {"time":"2026-01-01T00:00:02Z","entry":"f","event":2006,"request":"c","endpoint":"i-2","fingerprint":"aa"}
 {"time":"2026-01-01T00:00:02Z","entry":"f","event":2006,"request":"d","endpoint":"i-1","fingerprint":"bb"}
 `
 
-func TestASummaryNamesWorkThatBrokeAtSeveralEndpoints(t *testing.T) {
-	lines, err := explain.Read(strings.NewReader(brokenSends))
+func TestSummaryListsWorkBrokenAtSeveralEndpoints(t *testing.T) {
+	lines, err := explain.Read(strings.NewReader(brokenAttemptLog))
 	require.NoError(t, err)
 	s := explain.Summarize(lines, 2*time.Second)
 	require.Equal(t, []explain.Tally{{Name: "aa", Count: 2}}, s.BrokenWork())
