--- a/transport/backlog/buffer.go
+++ b/transport/backlog/buffer.go
@@ -74,8 +74,8 @@
 // during a write.
 //
 // Bytes in the socket of such a connection are in no account. Without the checks, 2,000 callers
-// that read nothing kept 65 to 74 MB in their sockets, where 46 MB are allowed for all held bytes
-// together.
+// that read nothing kept 65 to 74 MB in their sockets, where 46 MB are allowed for the sockets and
+// all held bytes together.
 func (c *Conn) writeBlocking(p []byte, n int) (int, error) {
 	for c.flushing && c.err == nil {
 		c.drained.Wait()
--- a/transport/claims/store.go
+++ b/transport/claims/store.go
@@ -48,7 +48,7 @@
 	Logger   *slog.Logger
 	Mesh     *peer.Mesh // nil when this entry writes every shard itself
 	// IsGone, if set, reports whether an entry's process has ended or can't be reached.
-	IsGone func(entry string, life uint64) bool
+	IsGone func(entry string, incarnation uint64) bool
 	Shards int
 	// RetainUntil returns until when the key of a request is remembered.
 	RetainUntil func(issued time.Time) time.Time
--- a/transport/claims/store_test.go
+++ b/transport/claims/store_test.go
@@ -223,9 +223,9 @@
 	var polls atomic.Int32
 	short, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	second.IsGone = func(entry string, life uint64) bool {
+	second.IsGone = func(entry string, incarnation uint64) bool {
 		require.Equal(t, "e1", entry)
-		require.Equal(t, uint64(7), life)
+		require.Equal(t, uint64(7), incarnation)
 		n := polls.Add(1)
 		if n > 4 {
 			cancel()
--- a/transport/director/reassignments.go
+++ b/transport/director/reassignments.go
@@ -20,9 +20,9 @@
 	startupMaxWait = 4 * time.Second
 	// listGrace is how long after the first list of endpoints a live engine may still be missing
 	// from the list. Records expire during an outage of the platform, and a live engine is listed
-	// again within two seconds of its end. An entry that has followed the list keeps the earlier
-	// endpoints (see state/registry). An entry that has just started would treat every such engine
-	// as lost and reassign the layers of the others.
+	// again within two seconds after the outage. An entry that has followed the list keeps the
+	// earlier endpoints (see state/registry). An entry that has just started would treat every such
+	// engine as lost and reassign the layers of the others.
 	listGrace = 2500 * time.Millisecond
 )
 
