--- a/protocol/record.go
+++ b/protocol/record.go
@@ -63,7 +63,7 @@
 	if e.cause != nil {
 		text += ": " + e.cause.Error()
 	}
-	return text + "; its endpoint is not used until it writes a valid one"
+	return text + "; its endpoint is left out until it writes a sound one"
 }
 
 // Unwrap returns the cause, or nil.
