--- a/command/demo.go
+++ b/command/demo.go
@@ -81,7 +81,7 @@
 	if err := report.Write(o.out); err != nil {
 		return o.fail(exitFailed, err)
 	}
-	if !report.Kept() {
+	if !report.Passed() {
 		return o.fail(exitFailed, errors.New("a promise was broken; see the line above and run with -verbose"))
 	}
 	return exitGood
@@ -94,7 +94,7 @@
 	outside standin.Deployment
 	entries []*entry.Entry
 	model   protocol.Model
-	levels  []load.Level
+	levels  []load.Bounds
 }
 
 func (d *demo) start(ctx context.Context) error {
@@ -150,9 +150,9 @@
 		len(d.outside.Runners), b.Flow(), rate)
 	run := &load.Run{
 		Model: d.model.Name, Service: demoService, Requests: d.verb.requests, Rate: rate,
-		PromptMax: demoPrompt, MaxTokens: demoTokens, Seed: d.verb.seed, Progress: d.output.progress(),
+		MaxPromptBytes: demoPrompt, MaxTokens: demoTokens, Seed: d.verb.seed, Progress: d.output.progress(),
 		Expect: d.expect, Keys: demoKeys(),
-		DeadlineBy: time.Duration(d.verb.within) * time.Second, Burst: d.verb.burst,
+		Timeout: time.Duration(d.verb.within) * time.Second, BurstFactor: d.verb.burst,
 	}
 	for _, e := range d.entries {
 		run.Entries = append(run.Entries, "http://"+e.CallerAddress())
@@ -167,7 +167,7 @@
 	}
 	report := run.Do(ctx)
 	<-faults.done.Done()
-	run.Against(&report, d.levels)
+	run.ApplyBounds(&report, d.levels)
 	d.inspect(&report)
 	return report
 }
@@ -185,7 +185,7 @@
 		}
 	}
 	b := bound.Of(d.model.Layers, alive)
-	d.levels = append(d.levels, load.Level{At: at, Flow: b.Flow(), Fleet: b.Fleet()})
+	d.levels = append(d.levels, load.Bounds{At: at, Flow: b.Flow(), Fleet: b.Fleet()})
 	return b
 }
 
--- a/command/load.go
+++ b/command/load.go
@@ -45,18 +45,18 @@
 	l := f.Load
 	run := &load.Run{
 		Entries: l.Entries, Keys: l.Keys, Model: l.Model, Service: l.Service,
-		Requests: v.requests, Rate: v.rate, PromptMax: demoPrompt, MaxTokens: l.MaxTokens, Seed: v.seed,
+		Requests: v.requests, Rate: v.rate, MaxPromptBytes: demoPrompt, MaxTokens: l.MaxTokens, Seed: v.seed,
 		Progress: o.progress(),
 	}
 	if l.Layers > 0 {
 		run.Expect = func(prompt []int32, limit int) []int32 { return standin.Expect(l.Layers, prompt, limit) }
 	}
 	report := run.Do(ctx)
-	run.Against(&report, []load.Level{{Flow: l.FlowBound, Fleet: l.FleetBound}})
+	run.ApplyBounds(&report, []load.Bounds{{Flow: l.FlowBound, Fleet: l.FleetBound}})
 	if err := report.Write(o.out); err != nil {
 		return o.fail(exitFailed, err)
 	}
-	if !report.Kept() {
+	if !report.Passed() {
 		return o.fail(exitFailed, errors.New("a promise was broken; see the line above"))
 	}
 	return exitGood
--- a/load/load.go
+++ b/load/load.go
@@ -21,19 +21,19 @@
 
 // Run is one bounded load. Set the exported fields, then call Do once.
 type Run struct {
-	Entries    []string // base URLs, taken in turn as a balancer does
-	Keys       []string // bearer keys of the teams, taken at random
-	Model      string
-	Service    string  // if set, one in eight requests is a non-repeatable call
-	Requests   int     // how many in all
-	Rate       float64 // arrivals a second
-	Burst      float64 // if above 0, times Rate during the second quarter of the requests
-	PromptMax  int     // longest message in bytes
-	MaxTokens  int
-	Seed       uint64
-	DeadlineBy time.Duration // from arrival; zero means a minute
-	Expect     func(prompt []int32, limit int) []int32
-	Progress   func(done, total int)
+	Entries        []string // base URLs, taken in turn as a balancer does
+	Keys           []string // bearer keys of the teams, taken at random
+	Model          string
+	Service        string  // if set, one in eight requests is a non-repeatable call
+	Requests       int     // how many in all
+	Rate           float64 // arrivals a second
+	BurstFactor    float64 // if above 0, times Rate during the second quarter of the requests
+	MaxPromptBytes int     // longest message in bytes
+	MaxTokens      int
+	Seed           uint64
+	Timeout        time.Duration // from arrival; zero means a minute
+	Expect         func(prompt []int32, limit int) []int32
+	Progress       func(done, total int)
 
 	client   http.Client
 	mutex    sync.Mutex
@@ -84,8 +84,8 @@
 }
 
 func (r *Run) rateAt(i int) float64 {
-	if r.Burst > 0 && i >= r.Requests/4 && i < r.Requests/2 {
-		return r.Rate * r.Burst
+	if r.BurstFactor > 0 && i >= r.Requests/4 && i < r.Requests/2 {
+		return r.Rate * r.BurstFactor
 	}
 	return r.Rate
 }
@@ -103,11 +103,11 @@
 
 // plan draws one request, so that the same seed gives the same requests.
 func (r *Run) plan(i int, draw *rand.Rand) *attempt {
-	within := r.DeadlineBy
+	within := r.Timeout
 	if within == 0 {
 		within = defaultWithin
 	}
-	text := make([]byte, minPrompt+draw.IntN(max(1, r.PromptMax-minPrompt)))
+	text := make([]byte, minPrompt+draw.IntN(max(1, r.MaxPromptBytes-minPrompt)))
 	for j := range text {
 		text[j] = byte('a' + draw.IntN(26))
 	}
@@ -202,16 +202,16 @@
 	return tenths
 }
 
-// Level is what the hardware allows from a time on, in positions a second.
-type Level struct {
+// Bounds is what the hardware allows from a time on, in positions a second.
+type Bounds struct {
 	At    time.Time
 	Flow  float64
 	Fleet float64
 }
 
-// Against fills in the bounds, averaged over the measured part of the run. The
+// ApplyBounds fills in the bounds, averaged over the measured part of the run. The
 // levels are in order of time and the first holds from the beginning.
-func (r *Run) Against(report *Report, levels []Level) {
+func (r *Run) ApplyBounds(report *Report, levels []Bounds) {
 	from := r.started.Add(time.Duration(windowFrom * float64(r.stopped.Sub(r.started))))
 	flow, fleet := 0.0, 0.0
 	for i, l := range levels {
--- a/load/report.go
+++ b/load/report.go
@@ -38,8 +38,8 @@
 	Doubled         int         `json:"doubled"`
 }
 
-// Kept reports whether every promise that the run can see was kept.
-func (r *Report) Kept() bool {
+// Passed reports whether every promise that the run can see was kept.
+func (r *Report) Passed() bool {
 	return r.Missing == 0 && r.Wrong == 0 && r.LayerViolations == 0 && r.Doubled == 0
 }
 
