--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -95,14 +95,14 @@
 // Fits holds the fit of every slope.
 type Fits struct{ byID map[string]*Fit }
 
-// Of returns the fit of a slope that Slopes lists.
-func (f *Fits) Of(id string) *Fit { return f.byID[id] }
+// ByID returns the fit of a slope that Slopes lists.
+func (f *Fits) ByID(id string) *Fit { return f.byID[id] }
 
-// BadPoints is the error for a file of points that can't be used.
-type BadPoints struct{ what string }
+// PointsError is the error for a file of points that can't be used.
+type PointsError struct{ what string }
 
 // Error tells what is wrong and the remedy.
-func (b *BadPoints) Error() string {
+func (b *PointsError) Error() string {
 	return "points: " + b.what + "; give lines of slope,x,y with every slope of 'pinerun capacity'"
 }
 
@@ -110,7 +110,7 @@
 func Read(r io.Reader) (map[string][]Point, error) {
 	rows, err := csv.NewReader(r).ReadAll()
 	if err != nil {
-		return nil, &BadPoints{what: err.Error()}
+		return nil, &PointsError{what: err.Error()}
 	}
 	points := map[string][]Point{}
 	for i, row := range rows {
@@ -120,7 +120,7 @@
 		x, errX := strconv.ParseFloat(row[1], 64)
 		y, errY := strconv.ParseFloat(row[2], 64)
 		if errX != nil || errY != nil {
-			return nil, &BadPoints{what: fmt.Sprintf("line %d holds no numbers", i+1)}
+			return nil, &PointsError{what: fmt.Sprintf("line %d holds no numbers", i+1)}
 		}
 		points[row[0]] = append(points[row[0]], Point{x: x, y: y})
 	}
@@ -144,7 +144,7 @@
 	f := &Fit{slope: s, points: points}
 	switch len(points) {
 	case 0:
-		return nil, &BadPoints{what: "slope " + s.id + " has no points"}
+		return nil, &PointsError{what: "slope " + s.id + " has no points"}
 	case 1:
 		f.each = points[0].y / points[0].x
 		f.spread = 1
--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -29,11 +29,11 @@
 func TestThePageIsWorkedOutFromItsPoints(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "docs", "CAPACITY.md"))
 	require.NoError(t, err)
-	_, rest, found := strings.Cut(string(page), capacity.BeginMark+"\n")
+	_, rest, found := strings.Cut(string(page), capacity.BeginMarker+"\n")
 	require.True(t, found)
-	tables, _, found := strings.Cut(rest, capacity.EndMark)
+	tables, _, found := strings.Cut(rest, capacity.EndMarker)
 	require.True(t, found)
-	require.Equal(t, capacity.Page(fits(t)), tables, "run: pinerun capacity -write")
+	require.Equal(t, capacity.Tables(fits(t)), tables, "run: pinerun capacity -write")
 }
 
 func TestEverySlopeHasItsPicture(t *testing.T) {
@@ -51,7 +51,7 @@
 	}
 	f, err := capacity.FitAll(points)
 	require.NoError(t, err)
-	require.InDelta(t, 23, f.Of("choose_us").At(10), 1e-9)
+	require.InDelta(t, 23, f.ByID("choose_us").At(10), 1e-9)
 }
 
 func TestBadPointsAreTold(t *testing.T) {
@@ -60,7 +60,7 @@
 		if err == nil {
 			_, err = capacity.FitAll(points)
 		}
-		var bad *capacity.BadPoints
+		var bad *capacity.PointsError
 		require.ErrorAs(t, err, &bad)
 	}
 }
--- a/capacity/page.go
+++ b/capacity/page.go
@@ -9,27 +9,27 @@
 
 // Marks between which docs/CAPACITY.md holds what Page returns.
 const (
-	BeginMark = "<!-- from here: pinerun capacity -->"
-	EndMark   = "<!-- to here -->"
+	BeginMarker = "<!-- from here: pinerun capacity -->"
+	EndMarker   = "<!-- to here -->"
 )
 
-// Page returns the tables of slopes and sums as Markdown.
-func Page(f *Fits) string {
+// Tables returns the tables of slopes and sums as Markdown.
+func Tables(f *Fits) string {
 	var b strings.Builder
 	b.WriteString("| slope | measured at | fit | R² | planned size | there |\n|---|---|---|---|---|---|\n")
 	for _, s := range Slopes() {
-		x := f.Of(s.id)
+		x := f.ByID(s.id)
 		fmt.Fprintf(&b, "| [%s](capacity/%s.svg) | %s %s | %s + %s·x %s | %.3f | %s %s | %s %s |\n",
 			s.id, s.id, sizes(x.points), s.xUnit, number(x.base), number(x.each), s.yUnit, x.spread,
 			number(s.planned), s.xUnit, number(x.Planned()), s.yUnit)
 	}
-	for _, s := range Sums(f) {
+	for _, s := range Budgets(f) {
 		fmt.Fprintf(&b, "\n| %s | %s | worked out from |\n|---|---|---|\n", s.name, s.unit)
 		for _, i := range s.items {
 			fmt.Fprintf(&b, "| %s | %s | %s |\n", i.name, number(i.amount), i.how)
 		}
 		verdict := "fits"
-		if !s.Fits() {
+		if !s.WithinLimit() {
 			verdict = "**does not fit**"
 		}
 		fmt.Fprintf(&b, "| **total** | **%s** | budget %s: %s |\n", number(s.Total()), number(s.budget), verdict)
--- a/capacity/plot.go
+++ b/capacity/plot.go
@@ -21,7 +21,7 @@
 // through them, and a cross at the planned size.
 func Plot(f *Fits, dir string) error {
 	for _, s := range Slopes() {
-		if err := plotOne(f.Of(s.id), filepath.Join(dir, s.id+".svg")); err != nil {
+		if err := plotOne(f.ByID(s.id), filepath.Join(dir, s.id+".svg")); err != nil {
 			return err
 		}
 	}
--- a/capacity/sums.go
+++ b/capacity/sums.go
@@ -64,8 +64,8 @@
 // Amount returns the cost in the sum's unit.
 func (i Item) Amount() float64 { return i.amount }
 
-// Sum is what one budget is spent on.
-type Sum struct {
+// Budget is what one budget is spent on.
+type Budget struct {
 	name   string
 	unit   string
 	budget float64
@@ -73,7 +73,7 @@
 }
 
 // Total returns the sum of all items.
-func (s *Sum) Total() float64 {
+func (s *Budget) Total() float64 {
 	total := 0.0
 	for _, i := range s.items {
 		total += i.amount
@@ -81,47 +81,47 @@
 	return total
 }
 
-// Fits reports whether the total is within the budget.
-func (s *Sum) Fits() bool { return s.Total() <= s.budget }
+// WithinLimit reports whether the total is within the budget.
+func (s *Budget) WithinLimit() bool { return s.Total() <= s.budget }
 
 // connections is how many engines an entry is connected to at most.
 const connections = models * spansPerModel * subset
 
-// Sums adds up a relay that also writes one claim shard, the dearest node.
-func Sums(f *Fits) []Sum {
+// Budgets adds up a relay that also writes one claim shard, the dearest node.
+func Budgets(f *Fits) []Budget {
 	changes := changesPerDay / secondsPerDay
 	reports := connections * reportsEach
-	return []Sum{
+	return []Budget{
 		{"processor time for control", "cores", coreBudget, []Item{
-			{"choice of paths", requestsPerNode * f.Of("choose_us").Planned() / 1e6, "requests/s × µs"},
-			{"admission, all teams waiting", requestsPerNode * f.Of("admit_us").Planned() / 1e6, "requests/s × µs"},
-			{"changes: configuration and view", changes * (f.Of("config_ms").Planned() + f.Of("view_ms").Planned()) / 1e3, "changes/s × ms"},
-			{"heartbeats of a relay", relayLinks * f.Of("beat_us").Planned() / 1e6, "links/s × µs to write and read"},
-			{"load reports at 10/s", reports * f.Of("report_us").Planned() / 1e6, "connections × 10/s × µs"},
+			{"choice of paths", requestsPerNode * f.ByID("choose_us").Planned() / 1e6, "requests/s × µs"},
+			{"admission, all teams waiting", requestsPerNode * f.ByID("admit_us").Planned() / 1e6, "requests/s × µs"},
+			{"changes: configuration and view", changes * (f.ByID("config_ms").Planned() + f.ByID("view_ms").Planned()) / 1e3, "changes/s × ms"},
+			{"heartbeats of a relay", relayLinks * f.ByID("beat_us").Planned() / 1e6, "links/s × µs to write and read"},
+			{"load reports at 10/s", reports * f.ByID("report_us").Planned() / 1e6, "connections × 10/s × µs"},
 		}},
 		{"memory for control", "B", memoryBudget, []Item{
-			{"configuration of 700 teams", f.Of("config_heap").Planned(), "B at 700 teams"},
-			{"configuration of 4,900 runners", f.Of("fleet_heap").Planned(), "B at 4,900 runners"},
-			{"view of 4,900 runners", f.Of("view_heap").Planned(), "B at 4,900 runners"},
-			{"stories of 4,096 requests", f.Of("story_heap").Planned(), "B at 4,096 stories"},
-			{"keys of one claim shard", f.Of("claim_heap").Planned(), "B at 75,900 keys"},
+			{"configuration of 700 teams", f.ByID("config_heap").Planned(), "B at 700 teams"},
+			{"configuration of 4,900 runners", f.ByID("fleet_heap").Planned(), "B at 4,900 runners"},
+			{"view of 4,900 runners", f.ByID("view_heap").Planned(), "B at 4,900 runners"},
+			{"stories of 4,096 requests", f.ByID("story_heap").Planned(), "B at 4,096 stories"},
+			{"keys of one claim shard", f.ByID("claim_heap").Planned(), "B at 75,900 keys"},
 		}},
 		{"bytes sent and received for control", "B/s", bytesBudget, []Item{
-			{"heartbeats of a relay", 2 * relayLinks * f.Of("beat_frame_bytes").Planned(), "links × both ways × B"},
-			{"changes through a relay", changes * relayLinks * f.Of("change_bytes").Planned(), "changes/s × links × B"},
+			{"heartbeats of a relay", 2 * relayLinks * f.ByID("beat_frame_bytes").Planned(), "links × both ways × B"},
+			{"changes through a relay", changes * relayLinks * f.ByID("change_bytes").Planned(), "changes/s × links × B"},
 			{"list of entries", nodes * listLineBytes / listAsRelay, "entries × B a line / 10 s"},
 			{"list of VMs", (nodes + runners) * vmLineBytes / relays, "VMs × B a line / relays in turn"},
-			{"load reports at 10/s", reports * f.Of("report_bytes").Planned(), "connections × 10/s × B"},
+			{"load reports at 10/s", reports * f.ByID("report_bytes").Planned(), "connections × 10/s × B"},
 		}},
 		{"platform reads of all nodes", "reads/s", readBudget, []Item{
 			{"watches of the manifest", relays / watchSeconds, "relays / 30 s"},
-			{"changes", changes * f.Of("reads_per_change").Planned(), "changes/s × reads"},
+			{"changes", changes * f.ByID("reads_per_change").Planned(), "changes/s × reads"},
 			{"lists of entries", relays/listAsRelay + (nodes-relays)/listAsOther, "relays / 10 s + others / 60 s"},
 			{"lists of VMs", 1, "relays in turn / 1 s"},
 			{"lease", relays, "relays / 1 s"},
 		}},
 		{"platform writes of all nodes", "writes/s", writeBudget, []Item{
-			{"claims at 5 % of 9,200 requests/s", min(f.Of("claim_writes").Planned(), claimShards*shardWrites), "fit, at most shards × 12.5/s"},
+			{"claims at 5 % of 9,200 requests/s", min(f.ByID("claim_writes").Planned(), claimShards*shardWrites), "fit, at most shards × 12.5/s"},
 			{"plans", changes * writesPerPlan, "changes/s × writes"},
 			{"lines of entries", nodes / refreshSeconds, "entries / 300 s"},
 			{"lease", leaseRenewals, "1 / 1 s"},
--- a/command/capacity.go
+++ b/command/capacity.go
@@ -45,7 +45,7 @@
 		return o.fail(exitUsage, err)
 	}
 	if !v.write {
-		fmt.Fprint(o.out, capacity.Page(fits))
+		fmt.Fprint(o.out, capacity.Tables(fits))
 		return exitGood
 	}
 	if err := v.update(fits); err != nil {
@@ -60,12 +60,12 @@
 	if err != nil {
 		return err
 	}
-	before, rest, begun := strings.Cut(string(page), capacity.BeginMark+"\n")
-	_, after, ended := strings.Cut(rest, capacity.EndMark)
+	before, rest, begun := strings.Cut(string(page), capacity.BeginMarker+"\n")
+	_, after, ended := strings.Cut(rest, capacity.EndMarker)
 	if !begun || !ended {
-		return errors.New("CAPACITY.md has no marks; put back the lines " + capacity.BeginMark + " and " + capacity.EndMark)
+		return errors.New("CAPACITY.md has no marks; put back the lines " + capacity.BeginMarker + " and " + capacity.EndMarker)
 	}
-	text := before + capacity.BeginMark + "\n" + capacity.Page(fits) + capacity.EndMark + after
+	text := before + capacity.BeginMarker + "\n" + capacity.Tables(fits) + capacity.EndMarker + after
 	if err := os.WriteFile(name, []byte(text), 0o644); err != nil {
 		return err
 	}
