--- a/command/command.go
+++ b/command/command.go
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package command is the command line of pinerun: one file for each verb.
+// Package command implements the command line of pinerun and its subcommands.
 //
-// Every verb ends with one of three exit codes: 0 when all went well, 1 when
-// the work failed or a promise was broken, 2 when the command line or the
-// settings are wrong and nothing was run.
+// Every subcommand returns one of three exit codes: 0 for success, 1 if the work
+// failed or the run violated a guarantee, 2 if the command line or the settings
+// are invalid and nothing was run.
 package command
 
 import (
@@ -20,30 +20,32 @@
 	"github.com/integrii/flaggy"
 )
 
-// The exit codes.
+// Exit codes.
 const (
-	exitGood   = 0
+	exitOK     = 0
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// verb is one subcommand with its flags.
-type verb interface {
-	// define returns the subcommand with its flags attached.
+// subcommand is a subcommand of pinerun. Its fields hold the values of its flags.
+type subcommand interface {
+	// define sets the defaults of the flags and returns the parser's subcommand.
 	define() *flaggy.Subcommand
+	// run executes the subcommand and returns the exit code.
 	run(ctx context.Context, out *output) int
 }
 
-// output is where a verb writes: results to out, everything else to err.
+// output holds the streams of a subcommand: results go to out, everything else to err.
 type output struct{ out, err io.Writer }
 
-// fail tells what went wrong and returns the exit code.
+// fail prints the error and returns the given exit code.
 func (o *output) fail(code int, err error) int {
 	fmt.Fprintln(o.err, "pinerun: "+err.Error())
 	return code
 }
 
-// logger writes structured lines to the error stream.
+// logger returns a logger that writes JSON lines to the error stream. An unknown level
+// means info.
 func (o *output) logger(level string) *slog.Logger {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(level)); err != nil {
@@ -52,21 +54,21 @@
 	return slog.New(slog.NewJSONHandler(o.err, &slog.HandlerOptions{Level: l}))
 }
 
-// Main runs one command line and returns its exit code.
+// Main parses the arguments, runs the subcommand and returns its exit code.
 func Main(args []string, out, errs io.Writer) int {
 	o := &output{out: out, err: errs}
-	verbs := []verb{
-		&demoVerb{}, &entryVerb{}, &frontVerb{}, &standinVerb{}, &loadVerb{}, &checkVerb{}, &statusVerb{}, &fleetVerb{},
-		&intentVerb{}, &plansVerb{}, &capacityVerb{}, &boundVerb{}, &explainVerb{},
-		&endVerb{name: "confirm", description: "Accept a plan; it may be repeated"},
-		&endVerb{name: "withdraw", description: "Take an open plan back"},
+	commands := []subcommand{
+		&demoCommand{}, &entryCommand{}, &frontCommand{}, &standinCommand{}, &loadCommand{}, &checkCommand{}, &statusCommand{}, &fleetCommand{},
+		&intentCommand{}, &plansCommand{}, &capacityCommand{}, &boundCommand{}, &explainCommand{},
+		&planActionCommand{action: "confirm", description: "Accept a plan; it may be repeated"},
+		&planActionCommand{action: "withdraw", description: "Take an open plan back"},
 	}
 	parser := newParser()
 	version := flaggy.NewSubcommand("version")
 	version.Description = "Print the version"
 	parser.AttachSubcommand(version, 1)
-	subcommands := make([]*flaggy.Subcommand, len(verbs))
-	for i, v := range verbs {
+	subcommands := make([]*flaggy.Subcommand, len(commands))
+	for i, v := range commands {
 		subcommands[i] = v.define()
 		parser.AttachSubcommand(subcommands[i], 1)
 	}
@@ -75,11 +77,11 @@
 	}
 	if version.Used {
 		fmt.Fprintln(out, "pinerun "+buildVersion())
-		return exitGood
+		return exitOK
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	for i, v := range verbs {
+	for i, v := range commands {
 		if subcommands[i].Used {
 			return v.run(ctx, o)
 		}
@@ -88,17 +90,17 @@
 	return exitUsage
 }
 
-// newParser returns the parser of the command line, without subcommands.
+// newParser returns the command-line parser without subcommands.
 func newParser() *flaggy.Parser {
 	p := flaggy.NewParser("pinerun")
 	p.Description = "A router for model pipelines split over mixed accelerators."
-	p.AdditionalHelpAppend = helpEnd
+	p.AdditionalHelpAppend = helpFooter
 	p.ShowHelpOnUnexpected = true
 	p.DisableShowVersionWithVersion()
 	return p
 }
 
-const helpEnd = `
+const helpFooter = `
   Examples:
     pinerun demo                                     the whole path in one process
     pinerun demo -faults                             the same while things fail
@@ -109,6 +111,8 @@
     pinerun confirm -plan p-0a1b2c3d4e5f             accept it
   Exit codes: 0 good, 1 failed or a promise was broken, 2 wrong command line or settings.`
 
+// buildVersion returns the version of the main module, or "(devel)" if the build
+// information holds none.
 func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok || info.Main.Version == "" {
--- a/command/demo.go
+++ b/command/demo.go
@@ -22,57 +22,58 @@
 )
 
 const (
-	demoEntries  = 3
-	demoRequests = 400
-	demoLoad     = 0.7
-	demoPrompt   = 48
-	demoTokens   = 48
-	demoWithin   = 60
-	// meanPositions is the mean of positions that one demo request takes: the
-	// words around the message, half the longest message and half the answer.
-	meanPositions = 7 + (8+demoPrompt)/2 + demoTokens/2
-	readyWithin   = 10 * time.Second
-	stopWithin    = 10 * time.Second
+	demoEntries        = 3
+	demoRequests       = 400
+	demoLoad           = 0.7
+	demoMaxPromptBytes = 48
+	demoMaxTokens      = 48
+	demoTimeoutSeconds = 60
+	// meanPositions is the mean number of token positions of a demo request: 7 for
+	// the text around the message, the mean length of a message, which has 8 to
+	// demoMaxPromptBytes bytes, and half the longest answer.
+	meanPositions = 7 + (8+demoMaxPromptBytes)/2 + demoMaxTokens/2
+	readyTimeout  = 10 * time.Second
+	stopTimeout   = 10 * time.Second
 )
 
-// demoVerb runs stand-ins, entries and a bounded load in one process, over real
-// sockets.
-type demoVerb struct {
-	faults   bool
-	verbose  bool
-	seed     uint64
-	requests int
-	load     float64
-	policy   string
-	within   int
-	burst    float64
+// demoCommand runs stand-ins, entries and a load of a fixed number of requests in one
+// process. They communicate over real sockets.
+type demoCommand struct {
+	faults         bool
+	verbose        bool
+	seed           uint64
+	requests       int
+	load           float64
+	policy         string
+	timeoutSeconds int
+	burstFactor    float64
 }
 
-func (v *demoVerb) define() *flaggy.Subcommand {
-	v.seed, v.requests, v.load, v.policy, v.within = 1, demoRequests, demoLoad, "cost", demoWithin
+func (c *demoCommand) define() *flaggy.Subcommand {
+	c.seed, c.requests, c.load, c.policy, c.timeoutSeconds = 1, demoRequests, demoLoad, "cost", demoTimeoutSeconds
 	s := flaggy.NewSubcommand("demo")
 	s.Description = "Run the whole path in one process: pinerun demo -faults"
-	s.Bool(&v.faults, "f", "faults", "kill stages, spoil replies and take the platform down meanwhile")
-	s.Bool(&v.verbose, "v", "verbose", "write the entries' logs to the error stream")
-	s.UInt64(&v.seed, "", "seed", "seed of the load")
-	s.Int(&v.requests, "n", "requests", "how many requests")
-	s.Float64(&v.load, "l", "load", "offered load as a part of the flow bound; above 1 is overload")
-	s.String(&v.policy, "p", "policy", "path policy: cost, report, turn, chance or chain")
-	s.Int(&v.within, "w", "within", "seconds from a request's arrival to its deadline")
-	s.Float64(&v.burst, "b", "burst", "times the load during the second quarter of the requests")
+	s.Bool(&c.faults, "f", "faults", "kill stages, spoil replies and take the platform down meanwhile")
+	s.Bool(&c.verbose, "v", "verbose", "write the entries' logs to the error stream")
+	s.UInt64(&c.seed, "", "seed", "seed of the load")
+	s.Int(&c.requests, "n", "requests", "how many requests")
+	s.Float64(&c.load, "l", "load", "offered load as a part of the flow bound; above 1 is overload")
+	s.String(&c.policy, "p", "policy", "path policy: cost, report, turn, chance or chain")
+	s.Int(&c.timeoutSeconds, "w", "within", "seconds from a request's arrival to its deadline")
+	s.Float64(&c.burstFactor, "b", "burst", "times the load during the second quarter of the requests")
 	return s
 }
 
-func (v *demoVerb) run(ctx context.Context, o *output) int {
-	switch v.policy {
+func (c *demoCommand) run(ctx context.Context, o *output) int {
+	switch c.policy {
 	case "cost", "report", "turn", "chance", "chain":
 	default:
-		return o.fail(exitUsage, fmt.Errorf("policy %q is unknown; give cost, report, turn, chance or chain", v.policy))
+		return o.fail(exitUsage, fmt.Errorf("policy %q is unknown; give cost, report, turn, chance or chain", c.policy))
 	}
-	if v.requests <= 0 || v.load <= 0 || v.within <= 0 || v.burst < 0 {
+	if c.requests <= 0 || c.load <= 0 || c.timeoutSeconds <= 0 || c.burstFactor < 0 {
 		return o.fail(exitUsage, errors.New("nothing to do; give -requests, -load and -within above 0"))
 	}
-	d := &demo{verb: v, output: o}
+	d := &demo{options: c, output: o}
 	defer d.close()
 	if err := d.start(ctx); err != nil {
 		return o.fail(exitFailed, err)
@@ -84,29 +85,30 @@
 	if !report.Passed() {
 		return o.fail(exitFailed, errors.New("a promise was broken; see the line above and run with -verbose"))
 	}
-	return exitGood
+	return exitOK
 }
 
-// demo is one run of the demo verb.
+// demo is one run of the demo subcommand.
 type demo struct {
-	verb    *demoVerb
-	output  *output
-	outside standin.Deployment
-	entries []*entry.Entry
-	model   protocol.Model
-	levels  []load.Bounds
+	options    *demoCommand
+	output     *output
+	deployment standin.Deployment
+	entries    []*entry.Entry
+	model      protocol.Model
+	bounds     []load.Bounds
 }
 
+// start starts the stand-ins and the entries, and waits until every entry is ready.
 func (d *demo) start(ctx context.Context) error {
 	s := demoDeployment()
 	d.model = s.Models[0]
-	d.outside.AnyPorts = true
-	if err := d.outside.Start(s); err != nil {
+	d.deployment.AnyPorts = true
+	if err := d.deployment.Start(s); err != nil {
 		return fmt.Errorf("the stand-ins can't start: %w", err)
 	}
 	for i := range demoEntries {
 		e := &entry.Entry{Settings: d.entrySettings(i)}
-		if d.verb.verbose {
+		if d.options.verbose {
 			e.Logger = d.output.logger("info").With(slog.String("entry", e.Settings.Name))
 		}
 		if err := e.Start(); err != nil {
@@ -122,13 +124,14 @@
 	return settings.Entry{
 		Name: "entry-" + strconv.Itoa(i+1), DataCenter: []string{"dc-a", "dc-b", "dc-c"}[i%3], Region: "r1",
 		Listen:   settings.Listen{Callers: anyPort, Operators: anyPort, Peers: anyPort},
-		Platform: "http://" + d.outside.Platform.Address(), PeerKey: "demo-peers-share-this",
-		PathPolicy: d.verb.policy,
+		Platform: "http://" + d.deployment.Platform.Address(), PeerKey: "demo-peers-share-this",
+		PathPolicy: d.options.policy,
 	}
 }
 
+// waitReady returns an error if an entry is not ready within readyTimeout.
 func (d *demo) waitReady(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyWithin)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for _, e := range d.entries {
 		for !e.Ready() {
@@ -142,57 +145,60 @@
 	return nil
 }
 
-// measure offers the load and returns what became of it.
+// measure runs the load, with faults if they were asked for, and returns the report.
 func (d *demo) measure(ctx context.Context) load.Report {
-	b := d.note(time.Now())
-	rate := d.verb.load * b.Flow() / meanPositions
+	b := d.recordBounds(time.Now())
+	rate := d.options.load * b.Flow() / meanPositions
 	fmt.Fprintf(d.output.err, "%d runners, flow bound %.0f positions/s, offering %.0f requests/s\n",
-		len(d.outside.Runners), b.Flow(), rate)
+		len(d.deployment.Runners), b.Flow(), rate)
 	run := &load.Run{
-		Model: d.model.Name, Service: demoService, Requests: d.verb.requests, Rate: rate,
-		MaxPromptBytes: demoPrompt, MaxTokens: demoTokens, Seed: d.verb.seed, Progress: d.output.progress(),
-		Expect: d.expect, Keys: demoKeys(),
-		Timeout: time.Duration(d.verb.within) * time.Second, BurstFactor: d.verb.burst,
+		Model: d.model.Name, Service: demoService, Requests: d.options.requests, Rate: rate,
+		MaxPromptBytes: demoMaxPromptBytes, MaxTokens: demoMaxTokens, Seed: d.options.seed, Progress: d.output.progress(),
+		Expect: d.expectedTokens, Keys: demoKeys(),
+		Timeout: time.Duration(d.options.timeoutSeconds) * time.Second, BurstFactor: d.options.burstFactor,
 	}
 	for _, e := range d.entries {
 		run.Entries = append(run.Entries, "http://"+e.CallerAddress())
 	}
 	now := time.Now()
-	lasts := time.Duration(float64(d.verb.requests) / rate * float64(time.Second))
-	faults := &demoFaults{demo: d, began: now, ends: now.Add(lasts)}
-	if d.verb.faults {
-		go faults.run()
+	duration := time.Duration(float64(d.options.requests) / rate * float64(time.Second))
+	schedule := &faultSchedule{demo: d, startTime: now, endTime: now.Add(duration)}
+	if d.options.faults {
+		go schedule.run()
 	} else {
-		faults.done.Close()
+		schedule.done.Close()
 	}
 	report := run.Do(ctx)
-	<-faults.done.Done()
-	run.ApplyBounds(&report, d.levels)
-	d.inspect(&report)
+	<-schedule.done.Done()
+	run.ApplyBounds(&report, d.bounds)
+	d.addFaultCounts(&report)
 	return report
 }
 
-func (d *demo) expect(prompt []int32, limit int) []int32 {
+// expectedTokens returns the tokens that a model without faults generates.
+func (d *demo) expectedTokens(prompt []int32, limit int) []int32 {
 	return standin.Expect(d.model.Layers, prompt, limit)
 }
 
-// note records the bound from now on over the runners that are alive.
-func (d *demo) note(at time.Time) bound.Bound {
+// recordBounds computes the throughput bounds of the live runners, and records that they
+// hold from the given time on.
+func (d *demo) recordBounds(at time.Time) bound.Bound {
 	var alive []protocol.Runner
-	for _, r := range d.outside.Runners {
+	for _, r := range d.deployment.Runners {
 		if !r.Dead() {
 			alive = append(alive, r.Spec)
 		}
 	}
 	b := bound.Of(d.model.Layers, alive)
-	d.levels = append(d.levels, load.Bounds{At: at, Flow: b.Flow(), Fleet: b.Fleet()})
+	d.bounds = append(d.bounds, load.Bounds{At: at, Flow: b.Flow(), Fleet: b.Fleet()})
 	return b
 }
 
-// inspect adds what the stand-ins and entries recorded.
-func (d *demo) inspect(r *load.Report) {
-	r.LayerViolations = len(standin.Violations(d.outside.Ledger.Runs()))
-	for _, b := range d.outside.Books {
+// addFaultCounts adds to the report what the stand-ins and entries recorded: layer
+// violations, calls that ran twice, and recovery times.
+func (d *demo) addFaultCounts(r *load.Report) {
+	r.LayerViolations = len(standin.Violations(d.deployment.Ledger.Runs()))
+	for _, b := range d.deployment.Books {
 		r.Doubled += b.Doubled()
 	}
 	h := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
@@ -203,11 +209,12 @@
 	r.RecoveryMS = load.PercentilesOf(h)
 }
 
+// close stops the entries, within stopTimeout in all, and then the stand-ins.
 func (d *demo) close() {
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	for _, e := range d.entries {
 		e.Stop(ctx)
 	}
-	d.outside.Close()
+	d.deployment.Close()
 }
--- a/command/demo_setup.go
+++ b/command/demo_setup.go
@@ -18,12 +18,13 @@
 	demoLayers  = 24
 	demoStages  = 4
 	demoTeams   = 10
-	// Speeds of the three accelerator kinds, in layer passes a second.
-	demoFast   = 4800
-	demoMiddle = 2400
-	demoSlow   = 1200
+	// Speeds of the three kinds of accelerator, in layer passes per second.
+	demoFastSpeed   = 4800
+	demoMediumSpeed = 2400
+	demoSlowSpeed   = 1200
 )
 
+// demoKeys returns the API key of each team.
 func demoKeys() []string {
 	keys := make([]string, demoTeams)
 	for i := range keys {
@@ -32,8 +33,8 @@
 	return keys
 }
 
-// demoDeployment is forty runners of three kinds in three data centers, each
-// stage on ten of them, and three endpoints of a plain service.
+// demoDeployment describes forty runners with three kinds of accelerator in three data
+// centers, ten for each stage of the model, and three endpoints of a plain service.
 func demoDeployment() settings.Standin {
 	s := settings.Standin{
 		Platform: "127.0.0.1:0", Weights: "127.0.0.1:0",
@@ -45,9 +46,9 @@
 		from := stage * demoLayers / demoStages
 		to := (stage + 1) * demoLayers / demoStages
 		for _, g := range []settings.RunnerGroup{
-			{Name: "fast", Count: 3, DataCenter: "dc-a", Accelerator: "a", Speed: demoFast},
-			{Name: "middle", Count: 4, DataCenter: "dc-b", Accelerator: "b", Speed: demoMiddle},
-			{Name: "slow", Count: 3, DataCenter: "dc-c", Accelerator: "c", Speed: demoSlow},
+			{Name: "fast", Count: 3, DataCenter: "dc-a", Accelerator: "a", Speed: demoFastSpeed},
+			{Name: "middle", Count: 4, DataCenter: "dc-b", Accelerator: "b", Speed: demoMediumSpeed},
+			{Name: "slow", Count: 3, DataCenter: "dc-c", Accelerator: "c", Speed: demoSlowSpeed},
 		} {
 			g.Name += strconv.Itoa(stage+1) + "-"
 			g.Model, g.From, g.To = demoModel, from, to
@@ -63,56 +64,59 @@
 	for i, key := range demoKeys() {
 		share := 1.0
 		if i < 3 {
-			share = 4 // a few large teams
+			share = 4 // three large teams
 		}
 		s.Teams = append(s.Teams, settings.Team{Name: "team-" + strconv.Itoa(i+1), Key: key, Share: share, Priority: 1, MaxOpen: 600})
 	}
 	return s
 }
 
-// demoFaults makes things fail while the load runs: one runner in ten dies, two
-// at a time in the middle; replies are spoilt; a runner turns twenty times
-// slower; the platform goes down, comes back slow and loses answers.
-type demoFaults struct {
-	demo  *demo
-	began time.Time
-	ends  time.Time // of the load, if it is offered as planned
-	done  lifecycle.Done
+// faultSchedule injects faults while the load runs. One runner in ten fails: three are
+// closed, two of these at the same time, and one acts as if its VM lost power. Three runners send corrupted, duplicated, delayed or dropped replies,
+// and one becomes twenty times slower. The platform goes down, comes back slow and loses
+// answers.
+type faultSchedule struct {
+	demo      *demo
+	startTime time.Time
+	endTime   time.Time // expected end of the load at the planned rate
+	done      lifecycle.Done
 }
 
-func (f *demoFaults) run() {
+// run injects the faults in order and closes done.
+func (f *faultSchedule) run() {
 	defer f.done.Close()
-	outside := &f.demo.outside
-	f.after(0.10)
-	outside.Runners[12].Break(standin.Mangle{Double: 4, Delay: 20})
-	outside.Runners[23].Break(standin.Mangle{Drop: 50, WrongSpan: 60})
-	outside.Runners[34].Break(standin.Mangle{WrongPosition: 60, Truncate: 20})
-	f.after(0.10)
-	outside.Platform.Fail(standin.Faults{Down: true})
-	f.kill(0)
-	f.after(0.15)
-	outside.Runners[15].Slow(20)
-	f.kill(13, 29)
-	outside.Platform.Fail(standin.Faults{Slow: 20 * time.Millisecond, LoseAnswer: 4})
-	f.after(0.15)
-	outside.Runners[39].Vanish()
-	f.demo.note(time.Now())
-	f.after(0.15)
-	outside.Platform.Fail(standin.Faults{})
+	deployment := &f.demo.deployment
+	f.waitFraction(0.10)
+	deployment.Runners[12].Break(standin.Mangle{Double: 4, Delay: 20})
+	deployment.Runners[23].Break(standin.Mangle{Drop: 50, WrongSpan: 60})
+	deployment.Runners[34].Break(standin.Mangle{WrongPosition: 60, Truncate: 20})
+	f.waitFraction(0.10)
+	deployment.Platform.Fail(standin.Faults{Down: true})
+	f.killRunners(0)
+	f.waitFraction(0.15)
+	deployment.Runners[15].Slow(20)
+	f.killRunners(13, 29)
+	deployment.Platform.Fail(standin.Faults{Slow: 20 * time.Millisecond, LoseAnswer: 4})
+	f.waitFraction(0.15)
+	deployment.Runners[39].Vanish()
+	f.demo.recordBounds(time.Now())
+	f.waitFraction(0.15)
+	deployment.Platform.Fail(standin.Faults{})
 	for _, i := range []int{12, 23, 34} {
-		outside.Runners[i].Break(standin.Mangle{})
+		deployment.Runners[i].Break(standin.Mangle{})
 	}
-	outside.Runners[15].Slow(1)
+	deployment.Runners[15].Slow(1)
 }
 
-// after waits for a part of the run.
-func (f *demoFaults) after(portion float64) {
-	time.Sleep(time.Duration(portion * float64(f.ends.Sub(f.began))))
+// waitFraction sleeps for a fraction of the load's expected duration.
+func (f *faultSchedule) waitFraction(fraction float64) {
+	time.Sleep(time.Duration(fraction * float64(f.endTime.Sub(f.startTime))))
 }
 
-func (f *demoFaults) kill(runners ...int) {
-	for _, i := range runners {
-		f.demo.outside.Runners[i].Close()
+// killRunners closes the runners with these indexes and records the new bounds.
+func (f *faultSchedule) killRunners(indexes ...int) {
+	for _, i := range indexes {
+		f.demo.deployment.Runners[i].Close()
 	}
-	f.demo.note(time.Now())
+	f.demo.recordBounds(time.Now())
 }
--- a/command/fleet_test.go
+++ b/command/fleet_test.go
@@ -14,7 +14,7 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-var status = protocol.FleetStatus{
+var testStatus = protocol.FleetStatus{
 	Entry: "front-1", DataCenter: "a", Routing: 7,
 	Endpoints: []protocol.EndpointStatus{
 		{ID: "e-1", Service: "llm", DataCenter: "b", Address: "10.0.0.1:80", Accelerator: "t4", From: 5, To: 10, State: protocol.EndpointServing, Utilization: 0.25},
@@ -28,7 +28,7 @@
 	},
 }
 
-const table = `entry front-1 in a, routing table 7
+const expectedTable = `entry front-1 in a, routing table 7
 
 llm in a: 1 of 3 serve, 0 % of their room is taken
   layers [4,10): held by 0 that serve
@@ -48,23 +48,23 @@
   llm  priority 2  batch  3 requests   for up to 2.1 s
 `
 
-func TestAFleetIsPrintedByServiceAndDataCenterInOrderOfLayers(t *testing.T) {
+func TestFleetTableIsSortedByServiceDataCenterAndLayers(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		require.Equal(t, "/fleet", r.URL.Path)
-		require.NoError(t, json.NewEncoder(w).Encode(status))
+		require.NoError(t, json.NewEncoder(w).Encode(testStatus))
 	}))
 	defer s.Close()
 	var out, errs bytes.Buffer
-	require.Equal(t, exitGood, Main([]string{"fleet", "-entry", s.URL}, &out, &errs))
-	require.Equal(t, table, out.String())
+	require.Equal(t, exitOK, Main([]string{"fleet", "-entry", s.URL}, &out, &errs))
+	require.Equal(t, expectedTable, out.String())
 	out.Reset()
-	require.Equal(t, exitGood, Main([]string{"fleet", "-entry", s.URL, "-json"}, &out, &errs))
-	var again protocol.FleetStatus
-	require.NoError(t, json.Unmarshal(out.Bytes(), &again))
-	require.Equal(t, status, again)
+	require.Equal(t, exitOK, Main([]string{"fleet", "-entry", s.URL, "-json"}, &out, &errs))
+	var decoded protocol.FleetStatus
+	require.NoError(t, json.Unmarshal(out.Bytes(), &decoded))
+	require.Equal(t, testStatus, decoded)
 }
 
-func TestAnAddressThatIsNoFrontsIsToldWithARemedy(t *testing.T) {
+func TestFleetErrorSuggestsCheckingEntryAddress(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	var out, errs bytes.Buffer
 	require.Equal(t, exitFailed, Main([]string{"fleet", "-entry", s.URL}, &out, &errs))
--- a/command/front.go
+++ b/command/front.go
@@ -19,22 +19,22 @@
 	"pinerun.example/pinerun/transport/front"
 )
 
-// logsBy is how long the last lines may take to be written.
-const logsBy = 200 * time.Millisecond
+// logFlushTimeout bounds the writing of buffered log lines at shutdown.
+const logFlushTimeout = 200 * time.Millisecond
 
-// frontVerb runs one entry of a deployed system until it is told to stop.
-type frontVerb struct{ file string }
+// frontCommand runs one entry of a deployed system until it receives a stop signal.
+type frontCommand struct{ file string }
 
-func (v *frontVerb) define() *flaggy.Subcommand {
+func (c *frontCommand) define() *flaggy.Subcommand {
 	s := flaggy.NewSubcommand("front")
 	s.Description = "Run one entry before endpoints that answer HTTP themselves: pinerun front -settings FILE"
-	s.String(&v.file, "s", "settings", "the settings file")
+	s.String(&c.file, "s", "settings", "the settings file")
 	return s
 }
 
-func (v *frontVerb) run(ctx context.Context, o *output) int {
-	hangups := catchHangups()
-	file, ok := readSettings(v.file, o)
+func (c *frontCommand) run(ctx context.Context, o *output) int {
+	hangups := notifyHangup()
+	file, ok := readSettings(c.file, o)
 	if !ok {
 		return exitUsage
 	}
@@ -48,19 +48,20 @@
 	counters := &metric.Set{}
 	writer := &logs.Writer{Out: o.out, Counters: counters}
 	writer.Start()
-	defer func() { writer.Close(time.Now().Add(logsBy)) }()
+	defer func() { writer.Close(time.Now().Add(logFlushTimeout)) }()
 	logger := slog.New(logs.NewHandler(writer, logLevel(s.LogLevel))).With(slog.String("entry", s.Name))
 	f := &front.Front{Settings: s, Dependencies: platform.NewDependencies(s.Store, counters, logger), Counters: counters, Logger: logger}
 	if err := f.Start(); err != nil {
 		return o.fail(exitFailed, fmt.Errorf("the entry can't start: %w; check the addresses in its settings", err))
 	}
-	w := &settingsWatch{file: v.file, logger: logger, signals: hangups, done: ctx.Done()}
+	w := &settingsWatcher{file: c.file, logger: logger, signals: hangups, done: ctx.Done()}
 	go w.run()
 	<-ctx.Done()
 	f.Stop(clock.Now())
-	return exitGood
+	return exitOK
 }
 
+// logLevel parses a level. An unknown one means info.
 func logLevel(text string) slog.Level {
 	var l slog.Level
 	if err := l.UnmarshalText([]byte(text)); err != nil {
--- a/command/load.go
+++ b/command/load.go
@@ -12,40 +12,40 @@
 	"pinerun.example/pinerun/standin"
 )
 
-// loadVerb offers a bounded load to entries that run elsewhere.
-type loadVerb struct {
+// loadCommand sends a fixed number of requests to entries that run in other processes.
+type loadCommand struct {
 	file     string
 	requests int
 	rate     float64
 	seed     uint64
 }
 
-func (v *loadVerb) define() *flaggy.Subcommand {
-	v.requests, v.rate, v.seed = 200, 20, 1
+func (c *loadCommand) define() *flaggy.Subcommand {
+	c.requests, c.rate, c.seed = 200, 20, 1
 	s := flaggy.NewSubcommand("load")
 	s.Description = "Offer a bounded load to running entries: pinerun load -settings examples/tekweni.jsonc"
-	s.String(&v.file, "s", "settings", "the settings file")
-	s.Int(&v.requests, "n", "requests", "how many requests")
-	s.Float64(&v.rate, "r", "rate", "requests a second")
-	s.UInt64(&v.seed, "", "seed", "seed of the load")
+	s.String(&c.file, "s", "settings", "the settings file")
+	s.Int(&c.requests, "n", "requests", "how many requests")
+	s.Float64(&c.rate, "r", "rate", "requests a second")
+	s.UInt64(&c.seed, "", "seed", "seed of the load")
 	return s
 }
 
-func (v *loadVerb) run(ctx context.Context, o *output) int {
-	f, ok := readSettings(v.file, o)
+func (c *loadCommand) run(ctx context.Context, o *output) int {
+	f, ok := readSettings(c.file, o)
 	if !ok {
 		return exitUsage
 	}
 	if f.Load == nil {
 		return o.fail(exitUsage, errors.New(`the settings have no section "load"; add it`))
 	}
-	if v.requests <= 0 || v.rate <= 0 {
+	if c.requests <= 0 || c.rate <= 0 {
 		return o.fail(exitUsage, errors.New("nothing to do; give -requests and -rate above 0"))
 	}
 	l := f.Load
 	run := &load.Run{
 		Entries: l.Entries, Keys: l.Keys, Model: l.Model, Service: l.Service,
-		Requests: v.requests, Rate: v.rate, MaxPromptBytes: demoPrompt, MaxTokens: l.MaxTokens, Seed: v.seed,
+		Requests: c.requests, Rate: c.rate, MaxPromptBytes: demoMaxPromptBytes, MaxTokens: l.MaxTokens, Seed: c.seed,
 		Progress: o.progress(),
 	}
 	if l.Layers > 0 {
@@ -59,5 +59,5 @@
 	if !report.Passed() {
 		return o.fail(exitFailed, errors.New("a promise was broken; see the line above"))
 	}
-	return exitGood
+	return exitOK
 }
--- a/command/plan.go
+++ b/command/plan.go
@@ -18,9 +18,9 @@
 	"pinerun.example/pinerun/coordination/plan"
 )
 
-// intentVerb states an intent and prints the plan.
-type intentVerb struct {
-	call     operatorCall
+// intentCommand submits an intent to an entry and prints the resulting plan.
+type intentCommand struct {
+	client   operatorClient
 	do       string
 	team     string
 	vm       string
@@ -33,54 +33,56 @@
 	asJSON   bool
 }
 
-// unset marks a number that was not given.
+// unset is the default of numeric flags whose zero is a valid value. It means that the flag
+// was not given.
 const unset = -1
 
-func (v *intentVerb) define() *flaggy.Subcommand {
-	v.share, v.priority, v.open = unset, unset, unset
+func (c *intentCommand) define() *flaggy.Subcommand {
+	c.share, c.priority, c.open = unset, unset, unset
 	s := flaggy.NewSubcommand("intent")
 	s.Description = "State an intent and print its plan: pinerun intent -do set_team -team app -share 6"
-	v.call.attach(s)
-	s.String(&v.do, "d", "do", "what to do: "+strings.Join(plan.IntentKinds(), ", "))
-	s.String(&v.team, "t", "team", "the team")
-	s.String(&v.vm, "", "vm", "the VM")
-	s.String(&v.model, "m", "model", "the model")
-	s.String(&v.keyHash, "k", "key-hash", "SHA-256 of the team's key, in hexadecimal")
-	s.Float64(&v.share, "", "share", "the team's share")
-	s.Int(&v.priority, "p", "priority", "the team's priority, 0 is the most urgent")
-	s.Int(&v.open, "o", "open", "the team's limit of open requests")
-	s.String(&v.file, "f", "file", "a JSON file with the whole intent, for add_model and add_service")
-	s.Bool(&v.asJSON, "j", "json", "print the plan as JSON")
+	c.client.addFlags(s)
+	s.String(&c.do, "d", "do", "what to do: "+strings.Join(plan.IntentKinds(), ", "))
+	s.String(&c.team, "t", "team", "the team")
+	s.String(&c.vm, "", "vm", "the VM")
+	s.String(&c.model, "m", "model", "the model")
+	s.String(&c.keyHash, "k", "key-hash", "SHA-256 of the team's key, in hexadecimal")
+	s.Float64(&c.share, "", "share", "the team's share")
+	s.Int(&c.priority, "p", "priority", "the team's priority, 0 is the most urgent")
+	s.Int(&c.open, "o", "open", "the team's limit of open requests")
+	s.String(&c.file, "f", "file", "a JSON file with the whole intent, for add_model and add_service")
+	s.Bool(&c.asJSON, "j", "json", "print the plan as JSON")
 	return s
 }
 
-func (v *intentVerb) run(ctx context.Context, o *output) int {
-	body, err := v.body()
+func (c *intentCommand) run(ctx context.Context, o *output) int {
+	body, err := c.body()
 	if err != nil {
 		return o.fail(exitUsage, err)
 	}
-	answer, err := v.call.do(ctx, http.MethodPost, "/admin/v1/intents", bytes.NewReader(body))
+	response, err := c.client.do(ctx, http.MethodPost, "/admin/v1/intents", bytes.NewReader(body))
 	if err != nil {
 		return o.fail(exitFailed, err)
 	}
 	var p plan.Plan
-	if v.asJSON || json.Unmarshal(answer, &p) != nil {
-		fmt.Fprint(o.out, string(answer))
-		return exitGood
+	if c.asJSON || json.Unmarshal(response, &p) != nil {
+		fmt.Fprint(o.out, string(response))
+		return exitOK
 	}
 	printPlan(o, &p)
-	return exitGood
+	return exitOK
 }
 
-func (v *intentVerb) body() ([]byte, error) {
-	if v.file != "" {
-		content, err := os.ReadFile(v.file)
+// body returns the intent as JSON, from the file if one was given, else from the flags.
+func (c *intentCommand) body() ([]byte, error) {
+	if c.file != "" {
+		content, err := os.ReadFile(c.file)
 		if err != nil {
 			return nil, fmt.Errorf("the intent can't be read: %w; check -file", err)
 		}
 		return content, nil
 	}
-	if v.do == "" {
+	if c.do == "" {
 		return nil, errors.New("no intent; give -do with one of " + strings.Join(plan.IntentKinds(), ", "))
 	}
 	intent := struct {
@@ -92,20 +94,20 @@
 		Share    *float64 `json:"share,omitempty"`
 		Priority *int     `json:"priority,omitempty"`
 		Open     *int     `json:"open,omitempty"`
-	}{Do: v.do, Team: v.team, VM: v.vm, Model: v.model, KeyHash: v.keyHash}
-	if v.share != unset {
-		intent.Share = &v.share
+	}{Do: c.do, Team: c.team, VM: c.vm, Model: c.model, KeyHash: c.keyHash}
+	if c.share != unset {
+		intent.Share = &c.share
 	}
-	if v.priority != unset {
-		intent.Priority = &v.priority
+	if c.priority != unset {
+		intent.Priority = &c.priority
 	}
-	if v.open != unset {
-		intent.Open = &v.open
+	if c.open != unset {
+		intent.Open = &c.open
 	}
 	return json.Marshal(intent)
 }
 
-// printPlan writes a plan for people.
+// printPlan writes a plan in human-readable form.
 func printPlan(o *output, p *plan.Plan) {
 	fmt.Fprintf(o.out, "plan %s (%s), made from version %d by %s, to be confirmed until %s\n",
 		p.ID, p.State, p.BaseVersion, p.Author, p.Deadline.Format("2006-01-02 15:04:05 MST"))
@@ -129,63 +131,63 @@
 	return s
 }
 
-// plansVerb lists plans.
-type plansVerb struct {
-	call operatorCall
-	day  string
+// plansCommand lists the open plans, or those that ended on a given day.
+type plansCommand struct {
+	client operatorClient
+	day    string
 }
 
-func (v *plansVerb) define() *flaggy.Subcommand {
+func (c *plansCommand) define() *flaggy.Subcommand {
 	s := flaggy.NewSubcommand("plans")
 	s.Description = "List the open plans, or those ended on a day: pinerun plans -day 20261202"
-	v.call.attach(s)
-	s.String(&v.day, "d", "day", "a day in UTC, like 20261202")
+	c.client.addFlags(s)
+	s.String(&c.day, "d", "day", "a day in UTC, like 20261202")
 	return s
 }
 
-func (v *plansVerb) run(ctx context.Context, o *output) int {
+func (c *plansCommand) run(ctx context.Context, o *output) int {
 	path := "/admin/v1/plans"
-	if v.day != "" {
-		path += "?day=" + v.day
+	if c.day != "" {
+		path += "?day=" + c.day
 	}
-	answer, err := v.call.do(ctx, http.MethodGet, path, nil)
+	response, err := c.client.do(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return o.fail(exitFailed, err)
 	}
 	var plans []plan.Plan
-	if err := json.Unmarshal(answer, &plans); err != nil {
+	if err := json.Unmarshal(response, &plans); err != nil {
 		return o.fail(exitFailed, err)
 	}
 	for i := range plans {
 		printPlan(o, &plans[i])
 	}
-	return exitGood
+	return exitOK
 }
 
-// endVerb ends a plan, by confirming or withdrawing it.
-type endVerb struct {
-	call        operatorCall
-	name        string // also the last part of the call's path
+// planActionCommand confirms or withdraws a plan.
+type planActionCommand struct {
+	client      operatorClient
+	action      string // the subcommand's name and the last part of the URL path
 	description string
 	plan        string
 }
 
-func (v *endVerb) define() *flaggy.Subcommand {
-	s := flaggy.NewSubcommand(v.name)
-	s.Description = v.description + ": pinerun " + v.name + " -plan p-0a1b2c3d4e5f"
-	v.call.attach(s)
-	s.String(&v.plan, "p", "plan", "the plan's id")
+func (c *planActionCommand) define() *flaggy.Subcommand {
+	s := flaggy.NewSubcommand(c.action)
+	s.Description = c.description + ": pinerun " + c.action + " -plan p-0a1b2c3d4e5f"
+	c.client.addFlags(s)
+	s.String(&c.plan, "p", "plan", "the plan's id")
 	return s
 }
 
-func (v *endVerb) run(ctx context.Context, o *output) int {
-	if v.plan == "" {
+func (c *planActionCommand) run(ctx context.Context, o *output) int {
+	if c.plan == "" {
 		return o.fail(exitUsage, errors.New("no plan; give -plan with its id, see 'pinerun plans'"))
 	}
-	answer, err := v.call.do(ctx, http.MethodPost, "/admin/v1/plans/"+v.plan+"/"+v.name, nil)
+	response, err := c.client.do(ctx, http.MethodPost, "/admin/v1/plans/"+c.plan+"/"+c.action, nil)
 	if err != nil {
 		return o.fail(exitFailed, err)
 	}
-	fmt.Fprint(o.out, string(answer))
-	return exitGood
+	fmt.Fprint(o.out, string(response))
+	return exitOK
 }
--- a/command/progress.go
+++ b/command/progress.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// progressEvery is how often a progress line is drawn anew.
-const progressEvery = 200 * time.Millisecond
+// progressInterval is the minimum time between two updates of the progress line.
+const progressInterval = 200 * time.Millisecond
 
-// progress returns a function that draws one line on a terminal, and draws
-// nothing anywhere else.
+// progress returns a function that updates a progress line, or nil if the error stream is
+// not a terminal.
 func (o *output) progress() func(done, total int) {
 	f, ok := o.err.(*os.File)
 	if !ok {
@@ -22,13 +22,13 @@
 	if err != nil || info.Mode()&os.ModeCharDevice == 0 {
 		return nil
 	}
-	var drawn time.Time
+	var lastDraw time.Time
 	return func(done, total int) {
 		now := time.Now()
-		if now.Sub(drawn) < progressEvery && done < total {
+		if now.Sub(lastDraw) < progressInterval && done < total {
 			return
 		}
-		drawn = now
+		lastDraw = now
 		fmt.Fprintf(o.err, "\r%d of %d requests", done, total)
 		if done == total {
 			fmt.Fprintln(o.err)
--- a/command/serve.go
+++ b/command/serve.go
@@ -14,18 +14,18 @@
 	"pinerun.example/pinerun/transport/entry"
 )
 
-// entryVerb runs one entry until it is told to stop.
-type entryVerb struct{ file string }
+// entryCommand runs one entry until it receives a stop signal.
+type entryCommand struct{ file string }
 
-func (v *entryVerb) define() *flaggy.Subcommand {
+func (c *entryCommand) define() *flaggy.Subcommand {
 	s := flaggy.NewSubcommand("entry")
 	s.Description = "Run one entry: pinerun entry -settings examples/tekweni-entry-1.jsonc"
-	s.String(&v.file, "s", "settings", "the settings file")
+	s.String(&c.file, "s", "settings", "the settings file")
 	return s
 }
 
-func (v *entryVerb) run(ctx context.Context, o *output) int {
-	f, ok := readSettings(v.file, o)
+func (c *entryCommand) run(ctx context.Context, o *output) int {
+	f, ok := readSettings(c.file, o)
 	if !ok {
 		return exitUsage
 	}
@@ -37,24 +37,25 @@
 		return o.fail(exitFailed, fmt.Errorf("the entry can't start: %w; check the addresses in its settings", err))
 	}
 	<-ctx.Done()
-	within, cancel := context.WithDeadline(context.Background(), e.Settings.StopBy(time.Now()))
+	stopCtx, cancel := context.WithDeadline(context.Background(), e.Settings.StopBy(time.Now()))
 	defer cancel()
-	e.Stop(within)
-	return exitGood
+	e.Stop(stopCtx)
+	return exitOK
 }
 
-// standinVerb plays everything outside until it is told to stop.
-type standinVerb struct{ file string }
+// standinCommand simulates the platform, the engines and the services until it receives a
+// stop signal.
+type standinCommand struct{ file string }
 
-func (v *standinVerb) define() *flaggy.Subcommand {
+func (c *standinCommand) define() *flaggy.Subcommand {
 	s := flaggy.NewSubcommand("standin")
 	s.Description = "Play the platform, engines and services: pinerun standin -settings examples/tekweni.jsonc"
-	s.String(&v.file, "s", "settings", "the settings file")
+	s.String(&c.file, "s", "settings", "the settings file")
 	return s
 }
 
-func (v *standinVerb) run(ctx context.Context, o *output) int {
-	f, ok := readSettings(v.file, o)
+func (c *standinCommand) run(ctx context.Context, o *output) int {
+	f, ok := readSettings(c.file, o)
 	if !ok {
 		return exitUsage
 	}
@@ -69,5 +70,5 @@
 	fmt.Fprintf(o.out, "serving the platform on %s, %d runners and %d service endpoints\n",
 		d.Platform.Address(), len(d.Runners), len(d.Services))
 	<-ctx.Done()
-	return exitGood
+	return exitOK
 }
--- a/command/settings.go
+++ b/command/settings.go
@@ -13,7 +13,8 @@
 	"pinerun.example/pinerun/settings"
 )
 
-// readSettings returns the settings in a file, or tells every mistake.
+// readSettings reads a settings file. If the file is invalid, readSettings prints every
+// mistake and returns false.
 func readSettings(file string, o *output) (settings.File, bool) {
 	if file == "" {
 		o.fail(exitUsage, errors.New("no settings; give -settings FILE"))
@@ -31,20 +32,20 @@
 	return f, len(mistakes) == 0
 }
 
-// checkVerb says every mistake in a settings file.
-type checkVerb struct{ file string }
+// checkCommand prints every mistake in a settings file.
+type checkCommand struct{ file string }
 
-func (v *checkVerb) define() *flaggy.Subcommand {
+func (c *checkCommand) define() *flaggy.Subcommand {
 	s := flaggy.NewSubcommand("check")
 	s.Description = "Say every mistake in a settings file, with line and remedy"
-	s.String(&v.file, "s", "settings", "the settings file")
+	s.String(&c.file, "s", "settings", "the settings file")
 	return s
 }
 
-func (v *checkVerb) run(_ context.Context, o *output) int {
-	if _, ok := readSettings(v.file, o); !ok {
+func (c *checkCommand) run(_ context.Context, o *output) int {
+	if _, ok := readSettings(c.file, o); !ok {
 		return exitUsage
 	}
-	fmt.Fprintln(o.out, v.file+": good")
-	return exitGood
+	fmt.Fprintln(o.out, c.file+": good")
+	return exitOK
 }
--- a/command/settings_watch.go
+++ b/command/settings_watch.go
@@ -13,41 +13,42 @@
 	"pinerun.example/pinerun/settings"
 )
 
-// settingsEvery is how often the settings file is looked at: it may change without
-// a signal.
-const settingsEvery = 2 * time.Second
+// settingsPollInterval is the interval at which the modification time of the settings file
+// is read, since the file may change without a signal.
+const settingsPollInterval = 2 * time.Second
 
-// settingsWatch reads the settings file again when a signal says that it has
-// changed, and when its time of change says so.
-type settingsWatch struct {
+// settingsWatcher validates the settings file again after a SIGHUP and after its
+// modification time changes.
+type settingsWatcher struct {
 	file    string
 	logger  *slog.Logger
 	signals <-chan os.Signal
 	done    <-chan struct{}
-	seen    time.Time
+	modTime time.Time
 }
 
-// catchHangups returns the signals that say that the settings file has changed. They
-// stay caught until the process has ended, also while it stops: one that nobody
-// catches ends the process at once, with every open answer.
-func catchHangups() <-chan os.Signal {
+// notifyHangup returns a channel that receives SIGHUP, which reports a changed settings
+// file. The signal stays caught until the process exits, also during shutdown: an uncaught
+// SIGHUP would terminate the process and cut off every open answer.
+func notifyHangup() <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	return signals
 }
 
-func (w *settingsWatch) run() {
-	w.changed()
-	t := time.NewTicker(settingsEvery)
+// run watches the settings file until done is closed.
+func (w *settingsWatcher) run() {
+	w.detectChange()
+	t := time.NewTicker(settingsPollInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-w.signals:
-			w.changed()
-			w.read("signal")
+			w.detectChange()
+			w.validate("signal")
 		case <-t.C:
-			if w.changed() {
-				w.read("file changed")
+			if w.detectChange() {
+				w.validate("file changed")
 			}
 		case <-w.done:
 			return
@@ -55,19 +56,20 @@
 	}
 }
 
-// changed reports whether the file's time of change is another than last seen.
-func (w *settingsWatch) changed() bool {
+// detectChange reports whether the file's modification time differs from the last one
+// seen, and stores it.
+func (w *settingsWatcher) detectChange() bool {
 	info, err := os.Stat(w.file)
-	if err != nil || info.ModTime().Equal(w.seen) {
+	if err != nil || info.ModTime().Equal(w.modTime) {
 		return false
 	}
-	w.seen = info.ModTime()
+	w.modTime = info.ModTime()
 	return true
 }
 
-// read checks the changed settings. Addresses and limits stay those of the start:
-// what changes while the process runs is told, and in force from its next start.
-func (w *settingsWatch) read(why string) {
+// validate checks the changed settings and logs the result. It does not apply them:
+// changes to addresses and limits take effect at the next start of the process.
+func (w *settingsWatcher) validate(trigger string) {
 	content, err := os.ReadFile(w.file)
 	if err != nil {
 		event.SettingsIgnored.Log(w.logger, slog.String("cause", err.Error()))
@@ -78,5 +80,5 @@
 		event.SettingsIgnored.Log(w.logger, slog.String("cause", mistakes[0].Error()), slog.Int("mistakes", len(mistakes)))
 		return
 	}
-	event.SettingsRead.Log(w.logger, slog.String("why", why))
+	event.SettingsRead.Log(w.logger, slog.String("why", trigger))
 }
--- a/command/status.go
+++ b/command/status.go
@@ -15,81 +15,84 @@
 )
 
 const (
-	operatorKeyVariable = "PINERUN_OPERATOR_KEY"
-	operatorCallLimit   = 30 * time.Second
-	maxOperatorAnswer   = 16 << 20
+	operatorKeyEnv      = "PINERUN_OPERATOR_KEY"
+	operatorCallTimeout = 30 * time.Second
+	maxResponseBytes    = 16 << 20
 )
 
-// operatorCall is a call to an entry's operator address. The key comes from the
-// environment, so that it shows in no list of processes.
-type operatorCall struct{ entry string }
+// operatorClient calls the operator API of an entry. It reads the operator's key from the
+// environment, since command-line arguments are visible in process lists.
+type operatorClient struct{ entryURL string }
 
-func (c *operatorCall) attach(s *flaggy.Subcommand) {
-	c.entry = "http://127.0.0.1:7201"
-	s.String(&c.entry, "e", "entry", "URL of an entry's operator address; the key is read from "+operatorKeyVariable)
+// addFlags adds the flag for the entry's URL to a subcommand.
+func (c *operatorClient) addFlags(s *flaggy.Subcommand) {
+	c.entryURL = "http://127.0.0.1:7201"
+	s.String(&c.entryURL, "e", "entry", "URL of an entry's operator address; the key is read from "+operatorKeyEnv)
 }
 
-// do returns the answer's body, or the refusal that came back.
-func (c *operatorCall) do(ctx context.Context, method, path string, body io.Reader) ([]byte, error) {
-	key := os.Getenv(operatorKeyVariable)
+// do makes a call and returns the response body. A status of 400 or above becomes an error
+// whose text is the response body.
+func (c *operatorClient) do(ctx context.Context, method, path string, body io.Reader) ([]byte, error) {
+	key := os.Getenv(operatorKeyEnv)
 	if key == "" {
-		return nil, errors.New("no operator key; set " + operatorKeyVariable)
+		return nil, errors.New("no operator key; set " + operatorKeyEnv)
 	}
-	ctx, cancel := context.WithTimeout(ctx, operatorCallLimit)
+	ctx, cancel := context.WithTimeout(ctx, operatorCallTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, method, c.entry+path, body)
+	req, err := http.NewRequestWithContext(ctx, method, c.entryURL+path, body)
 	if err != nil {
 		return nil, fmt.Errorf("%w; give -entry a URL", err)
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
 	req.Header.Set("Content-Type", "application/json")
-	status, answer, err := callEntry(req)
+	status, response, err := callEntry(req)
 	if err != nil {
 		return nil, err
 	}
 	if status >= http.StatusBadRequest {
-		return nil, errors.New(string(answer))
+		return nil, errors.New(string(response))
 	}
-	return answer, nil
+	return response, nil
 }
 
-// callEntry makes a call to an entry, and returns the status and the whole body of the answer.
-func callEntry(req *http.Request) (status int, content []byte, err error) {
+// callEntry sends a request to an entry and returns the status and the body of the response,
+// of which it reads at most maxResponseBytes.
+func callEntry(req *http.Request) (status int, body []byte, err error) {
 	res, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return 0, nil, fmt.Errorf("the entry does not answer: %w; check -entry", err)
 	}
 	defer res.Body.Close()
-	content, err = io.ReadAll(io.LimitReader(res.Body, maxOperatorAnswer))
+	body, err = io.ReadAll(io.LimitReader(res.Body, maxResponseBytes))
 	if err != nil {
 		return 0, nil, fmt.Errorf("the answer was cut off: %w; ask again", err)
 	}
-	return res.StatusCode, content, nil
+	return res.StatusCode, body, nil
 }
 
-// statusVerb prints what an entry believes, or one request's story.
-type statusVerb struct {
-	call    operatorCall
+// statusCommand prints the state of an entry, or the trace of one request.
+type statusCommand struct {
+	client  operatorClient
 	request string
 }
 
-func (v *statusVerb) define() *flaggy.Subcommand {
+func (c *statusCommand) define() *flaggy.Subcommand {
 	s := flaggy.NewSubcommand("status")
 	s.Description = "Print an entry's view, or one request's story with -request ID"
-	v.call.attach(s)
-	s.String(&v.request, "r", "request", "id of a request, from the answer's Pinerun-Request header")
+	c.client.addFlags(s)
+	s.String(&c.request, "r", "request", "id of a request, from the answer's Pinerun-Request header")
 	return s
 }
 
-func (v *statusVerb) run(ctx context.Context, o *output) int {
+func (c *statusCommand) run(ctx context.Context, o *output) int {
 	path := "/admin/v1/status"
-	if v.request != "" {
-		path = "/admin/v1/requests/" + v.request
+	if c.request != "" {
+		path = "/admin/v1/requests/" + c.request
 	}
-	answer, err := v.call.do(ctx, http.MethodGet, path, nil)
+	response, err := c.client.do(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return o.fail(exitFailed, err)
 	}
-	fmt.Fprint(o.out, string(answer))
-	return exitGood
+	fmt.Fprint(o.out, string(response))
+	return exitOK
 }
