--- a/command/demo_setup.go
+++ b/command/demo_setup.go
@@ -72,9 +72,9 @@
 }
 
 // faultSchedule injects faults while the load runs. One runner in ten fails: three are
-// closed, two of these at the same time, and one acts as if its VM lost power. Three runners send corrupted, duplicated, delayed or dropped replies,
-// and one becomes twenty times slower. The platform goes down, comes back slow and loses
-// answers.
+// closed, two of these at the same time, and one acts as if its VM lost power. Three runners
+// corrupt, duplicate, delay or drop replies, and one becomes twenty times slower. The
+// platform goes down, comes back slow and loses answers.
 type faultSchedule struct {
 	demo      *demo
 	startTime time.Time
