--- a/capacity/capacity_test.go
+++ b/capacity/capacity_test.go
@@ -13,10 +13,11 @@
 	"pinerun.example/pinerun/capacity"
 )
 
-func fits(t *testing.T) *capacity.Fits {
+// readFits fits the points of docs/capacity/points.csv.
+func readFits(t *testing.T) *capacity.Fits {
 	file, err := os.Open(filepath.Join("..", "docs", "capacity", "points.csv"))
 	require.NoError(t, err)
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // the file was opened for reading only
 	points, err := capacity.Read(file)
 	require.NoError(t, err)
 	f, err := capacity.FitAll(points)
@@ -24,25 +25,26 @@
 	return f
 }
 
-// TestThePageIsWorkedOutFromItsPoints computes the tables of docs/CAPACITY.md
-// anew from the measured points.
-func TestThePageIsWorkedOutFromItsPoints(t *testing.T) {
+// TestDocumentedTablesMatchPoints computes the tables from the measured points and compares
+// them with docs/CAPACITY.md. It fails if the points or the computation change without the
+// page.
+func TestDocumentedTablesMatchPoints(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "docs", "CAPACITY.md"))
 	require.NoError(t, err)
 	_, rest, found := strings.Cut(string(page), capacity.BeginMarker+"\n")
 	require.True(t, found)
 	tables, _, found := strings.Cut(rest, capacity.EndMarker)
 	require.True(t, found)
-	require.Equal(t, capacity.Tables(fits(t)), tables, "run: pinerun capacity -write")
+	require.Equal(t, capacity.Tables(readFits(t)), tables, "run: pinerun capacity -write")
 }
 
-func TestEverySlopeHasItsPicture(t *testing.T) {
+func TestEverySlopeHasPlot(t *testing.T) {
 	for _, s := range capacity.Slopes() {
 		require.FileExists(t, filepath.Join("..", "docs", "capacity", s.ID()+".svg"))
 	}
 }
 
-func TestALineIsFoundAgain(t *testing.T) {
+func TestFitRecoversLine(t *testing.T) {
 	points := map[string][]capacity.Point{}
 	for _, s := range capacity.Slopes() {
 		got, err := capacity.Read(strings.NewReader("slope,x,y\n" + s.ID() + ",1,5\n" + s.ID() + ",2,7\n" + s.ID() + ",4,11\n"))
@@ -54,7 +56,7 @@
 	require.InDelta(t, 23, f.ByID("choose_us").At(10), 1e-9)
 }
 
-func TestBadPointsAreTold(t *testing.T) {
+func TestInvalidPointsAreReported(t *testing.T) {
 	for _, text := range []string{"slope,x,y\nchoose_us,one,2\n", "slope,x,y\n\"", "slope,x,y\n"} {
 		points, err := capacity.Read(strings.NewReader(text))
 		if err == nil {
--- a/capacity/plot.go
+++ b/capacity/plot.go
@@ -17,33 +17,34 @@
 	plotHeight = 8 * vg.Centimeter
 )
 
-// Plot writes a picture of each slope into a directory: the points, the line
-// through them, and a cross at the planned size.
+// Plot writes an SVG plot of each slope into a directory. It shows the points, the fitted
+// line, and a cross at the planned size.
 func Plot(f *Fits, dir string) error {
 	for _, s := range Slopes() {
-		if err := plotOne(f.ByID(s.id), filepath.Join(dir, s.id+".svg")); err != nil {
+		if err := plotFit(f.ByID(s.id), filepath.Join(dir, s.id+".svg")); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func plotOne(f *Fit, file string) error {
+// plotFit writes the plot of one fit.
+func plotFit(f *Fit, file string) error {
 	p := plot.New()
 	p.Title.Text = f.slope.id
 	p.X.Label.Text = f.slope.xUnit
 	p.Y.Label.Text = f.slope.yUnit
 	measured := make(plotter.XYs, len(f.points))
-	furthest := f.slope.planned
-	for i, x := range f.points {
-		measured[i] = plotter.XY{X: x.x, Y: x.y}
-		furthest = math.Max(furthest, x.x)
+	maxX := f.slope.planned
+	for i, point := range f.points {
+		measured[i] = plotter.XY{X: point.x, Y: point.y}
+		maxX = math.Max(maxX, point.x)
 	}
 	points, err := plotter.NewScatter(measured)
 	if err != nil {
 		return err
 	}
-	line, err := plotter.NewLine(plotter.XYs{{X: 0, Y: f.base}, {X: furthest, Y: f.At(furthest)}})
+	line, err := plotter.NewLine(plotter.XYs{{X: 0, Y: f.intercept}, {X: maxX, Y: f.At(maxX)}})
 	if err != nil {
 		return err
 	}
