--- a/command/demo.go
+++ b/command/demo.go
@@ -29,8 +29,8 @@
 	demoMaxTokens      = 48
 	demoTimeoutSeconds = 60
 	// meanPositions is the mean number of token positions of a demo request: 7 for
-	// the text around the message, the mean length of a message, which has 8 to
-	// demoMaxPromptBytes bytes, and half the longest answer.
+	// the text around the message, the mean length of a message, which is at least 8
+	// and less than demoMaxPromptBytes bytes, and half the longest answer.
 	meanPositions = 7 + (8+demoMaxPromptBytes)/2 + demoMaxTokens/2
 	readyTimeout  = 10 * time.Second
 	stopTimeout   = 10 * time.Second
