--- a/load/attempt.go
+++ b/load/attempt.go
@@ -18,43 +18,43 @@
 
 // attempt is one request of a run, sent once.
 type attempt struct {
-	load     *Run
-	entry    string
-	key      string
-	text     string
-	limit    int
-	stream   bool
-	service  bool
-	unique   uint64
-	deadline time.Time
-
-	began  time.Time
-	tokens []byte
-	times  []time.Time
+	run       *Run
+	entry     string
+	key       string
+	message   string
+	maxTokens int
+	stream    bool
+	service   bool
+	id        uint64
+	deadline  time.Time
+
+	startTime  time.Time
+	tokens     []byte
+	tokenTimes []time.Time
 }
 
-// patience is how long after the deadline a final answer may still come before
-// the request counts as missing.
-const patience = 10 * time.Second
+// responseGrace is how long after its deadline a request may still get a final answer before
+// it counts as missing.
+const responseGrace = 10 * time.Second
 
-// run sends the request and counts what became of it.
-func (a *attempt) run(ctx context.Context) {
-	defer a.load.idle.Done()
-	a.count(a.send(ctx))
+// execute sends the request and records its outcome.
+func (a *attempt) execute(ctx context.Context) {
+	defer a.run.inFlight.Done()
+	a.record(a.send(ctx))
 }
 
-// send returns the outcome, and false when no final answer came.
+// send sends the request and returns its outcome. It returns false if no final answer came.
 func (a *attempt) send(ctx context.Context) (protocol.Outcome, bool) {
-	a.began = time.Now()
-	ctx, cancel := context.WithDeadline(ctx, a.deadline.Add(patience))
+	a.startTime = time.Now()
+	ctx, cancel := context.WithDeadline(ctx, a.deadline.Add(responseGrace))
 	defer cancel()
-	res, err := a.load.client.Do(a.request(ctx))
+	res, err := a.run.client.Do(a.newRequest(ctx))
 	if err != nil {
 		return protocol.MayHaveRun, false
 	}
 	defer res.Body.Close()
 	if res.StatusCode != http.StatusOK {
-		return refused(res)
+		return parseRefusal(res)
 	}
 	switch {
 	case a.service:
@@ -63,11 +63,13 @@
 	case a.stream:
 		return a.readStream(res.Body)
 	default:
-		return a.readWhole(res.Body)
+		return a.readResponse(res.Body)
 	}
 }
 
-func refused(res *http.Response) (protocol.Outcome, bool) {
+// parseRefusal returns the outcome that an error response states, and false if it states
+// none.
+func parseRefusal(res *http.Response) (protocol.Outcome, bool) {
 	var body struct {
 		Error struct {
 			Outcome string `json:"outcome"`
@@ -82,10 +84,11 @@
 	return protocol.MayHaveRun, body.Error.Outcome == protocol.MayHaveRun.String()
 }
 
-func (a *attempt) request(ctx context.Context) *http.Request {
+// newRequest returns the HTTP request: a chat completion or a call to the service.
+func (a *attempt) newRequest(ctx context.Context) *http.Request {
 	url, body := a.entry+"/v1/chat/completions", a.chatBody()
 	if a.service {
-		url, body = a.entry+"/services/"+a.load.Service+"/block", []byte(`{"card":`+strconv.FormatUint(a.unique, 10)+`}`)
+		url, body = a.entry+"/services/"+a.run.Service+"/block", []byte(`{"card":`+strconv.FormatUint(a.id, 10)+`}`)
 	}
 	req, _ := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	req.Header.Set("Authorization", "Bearer "+a.key)
@@ -93,21 +96,23 @@
 	req.Header.Set("Pinerun-Deadline", a.deadline.UTC().Format(time.RFC3339Nano))
 	if a.service {
 		req.Header.Set("Pinerun-Repeatable", "no")
-		req.Header.Set("Pinerun-Issued", a.began.UTC().Format(time.RFC3339Nano))
-		req.Header.Set("Idempotency-Key", "load-"+strconv.FormatUint(a.unique, 16))
+		req.Header.Set("Pinerun-Issued", a.startTime.UTC().Format(time.RFC3339Nano))
+		req.Header.Set("Idempotency-Key", "load-"+strconv.FormatUint(a.id, 16))
 	}
 	return req
 }
 
+// chatBody returns the JSON body of a chat completion.
 func (a *attempt) chatBody() []byte {
 	body, _ := json.Marshal(protocol.ChatRequest{
-		Model: a.load.Model, Stream: a.stream, MaxTokens: a.limit,
-		Messages: []protocol.ChatMessage{{Role: "user", Content: a.text}},
+		Model: a.run.Model, Stream: a.stream, MaxTokens: a.maxTokens,
+		Messages: []protocol.ChatMessage{{Role: "user", Content: a.message}},
 	})
 	return body
 }
 
-func (a *attempt) readWhole(r io.Reader) (protocol.Outcome, bool) {
+// readResponse reads an answer that is not streamed.
+func (a *attempt) readResponse(r io.Reader) (protocol.Outcome, bool) {
 	var body struct {
 		Choices []struct {
 			Message protocol.ChatMessage `json:"message"`
@@ -120,7 +125,7 @@
 	return protocol.Answered, true
 }
 
-// readStream reads events up to the end marker or an error event.
+// readStream reads server-sent events up to the end marker or an error event.
 func (a *attempt) readStream(r io.Reader) (protocol.Outcome, bool) {
 	lines := bufio.NewScanner(r)
 	failed := false
@@ -140,6 +145,7 @@
 	return protocol.MayHaveRun, false
 }
 
+// readChunk stores the tokens of one event and the time of its arrival.
 func (a *attempt) readChunk(data string) {
 	var chunk struct {
 		Choices []struct {
@@ -151,55 +157,59 @@
 	}
 	if text := chunk.Choices[0].Delta.Content; text != "" {
 		a.tokens = append(a.tokens, text...)
-		a.times = append(a.times, time.Now())
+		a.tokenTimes = append(a.tokenTimes, time.Now())
 	}
 }
 
-func (a *attempt) count(o protocol.Outcome, final bool) {
+// record adds the outcome, the latencies and the work of the request to the run.
+func (a *attempt) record(outcome protocol.Outcome, final bool) {
 	now := time.Now()
-	a.load.timed(a.latencies())
-	wrong := o == protocol.Answered && !a.service && a.isWrong()
-	a.load.ended(o, now.After(a.deadline), !final, wrong, a.marks(now))
+	a.run.recordLatencies(a.latencies())
+	wrong := outcome == protocol.Answered && !a.service && a.isWrong()
+	a.run.recordOutcome(outcome, now.After(a.deadline), !final, wrong, a.workSamples(now))
 }
 
+// prompt returns the tokens of the prompt.
 func (a *attempt) prompt() []int32 {
-	r := protocol.ChatRequest{Messages: []protocol.ChatMessage{{Role: "user", Content: a.text}}}
+	r := protocol.ChatRequest{Messages: []protocol.ChatMessage{{Role: "user", Content: a.message}}}
 	return r.Prompt()
 }
 
-// isWrong compares the answer with what an undisturbed model says.
+// isWrong reports whether the answer differs from that of a model without faults.
 func (a *attempt) isWrong() bool {
-	if a.load.Expect == nil {
+	if a.run.Expect == nil {
 		return false
 	}
-	want := protocol.Text(a.load.Expect(a.prompt(), a.limit))
+	want := protocol.Text(a.run.Expect(a.prompt(), a.maxTokens))
 	return want != string(a.tokens)
 }
 
-func (a *attempt) latencies() (first, between []time.Duration) {
-	if len(a.times) == 0 {
+// latencies returns the time to the first token and the times between tokens. Both are empty
+// if the answer was not streamed.
+func (a *attempt) latencies() (firstToken, betweenTokens []time.Duration) {
+	if len(a.tokenTimes) == 0 {
 		return nil, nil
 	}
-	first = []time.Duration{a.times[0].Sub(a.began)}
-	for i := range len(a.times) - 1 {
-		between = append(between, a.times[i+1].Sub(a.times[i]))
+	firstToken = []time.Duration{a.tokenTimes[0].Sub(a.startTime)}
+	for i := range len(a.tokenTimes) - 1 {
+		betweenTokens = append(betweenTokens, a.tokenTimes[i+1].Sub(a.tokenTimes[i]))
 	}
-	return first, between
+	return firstToken, betweenTokens
 }
 
-// marks spreads a streamed answer's work over its tokens; a whole answer's work
-// counts when it ends.
-func (a *attempt) marks(now time.Time) []mark {
+// workSamples returns the work of the answer. The work of a streamed answer is spread over
+// the arrivals of its tokens. The work of any other answer counts at its end.
+func (a *attempt) workSamples(now time.Time) []workSample {
 	if a.service {
 		return nil
 	}
 	prompt := len(a.prompt())
-	if !a.stream || len(a.times) == 0 {
-		return []mark{{at: now, positions: prompt + max(0, len(a.tokens)-1), tokens: len(a.tokens)}}
+	if !a.stream || len(a.tokenTimes) == 0 {
+		return []workSample{{when: now, positions: prompt + max(0, len(a.tokens)-1), tokens: len(a.tokens)}}
 	}
-	ms := []mark{{at: a.times[0], positions: prompt, tokens: 1}}
-	for _, at := range a.times[1:] {
-		ms = append(ms, mark{at: at, positions: 1, tokens: 1})
+	samples := []workSample{{when: a.tokenTimes[0], positions: prompt, tokens: 1}}
+	for _, at := range a.tokenTimes[1:] {
+		samples = append(samples, workSample{when: at, positions: 1, tokens: 1})
 	}
-	return ms
+	return samples
 }
