--- a/command/demo.go
+++ b/command/demo.go
@@ -102,7 +102,7 @@
 func (d *demo) start(ctx context.Context) error {
 	s := demoDeployment()
 	d.model = s.Models[0]
-	d.deployment.AnyPorts = true
+	d.deployment.EphemeralPorts = true
 	if err := d.deployment.Start(s); err != nil {
 		return fmt.Errorf("the stand-ins can't start: %w", err)
 	}
@@ -177,7 +177,7 @@
 
 // expectedTokens returns the tokens that a model without faults generates.
 func (d *demo) expectedTokens(prompt []int32, limit int) []int32 {
-	return standin.Expect(d.model.Layers, prompt, limit)
+	return standin.ExpectedAnswer(d.model.Layers, prompt, limit)
 }
 
 // recordBounds computes the throughput bounds of the live runners, and records that they
@@ -185,7 +185,7 @@
 func (d *demo) recordBounds(at time.Time) bound.Bound {
 	var alive []protocol.Runner
 	for _, r := range d.deployment.Runners {
-		if !r.Dead() {
+		if !r.Closed() {
 			alive = append(alive, r.Spec)
 		}
 	}
@@ -197,9 +197,9 @@
 // addFaultCounts adds to the report what the stand-ins and entries recorded: layer
 // violations, calls that ran twice, and recovery times.
 func (d *demo) addFaultCounts(r *load.Report) {
-	r.LayerViolations = len(standin.Violations(d.deployment.Ledger.Runs()))
-	for _, b := range d.deployment.Books {
-		r.Doubled += b.Doubled()
+	r.LayerViolations = len(standin.Violations(d.deployment.ExecutionLog.Entries()))
+	for _, b := range d.deployment.CallCounters {
+		r.Doubled += b.Duplicates()
 	}
 	h := hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 	for _, e := range d.entries {
--- a/command/demo_setup.go
+++ b/command/demo_setup.go
@@ -87,25 +87,25 @@
 	defer f.done.Close()
 	deployment := &f.demo.deployment
 	f.waitFraction(0.10)
-	deployment.Runners[12].Break(standin.Mangle{Double: 4, Delay: 20})
-	deployment.Runners[23].Break(standin.Mangle{Drop: 50, WrongSpan: 60})
-	deployment.Runners[34].Break(standin.Mangle{WrongPosition: 60, Truncate: 20})
+	deployment.Runners[12].SetReplyFaults(standin.ReplyFaults{Duplicate: 4, Delay: 20})
+	deployment.Runners[23].SetReplyFaults(standin.ReplyFaults{Drop: 50, WrongSpan: 60})
+	deployment.Runners[34].SetReplyFaults(standin.ReplyFaults{WrongPosition: 60, Truncate: 20})
 	f.waitFraction(0.10)
-	deployment.Platform.Fail(standin.Faults{Down: true})
+	deployment.Platform.SetFaults(standin.Faults{Down: true})
 	f.killRunners(0)
 	f.waitFraction(0.15)
-	deployment.Runners[15].Slow(20)
+	deployment.Runners[15].SetSlowdown(20)
 	f.killRunners(13, 29)
-	deployment.Platform.Fail(standin.Faults{Slow: 20 * time.Millisecond, LoseAnswer: 4})
+	deployment.Platform.SetFaults(standin.Faults{Delay: 20 * time.Millisecond, LoseWriteResponses: 4})
 	f.waitFraction(0.15)
-	deployment.Runners[39].Vanish()
+	deployment.Runners[39].PowerOff()
 	f.demo.recordBounds(time.Now())
 	f.waitFraction(0.15)
-	deployment.Platform.Fail(standin.Faults{})
+	deployment.Platform.SetFaults(standin.Faults{})
 	for _, i := range []int{12, 23, 34} {
-		deployment.Runners[i].Break(standin.Mangle{})
+		deployment.Runners[i].SetReplyFaults(standin.ReplyFaults{})
 	}
-	deployment.Runners[15].Slow(1)
+	deployment.Runners[15].SetSlowdown(1)
 }
 
 // waitFraction sleeps for a fraction of the load's expected duration.
--- a/command/load.go
+++ b/command/load.go
@@ -49,7 +49,7 @@
 		Progress: o.progress(),
 	}
 	if l.Layers > 0 {
-		run.Expect = func(prompt []int32, limit int) []int32 { return standin.Expect(l.Layers, prompt, limit) }
+		run.Expect = func(prompt []int32, limit int) []int32 { return standin.ExpectedAnswer(l.Layers, prompt, limit) }
 	}
 	report := run.Do(ctx)
 	run.ApplyBounds(&report, []load.Bounds{{Flow: l.FlowBound, Fleet: l.FleetBound}})
--- a/standin/deployment.go
+++ b/standin/deployment.go
@@ -22,13 +22,13 @@
 // Deployment is everything outside pinerun in one process: the platform with a
 // first configuration, the engines, the plain services and the weights store.
 type Deployment struct {
-	Platform Platform
-	Weights  Weights
-	Runners  []*Runner
-	Services []*Service
-	Books    map[string]*CallBook // by service
-	Ledger   Ledger
-	AnyPorts bool // ignore the ports of the settings
+	Platform       Platform
+	Weights        WeightStore
+	Runners        []*Runner
+	Services       []*Service
+	CallCounters   map[string]*CallCounter // by service
+	ExecutionLog   ExecutionLog
+	EphemeralPorts bool // ignore the ports of the settings
 
 	ends ends
 }
@@ -66,7 +66,7 @@
 
 // address replaces the port by 0 when any port will do.
 func (d *Deployment) address(configured string) string {
-	if d.AnyPorts {
+	if d.EphemeralPorts {
 		return net.JoinHostPort(loopback, "0")
 	}
 	return configured
@@ -101,7 +101,7 @@
 func (d *Deployment) startRunner(g settings.RunnerGroup, i, layers int) (*Runner, error) {
 	name := g.Name + strconv.Itoa(i+1)
 	r := &Runner{
-		Layers: layers, Ledger: &d.Ledger, Unfenced: i%2 == 1, ends: &d.ends,
+		Layers: layers, ExecutionLog: &d.ExecutionLog, Unfenced: i%2 == 1, ends: &d.ends,
 		Spec: protocol.Runner{
 			Name: name, VM: "vm-" + name, DataCenter: g.DataCenter, Accelerator: g.Accelerator,
 			Model: g.Model, From: g.From, To: g.To, Epoch: initialVersion, Speed: g.Speed, Link: g.Link,
@@ -117,12 +117,12 @@
 }
 
 func (d *Deployment) startServices(s settings.Standin, c *configuration) error {
-	d.Books = map[string]*CallBook{}
+	d.CallCounters = map[string]*CallCounter{}
 	for _, v := range s.Services {
-		book := &CallBook{}
-		d.Books[v.Name] = book
+		book := &CallCounter{}
+		d.CallCounters[v.Name] = book
 		for i := range v.Endpoints {
-			e := &Service{Name: v.Endpoints[i].Name, Book: book}
+			e := &Service{Name: v.Endpoints[i].Name, Calls: book}
 			if err := e.Listen(d.address(v.Endpoints[i].Address)); err != nil {
 				return err
 			}
--- a/standin/ledger.go
+++ b/standin/ledger.go
@@ -11,9 +11,9 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// Run is one entry of a ledger: an engine ran Span over Count positions.
+// Execution is one entry of a ledger: an engine ran Span over Count positions.
 // Order rises over all engines that share the ledger.
-type Run struct {
+type Execution struct {
 	Runner   string             `json:"runner"`
 	Request  protocol.RequestID `json:"request"`
 	Attempt  uint32             `json:"attempt"`
@@ -24,27 +24,27 @@
 	Order    uint64             `json:"order"`
 }
 
-// Ledger records what every engine ran, so that a test can prove that each
+// ExecutionLog records what every engine ran, so that a test can prove that each
 // layer ran exactly once and in order. The zero value is empty.
-type Ledger struct {
+type ExecutionLog struct {
 	mutex sync.Mutex
 	order uint64
-	runs  []Run
+	runs  []Execution
 }
 
-func (l *Ledger) add(runner string, s *protocol.Step) {
+func (l *ExecutionLog) add(runner string, s *protocol.Step) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.order++
-	l.runs = append(l.runs, Run{
+	l.runs = append(l.runs, Execution{
 		Runner: runner, Request: s.Request, Attempt: s.Attempt,
 		Position: s.Position, Count: s.Count,
 		From: s.Span.From, To: s.Span.To, Order: l.order,
 	})
 }
 
-// Runs returns a copy of everything recorded.
-func (l *Ledger) Runs() []Run {
+// Entries returns a copy of everything recorded.
+func (l *ExecutionLog) Entries() []Execution {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return slices.Clone(l.runs)
@@ -57,8 +57,8 @@
 
 // Violations returns a line for each place where layers ran twice, out of order
 // or with a gap. Work that broke off half-way is no violation.
-func Violations(runs []Run) []string {
-	byAttempt := map[attemptKey][]Run{}
+func Violations(runs []Execution) []string {
+	byAttempt := map[attemptKey][]Execution{}
 	for _, r := range runs {
 		k := attemptKey{request: r.Request, attempt: r.Attempt}
 		byAttempt[k] = append(byAttempt[k], r)
@@ -76,8 +76,8 @@
 // violation walks one attempt's runs in order of execution. A run must find
 // each of its positions just behind its first layer, and the position before
 // them must have passed its last layer, since the cache there is read.
-func violation(rs []Run) string {
-	slices.SortFunc(rs, func(a, b Run) int { return cmp.Compare(a.Order, b.Order) })
+func violation(rs []Execution) string {
+	slices.SortFunc(rs, func(a, b Execution) int { return cmp.Compare(a.Order, b.Order) })
 	var reached []int // the layers that each position has passed
 	for i, r := range rs {
 		for r.Position+r.Count > len(reached) {
--- a/standin/math.go
+++ b/standin/math.go
@@ -45,9 +45,9 @@
 	return 'a' + letter
 }
 
-// Expect returns the answer that a model of that many layers gives to a prompt
+// ExpectedAnswer returns the answer that a model of that many layers gives to a prompt
 // when nothing goes wrong: up to limit tokens.
-func Expect(layers int, prompt []int32, limit int) []int32 {
+func ExpectedAnswer(layers int, prompt []int32, limit int) []int32 {
 	caches := make([]uint64, layers)
 	run := func(token int32) int32 {
 		hidden := embed(token)
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -28,15 +28,15 @@
 
 // Faults say what is wrong with the platform. The zero value means nothing.
 type Faults struct {
-	Down       bool          // every call is refused
-	Slow       time.Duration // every call takes this much longer
-	LoseAnswer int           // one in so many writes takes effect unanswered
-	LoseNext   int           // that many next writes take effect unanswered
+	Down               bool          // every call is refused
+	Delay              time.Duration // every call takes this much longer
+	LoseWriteResponses int           // one in so many writes takes effect unanswered
+	LoseNextResponses  int           // that many next writes take effect unanswered
 }
 
 // Calls counts what the platform served and refused.
 type Calls struct {
-	Reads, Writes, Limited, Lost, Bytes int64
+	Reads, Writes, RateLimited, ResponsesLost, Bytes int64
 }
 
 // Platform is a stand-in for the object API and the list of VMs.
@@ -77,8 +77,8 @@
 	return p.listen(address, mux)
 }
 
-// Fail sets what is wrong from now on.
-func (p *Platform) Fail(f Faults) {
+// SetFaults sets what is wrong from now on.
+func (p *Platform) SetFaults(f Faults) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.faults = f
@@ -103,7 +103,7 @@
 	p.mutex.Lock()
 	f := p.faults
 	p.mutex.Unlock()
-	if f.Slow > 0 && !p.sleep(q, f.Slow) {
+	if f.Delay > 0 && !p.sleep(q, f.Delay) {
 		return false
 	}
 	if f.Down {
@@ -112,7 +112,7 @@
 	}
 	if !p.Unlimited && !limit.Allow() {
 		p.mutex.Lock()
-		p.calls.Limited++
+		p.calls.RateLimited++
 		p.mutex.Unlock()
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "too many calls", http.StatusTooManyRequests)
@@ -249,13 +249,13 @@
 func (p *Platform) losesAnswer() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	lost := hit(p.faults.LoseAnswer)
-	if p.faults.LoseNext > 0 {
-		p.faults.LoseNext--
+	lost := hit(p.faults.LoseWriteResponses)
+	if p.faults.LoseNextResponses > 0 {
+		p.faults.LoseNextResponses--
 		lost = true
 	}
 	if lost {
-		p.calls.Lost++
+		p.calls.ResponsesLost++
 	}
 	return lost
 }
--- a/standin/platform_vms.go
+++ b/standin/platform_vms.go
@@ -41,7 +41,7 @@
 	slow, _ := time.ParseDuration(v.Get("slow"))
 	lose, _ := strconv.Atoi(v.Get("lose_answer"))
 	next, _ := strconv.Atoi(v.Get("lose_next"))
-	p.Fail(Faults{Down: v.Get("down") == "true", Slow: slow, LoseAnswer: lose, LoseNext: next})
+	p.SetFaults(Faults{Down: v.Get("down") == "true", Delay: slow, LoseWriteResponses: lose, LoseNextResponses: next})
 	p.mutex.Lock()
 	p.wakeWatches()
 	p.mutex.Unlock()
--- a/standin/runner.go
+++ b/standin/runner.go
@@ -28,10 +28,10 @@
 // layer passes need at the runner's speed.
 type Runner struct {
 	server
-	Spec     protocol.Runner
-	Layers   int // of the whole model
-	Ledger   *Ledger
-	Unfenced bool // takes orders without checking their epoch
+	Spec         protocol.Runner
+	Layers       int // of the whole model
+	ExecutionLog *ExecutionLog
+	Unfenced     bool // takes orders without checking their epoch
 
 	mutex     sync.Mutex
 	queue     []job
@@ -40,11 +40,11 @@
 	prefixes  prefixCache
 	conns     map[*runnerConn]struct{}
 	slowdown  float64
-	mangle    Mangle
+	mangle    ReplyFaults
 	leaving   bool
 	nextFree  time.Time
 	fence     uint64
-	orders    []OrderLine
+	orders    []ReceivedOrder
 	ends      *ends // nil for never
 	born      protocol.Incarnation
 }
@@ -63,9 +63,9 @@
 	cancelled bool
 }
 
-// Mangle says what goes wrong with one in so many replies; zero means never.
-type Mangle struct {
-	Double, Delay, Drop, WrongSpan, WrongPosition, Truncate int
+// ReplyFaults says what goes wrong with one in so many replies; zero means never.
+type ReplyFaults struct {
+	Duplicate, Delay, Drop, WrongSpan, WrongPosition, Truncate int
 }
 
 // Listen starts the engine on an address.
@@ -100,19 +100,19 @@
 	}
 }
 
-// Vanish cuts the engine off as when its VM loses power: connections stay open
+// PowerOff cuts the engine off as when its VM loses power: connections stay open
 // and nothing answers any more.
-func (r *Runner) Vanish() { r.server.Close() }
+func (r *Runner) PowerOff() { r.server.Close() }
 
-// Slow makes the engine that many times slower; 1 restores it.
-func (r *Runner) Slow(times float64) {
+// SetSlowdown makes the engine that many times slower; 1 restores it.
+func (r *Runner) SetSlowdown(times float64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.slowdown = times
 }
 
-// Break sets what goes wrong with the engine's replies.
-func (r *Runner) Break(m Mangle) {
+// SetReplyFaults sets what goes wrong with the engine's replies.
+func (r *Runner) SetReplyFaults(m ReplyFaults) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.mangle = m
@@ -140,7 +140,7 @@
 		s := &refused[i].step
 		refused[i].conn.send([]protocol.Reply{{
 			Request: s.Request, Attempt: s.Attempt, Number: s.Number, Position: s.Position, Count: s.Count, Fault: protocol.FaultOverload,
-		}}, Mangle{})
+		}}, ReplyFaults{})
 	}
 	select {
 	case r.wake <- struct{}{}:
--- a/standin/runner_batch.go
+++ b/standin/runner_batch.go
@@ -111,7 +111,7 @@
 		reply.Fault = fault
 		return reply
 	}
-	r.Ledger.add(r.Spec.Name, s)
+	r.ExecutionLog.add(r.Spec.Name, s)
 	reply.Hidden = make([]byte, s.Count*protocol.HiddenStateBytes)
 	var hidden uint64
 	for i := range s.Count {
--- a/standin/runner_cache.go
+++ b/standin/runner_cache.go
@@ -173,5 +173,5 @@
 }
 
 func (r *Runner) serveLedger(w http.ResponseWriter, _ *http.Request) {
-	writeJSON(w, r.Ledger.Runs())
+	writeJSON(w, r.ExecutionLog.Entries())
 }
--- a/standin/runner_conn.go
+++ b/standin/runner_conn.go
@@ -70,7 +70,7 @@
 }
 
 // send writes replies, spoilt as m says.
-func (c *runnerConn) send(rs []protocol.Reply, m Mangle) {
+func (c *runnerConn) send(rs []protocol.Reply, m ReplyFaults) {
 	now, late := spoil(rs, m)
 	link := linkDelay(c.runner.Spec.Link)
 	if len(late) > 0 {
@@ -106,7 +106,7 @@
 }
 
 // spoil applies m to replies and splits them into those sent now and later.
-func spoil(rs []protocol.Reply, m Mangle) (now, late []protocol.Reply) {
+func spoil(rs []protocol.Reply, m ReplyFaults) (now, late []protocol.Reply) {
 	for _, r := range rs {
 		switch {
 		case hit(m.Drop):
@@ -114,7 +114,7 @@
 		case hit(m.Delay):
 			late = append(late, r)
 			continue
-		case hit(m.Double):
+		case hit(m.Duplicate):
 			now = append(now, r)
 		case hit(m.WrongSpan):
 			r.Span.To++
@@ -126,7 +126,7 @@
 		}
 		now = append(now, r)
 	}
-	if m.Double > 0 {
+	if m.Duplicate > 0 {
 		slices.Reverse(now)
 	}
 	return now, late
--- a/standin/runner_ends.go
+++ b/standin/runner_ends.go
@@ -21,17 +21,17 @@
 	closed bool
 }
 
-// EndUnder makes each engine that begins to run a prompt which holds a text end, as a process that
+// CrashOn makes each engine that begins to run a prompt which holds a text end, as a process that
 // crashes does, and come back after a time, with nothing of before. Engines of later stages get no
 // prompt and live.
-func (d *Deployment) EndUnder(text string, away time.Duration) {
+func (d *Deployment) CrashOn(text string, away time.Duration) {
 	d.ends.mutex.Lock()
 	defer d.ends.mutex.Unlock()
 	d.ends.text, d.ends.away = text, away
 }
 
-// Ends returns how many lives of engines ended so.
-func (d *Deployment) Ends() int {
+// Crashes returns how many lives of engines ended so.
+func (d *Deployment) Crashes() int {
 	d.ends.mutex.Lock()
 	defer d.ends.mutex.Unlock()
 	return d.ends.count
@@ -78,7 +78,7 @@
 	if c.ends.closed {
 		return
 	}
-	next := &Runner{Spec: old.Spec, Layers: old.Layers, Ledger: old.Ledger, Unfenced: old.Unfenced, ends: old.ends}
+	next := &Runner{Spec: old.Spec, Layers: old.Layers, ExecutionLog: old.ExecutionLog, Unfenced: old.Unfenced, ends: old.ends}
 	if err := next.Listen(old.Spec.Address); err != nil {
 		slog.Error("a stand-in engine did not come back", "runner", old.Spec.Name, "cause", err)
 		return
--- a/standin/runner_order.go
+++ b/standin/runner_order.go
@@ -12,8 +12,8 @@
 // maxOrders is how many orders an engine remembers for tests.
 const maxOrders = 1024
 
-// OrderLine is an order as an engine got it.
-type OrderLine struct {
+// ReceivedOrder is an order as an engine got it.
+type ReceivedOrder struct {
 	Order   protocol.Order `json:"order"`
 	Refused bool           `json:"refused"`
 }
@@ -27,7 +27,7 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	refused := !r.Unfenced && o.Fence < r.fence
-	r.orders = append(r.orders, OrderLine{Order: o, Refused: refused})
+	r.orders = append(r.orders, ReceivedOrder{Order: o, Refused: refused})
 	r.orders = r.orders[max(0, len(r.orders)-maxOrders):]
 	switch {
 	case refused:
@@ -55,7 +55,7 @@
 
 func (r *Runner) serveOrders(w http.ResponseWriter, _ *http.Request) {
 	r.mutex.Lock()
-	orders := append([]OrderLine{}, r.orders...)
+	orders := append([]ReceivedOrder{}, r.orders...)
 	r.mutex.Unlock()
 	writeJSON(w, orders)
 }
--- a/standin/server.go
+++ b/standin/server.go
@@ -55,5 +55,5 @@
 	}
 }
 
-// Dead reports whether Close was called.
-func (s *server) Dead() bool { return s.done.Closed() }
+// Closed reports whether Close was called.
+func (s *server) Closed() bool { return s.done.Closed() }
--- a/standin/service.go
+++ b/standin/service.go
@@ -19,21 +19,21 @@
 // Service is a stand-in plain service that records each run of a call.
 type Service struct {
 	server
-	Name string
-	Book *CallBook // shared by the service's endpoints
+	Name  string
+	Calls *CallCounter // shared by the service's endpoints
 
 	mutex sync.Mutex
 	delay time.Duration
 	lose  int
 }
 
-// CallBook counts the runs of each call over all endpoints of a service.
-type CallBook struct {
+// CallCounter counts the runs of each call over all endpoints of a service.
+type CallCounter struct {
 	mutex sync.Mutex
 	runs  map[string]int
 }
 
-func (b *CallBook) add(key string) int {
+func (b *CallCounter) add(key string) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.runs == nil {
@@ -44,14 +44,14 @@
 }
 
 // Runs returns how often the call ran.
-func (b *CallBook) Runs(key string) int {
+func (b *CallCounter) Runs(key string) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.runs[key]
 }
 
-// Doubled returns how many calls ran more than once.
-func (b *CallBook) Doubled() int {
+// Duplicates returns how many calls ran more than once.
+func (b *CallCounter) Duplicates() int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	doubled := 0
@@ -65,8 +65,8 @@
 
 // Listen starts the service on an address.
 func (s *Service) Listen(address string) error {
-	if s.Book == nil {
-		s.Book = &CallBook{}
+	if s.Calls == nil {
+		s.Calls = &CallCounter{}
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /runs", s.serveRuns)
@@ -76,9 +76,9 @@
 	return s.listen(address, mux)
 }
 
-// Fail makes each call take longer and loses one in so many answers after the
+// SetFaults makes each call take longer and loses one in so many answers after the
 // call has run; zero means never.
-func (s *Service) Fail(delay time.Duration, lose int) {
+func (s *Service) SetFaults(delay time.Duration, lose int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.delay, s.lose = delay, lose
@@ -95,7 +95,7 @@
 	s.mutex.Unlock()
 	run := 0
 	if key := q.Header.Get(CallHeader); key != "" {
-		run = s.Book.add(key)
+		run = s.Calls.add(key)
 	}
 	time.Sleep(delay)
 	if hit(lose) {
@@ -113,18 +113,18 @@
 func (s *Service) serveRuns(w http.ResponseWriter, q *http.Request) {
 	writeJSON(w, struct {
 		Runs int `json:"runs"`
-	}{s.Book.Runs(q.URL.Query().Get("key"))})
+	}{s.Calls.Runs(q.URL.Query().Get("key"))})
 }
 
 func (s *Service) serveFaults(_ http.ResponseWriter, q *http.Request) {
 	delay, _ := time.ParseDuration(q.URL.Query().Get("delay"))
 	lose, _ := strconv.Atoi(q.URL.Query().Get("lose"))
-	s.Fail(delay, lose)
+	s.SetFaults(delay, lose)
 }
 
 // serveRan answers 200 once the call has begun to run.
 func (s *Service) serveRan(w http.ResponseWriter, q *http.Request) {
-	if s.Book.Runs(q.URL.Query().Get("key")) == 0 {
+	if s.Calls.Runs(q.URL.Query().Get("key")) == 0 {
 		http.Error(w, "not yet", http.StatusNotFound)
 	}
 }
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -12,23 +12,23 @@
 // weightChunk is how many bytes of weights are sent at a time.
 const weightChunk = 64 << 10
 
-// Weights is a stand-in weights store: any name has the bytes asked for, sent
+// WeightStore is a stand-in weights store: any name has the bytes asked for, sent
 // at a limited rate shared by all readers.
-type Weights struct {
+type WeightStore struct {
 	server
 	BytesPerSecond int
 	limit          *rate.Limiter
 }
 
 // Listen starts the store on an address.
-func (s *Weights) Listen(address string) error {
+func (s *WeightStore) Listen(address string) error {
 	s.limit = rate.NewLimiter(rate.Limit(s.BytesPerSecond), weightChunk)
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /weights/{model}/{layer}", s.serveWeights)
 	return s.listen(address, mux)
 }
 
-func (s *Weights) serveWeights(w http.ResponseWriter, q *http.Request) {
+func (s *WeightStore) serveWeights(w http.ResponseWriter, q *http.Request) {
 	left, err := strconv.Atoi(q.URL.Query().Get("bytes"))
 	if err != nil || left < 0 {
 		http.Error(w, "bytes must be a whole number", http.StatusBadRequest)
--- a/transport/claims/store_test.go
+++ b/transport/claims/store_test.go
@@ -47,7 +47,7 @@
 	require.NoError(t, p.Listen("127.0.0.1:0"))
 	t.Cleanup(p.Close)
 	p.Unlimited = true
-	p.Fail(standin.Faults{LoseAnswer: 3, Slow: time.Millisecond})
+	p.SetFaults(standin.Faults{LoseWriteResponses: 3, Delay: time.Millisecond})
 	stores := []*claims.Store{newStore(t, &p), newStore(t, &p), newStore(t, &p)}
 	const keys = 20
 	var granted [keys]atomic.Int32
@@ -74,12 +74,12 @@
 	require.NoError(t, p.Listen("127.0.0.1:0"))
 	t.Cleanup(p.Close)
 	st := newStore(t, &p)
-	p.Fail(standin.Faults{Down: true})
+	p.SetFaults(standin.Faults{Down: true})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, err := st.Claim(ctx, record("key"))
 	require.Error(t, err)
-	p.Fail(standin.Faults{})
+	p.SetFaults(standin.Faults{})
 	result, err := st.Claim(context.Background(), record("key"))
 	require.NoError(t, err)
 	require.Equal(t, claim.Granted, result.Verdict())
@@ -253,7 +253,7 @@
 	deadline, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	second.IsGone = func(string, uint64) bool {
-		p.Fail(standin.Faults{Slow: time.Hour})
+		p.SetFaults(standin.Faults{Delay: time.Hour})
 		return false
 	}
 	result, err := second.Await(deadline, record("key"))
--- a/transport/entry/crash_test.go
+++ b/transport/entry/crash_test.go
@@ -59,7 +59,7 @@
 func TestRequestThatCrashesRunnersIsRefused(t *testing.T) {
 	d := startDeploymentOf(t, fast, 4)
 	entries := startLinked(t, d)
-	d.EndUnder(crashingPrompt, 100*time.Millisecond)
+	d.CrashOn(crashingPrompt, 100*time.Millisecond)
 
 	var others sync.WaitGroup
 	stop := make(chan struct{})
@@ -90,8 +90,8 @@
 	}
 	close(stop)
 	others.Wait()
-	t.Logf("%d crashes, other requests served %v", d.Ends(), served)
-	require.LessOrEqual(t, d.Ends(), 6, "three crashes until the refusal, and those of requests in flight")
+	t.Logf("%d crashes, other requests served %v", d.Crashes(), served)
+	require.LessOrEqual(t, d.Crashes(), 6, "three crashes until the refusal, and those of requests in flight")
 	require.Equal(t, http.StatusServiceUnavailable, status)
 	require.Contains(t, body, "ends_endpoints")
 	require.Equal(t, []int{0, 0}, refused, "other work is not refused")
@@ -105,7 +105,7 @@
 func TestLaterEntryRefusesRequestsThatOthersRefuse(t *testing.T) {
 	d := startDeploymentOf(t, fast, 4)
 	entries := startLinked(t, d)
-	d.EndUnder(crashingPrompt, 100*time.Millisecond)
+	d.CrashOn(crashingPrompt, 100*time.Millisecond)
 	require.Eventually(t, func() bool {
 		_, body := sendPrompt(t, entries[0], crashingPrompt)
 		return strings.Contains(body, "ends_endpoints")
@@ -113,11 +113,11 @@
 	later := startNamedEntry(t, d, settings.TLS{}, "e3")
 	waitUntilServed(t, later)
 	require.Eventually(t, func() bool { return later.Counters().Value(string(metric.PeerConnections)) > 0 }, time.Minute, time.Millisecond)
-	crashes := d.Ends()
+	crashes := d.Crashes()
 	require.Eventually(t, func() bool {
 		_, body := sendPrompt(t, later, crashingPrompt)
 		return strings.Contains(body, "ends_endpoints")
 	}, time.Minute, time.Millisecond)
-	require.LessOrEqual(t, d.Ends(), crashes+1, "at most one request runs before the reports arrive")
+	require.LessOrEqual(t, d.Crashes(), crashes+1, "at most one request runs before the reports arrive")
 	waitUntilServed(t, later)
 }
--- a/transport/entry/entry_test.go
+++ b/transport/entry/entry_test.go
@@ -73,7 +73,7 @@
 			Model: "fares", From: i * layers / stages, To: (i + 1) * layers / stages, Speed: speed,
 		})
 	}
-	d := &standin.Deployment{AnyPorts: true}
+	d := &standin.Deployment{EphemeralPorts: true}
 	require.NoError(tb, d.Start(s))
 	tb.Cleanup(d.Close)
 	return d
@@ -145,7 +145,7 @@
 		http.Redirect(w, req, "/elsewhere", http.StatusTemporaryRedirect)
 	}))
 	defer service.Close()
-	d := &standin.Deployment{AnyPorts: true}
+	d := &standin.Deployment{EphemeralPorts: true}
 	require.NoError(t, d.Start(settings.Standin{
 		Platform: "127.0.0.1:0",
 		Teams:    []settings.Team{{Name: "desk", Key: key, Share: 1, MaxOpen: 9}},
