--- a/standin/deployment.go
+++ b/standin/deployment.go
@@ -19,21 +19,21 @@
 	initialVersion = 1
 )
 
-// Deployment is everything outside pinerun in one process: the platform with a
-// first configuration, the engines, the plain services and the weights store.
+// Deployment runs everything that pinerun depends on in one process: the platform
+// with an initial configuration, the engines, the plain services and the weights store.
 type Deployment struct {
 	Platform       Platform
 	Weights        WeightStore
 	Runners        []*Runner
 	Services       []*Service
-	CallCounters   map[string]*CallCounter // by service
+	CallCounters   map[string]*CallCounter // by service name
 	ExecutionLog   ExecutionLog
-	EphemeralPorts bool // ignore the ports of the settings
+	EphemeralPorts bool // listen on free ports instead of those in the settings
 
-	ends ends
+	crashTrigger crashTrigger
 }
 
-// Start opens everything and writes the configuration into the platform.
+// Start starts all servers and writes the initial configuration to the platform.
 func (d *Deployment) Start(s settings.Standin) error {
 	if err := d.Platform.Listen(d.address(s.Platform)); err != nil {
 		return err
@@ -52,19 +52,19 @@
 		return err
 	}
 	for _, t := range s.Teams {
-		c.add(protocol.TeamPart, t.Name, protocol.Team{
+		c.addPart(protocol.TeamPart, t.Name, protocol.Team{
 			Name: t.Name, KeyHashes: []string{protocol.HashKey(t.Key)}, Share: t.Share, Priority: t.Priority, MaxOpen: t.MaxOpen,
 		})
 	}
 	for _, o := range append([]settings.OperatorKey{s.Operator}, s.OtherOperators...) {
-		c.add(protocol.OperatorPart, o.Name, protocol.Operator{
+		c.addPart(protocol.OperatorPart, o.Name, protocol.Operator{
 			Name: o.Name, KeyHash: protocol.HashKey(o.Key), Role: cmp.Or(o.Role, "editor"),
 		})
 	}
-	return c.accept()
+	return c.writeManifest()
 }
 
-// address replaces the port by 0 when any port will do.
+// address returns the configured address, or one with port 0 if EphemeralPorts is set.
 func (d *Deployment) address(configured string) string {
 	if d.EphemeralPorts {
 		return net.JoinHostPort(loopback, "0")
@@ -76,7 +76,7 @@
 	layers := map[string]int{}
 	for _, m := range s.Models {
 		layers[m.Name] = m.Layers
-		c.add(protocol.ModelPart, m.Name, m)
+		c.addPart(protocol.ModelPart, m.Name, m)
 	}
 	fleets := map[string]*protocol.Fleet{}
 	for _, g := range s.Runners {
@@ -93,7 +93,7 @@
 		}
 	}
 	for name, f := range fleets {
-		c.add(protocol.FleetPart, name, f)
+		c.addPart(protocol.FleetPart, name, f)
 	}
 	return nil
 }
@@ -101,7 +101,7 @@
 func (d *Deployment) startRunner(g settings.RunnerGroup, i, layers int) (*Runner, error) {
 	name := g.Name + strconv.Itoa(i+1)
 	r := &Runner{
-		Layers: layers, ExecutionLog: &d.ExecutionLog, Unfenced: i%2 == 1, ends: &d.ends,
+		Layers: layers, ExecutionLog: &d.ExecutionLog, Unfenced: i%2 == 1, crashTrigger: &d.crashTrigger,
 		Spec: protocol.Runner{
 			Name: name, VM: "vm-" + name, DataCenter: g.DataCenter, Accelerator: g.Accelerator,
 			Model: g.Model, From: g.From, To: g.To, Epoch: initialVersion, Speed: g.Speed, Link: g.Link,
@@ -129,17 +129,17 @@
 			v.Endpoints[i].Address = e.Address()
 			d.Services = append(d.Services, e)
 		}
-		c.add(protocol.ServicePart, v.Name, v)
+		c.addPart(protocol.ServicePart, v.Name, v)
 	}
 	for _, v := range s.ExternalServices {
-		c.add(protocol.ServicePart, v.Name, v)
+		c.addPart(protocol.ServicePart, v.Name, v)
 	}
 	return nil
 }
 
-// Close ends everything.
+// Close stops all servers, including engines that restarted after a crash.
 func (d *Deployment) Close() {
-	d.ends.close()
+	d.crashTrigger.close()
 	for _, r := range d.Runners {
 		r.Close()
 	}
@@ -150,15 +150,15 @@
 	d.Weights.Close()
 }
 
-// configuration writes parts and the first manifest straight into the stand-in
-// platform, as the operators' own tools do before pinerun starts.
+// configuration writes configuration parts and the first manifest directly to the
+// stand-in platform, as the operators' own tools do before pinerun starts.
 type configuration struct {
 	platform *Platform
 	parts    []protocol.PartRef
 	err      error
 }
 
-func (c *configuration) add(k protocol.PartKind, name string, part any) {
+func (c *configuration) addPart(k protocol.PartKind, name string, part any) {
 	content, err := json.Marshal(part)
 	if err != nil {
 		c.err = err
@@ -169,9 +169,9 @@
 	c.parts = append(c.parts, protocol.PartRef{Kind: k, Name: name, Hash: hash})
 }
 
-func (c *configuration) accept() error {
+func (c *configuration) writeManifest() error {
 	if c.err != nil {
-		return fmt.Errorf("write the first configuration: %w", c.err)
+		return fmt.Errorf("write the initial configuration: %w", c.err)
 	}
 	content, err := json.Marshal(protocol.Manifest{Version: initialVersion, Plan: "first", Author: "standin", Parts: c.parts})
 	if err != nil {
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package standin holds small fakes of what pinerun meets outside: the
+// Package standin provides small fakes of the systems that pinerun depends on: the
 // platform, model engines, plain services and the weights store. They serve the
-// same protocols over loopback sockets and can be told to fail.
+// same protocols over loopback sockets and can inject faults.
 //
 //	p := &standin.Platform{}
 //	err := p.Listen("127.0.0.1:0")
 //	defer p.Close()
-//	p.Fail(standin.Faults{Down: true})
+//	p.SetFaults(standin.Faults{Down: true})
 //
-// Nothing outside tests, the demo and the standin verb uses this package.
+// Only tests, the demo, the load command and the standin command use this package.
 package standin
--- a/standin/math.go
+++ b/standin/model.go
@@ -4,14 +4,14 @@
 
 import "pinerun.example/pinerun/coordination/stream"
 
-// The stand-in model is a chain of hashes: each layer mixes the hidden state
-// with what it has seen at earlier positions. A token therefore depends on
-// every layer of every position before it, each once and in order.
+// The stand-in model is a chain of hashes: each layer mixes the hidden state with
+// its cache of earlier positions. A token therefore depends on every layer of every
+// earlier position, and is correct only if each layer ran exactly once and in order.
 
 const (
-	// endOdds is one in how many tokens ends an answer early.
-	endOdds = 256
-	// alphabet is how many different tokens the model answers with.
+	// endTokenOdds makes one in this many tokens the end token.
+	endTokenOdds = 256
+	// alphabet is the number of distinct output tokens besides the end token.
 	alphabet    = 27
 	mixMultiply = 0x9e3779b97f4a7c15
 )
@@ -25,28 +25,28 @@
 	return a ^ a>>33
 }
 
-// runLayer returns the layer's output for one position, and its new cache.
+// runLayer returns the output and the new cache of a layer for one position.
 func runLayer(layer int, hidden, cache uint64) (out, newCache uint64) {
 	return mix(mix(hidden, cache), uint64(layer)), mix(cache, hidden)
 }
 
 func embed(token int32) uint64 { return mix(uint64(uint32(token)), mixMultiply) }
 
-// pickToken turns the last layer's output into a token: a letter, a space, or
-// the end of the answer.
+// pickToken maps the output of the last layer to a token: a letter, a space or the
+// end token.
 func pickToken(hidden uint64) int32 {
-	if hidden%endOdds == 0 {
+	if hidden%endTokenOdds == 0 {
 		return stream.EndToken
 	}
-	letter := int32(hidden / endOdds % alphabet)
+	letter := int32(hidden / endTokenOdds % alphabet)
 	if letter == alphabet-1 {
 		return ' '
 	}
 	return 'a' + letter
 }
 
-// ExpectedAnswer returns the answer that a model of that many layers gives to a prompt
-// when nothing goes wrong: up to limit tokens.
+// ExpectedAnswer returns the correct answer to a prompt, of at most limit tokens, from a
+// model with the given number of layers.
 func ExpectedAnswer(layers int, prompt []int32, limit int) []int32 {
 	caches := make([]uint64, layers)
 	run := func(token int32) int32 {
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -17,24 +17,25 @@
 )
 
 const (
-	// Rates of the platform, in calls a second. A waiting watch is one call.
+	// Rate limits of the platform, in calls per second. A watch counts as one call.
 	writesPerSecond = 100
 	readsPerSecond  = 2000
-	// listLag is how far the list of VMs lags behind the truth.
+	// listLag is the delay until a change of a VM appears in the list of VMs.
 	listLag = 2 * time.Second
-	// watchLimit is the longest that a watch waits.
+	// watchLimit is the maximum duration of a watch.
 	watchLimit = 30 * time.Second
 )
 
-// Faults say what is wrong with the platform. The zero value means nothing.
+// Faults configures the faults of the platform. The zero value injects none.
 type Faults struct {
-	Down               bool          // every call is refused
-	Delay              time.Duration // every call takes this much longer
-	LoseWriteResponses int           // one in so many writes takes effect unanswered
-	LoseNextResponses  int           // that many next writes take effect unanswered
+	Down               bool          // refuse every call
+	Delay              time.Duration // added to every call
+	LoseWriteResponses int           // drop the response of one in this many successful writes; 0 for none
+	LoseNextResponses  int           // drop the responses of this many next successful writes
 }
 
-// Calls counts what the platform served and refused.
+// Calls counts the calls that the platform served, those that it rate-limited, the write
+// responses that it dropped and the bytes written.
 type Calls struct {
 	Reads, Writes, RateLimited, ResponsesLost, Bytes int64
 }
@@ -42,7 +43,7 @@
 // Platform is a stand-in for the object API and the list of VMs.
 type Platform struct {
 	server
-	Unlimited bool // lifts the call rates
+	Unlimited bool // disables the rate limits
 
 	mutex   sync.Mutex
 	objects map[objectKey]protocol.Object
@@ -58,11 +59,11 @@
 type objectKey struct{ kind, name string }
 
 type vmChange struct {
-	vm   protocol.VM
-	seen time.Time // from when the list shows it
+	vm        protocol.VM
+	visibleAt time.Time // when the list starts to show it
 }
 
-// Listen starts the platform on an address.
+// Listen starts the platform at an address.
 func (p *Platform) Listen(address string) error {
 	p.reads = rate.NewLimiter(readsPerSecond, readsPerSecond)
 	p.writes = rate.NewLimiter(writesPerSecond, writesPerSecond)
@@ -77,7 +78,7 @@
 	return p.listen(address, mux)
 }
 
-// SetFaults sets what is wrong from now on.
+// SetFaults replaces the injected faults.
 func (p *Platform) SetFaults(f Faults) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -91,14 +92,15 @@
 	return p.calls
 }
 
-// SetVM records a VM; the list shows it after the lag.
+// SetVM adds or updates a VM. The list shows the change after listLag.
 func (p *Platform) SetVM(vm protocol.VM) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.vms = append(p.vms, vmChange{vm: vm, seen: time.Now().Add(listLag)})
+	p.vms = append(p.vms, vmChange{vm: vm, visibleAt: time.Now().Add(listLag)})
 }
 
-// admit applies faults and rates; it reports false after it has refused.
+// admit applies the faults and the rate limit to a call. It returns false if it has
+// refused the call or the caller has gone.
 func (p *Platform) admit(w http.ResponseWriter, q *http.Request, limit *rate.Limiter, count *int64) bool {
 	p.mutex.Lock()
 	f := p.faults
@@ -160,7 +162,8 @@
 	}
 }
 
-// wait returns the object, for a watch once its version differs from known.
+// wait returns an object. For a watch it first waits until the version of the object
+// differs from known, up to watchLimit.
 func (p *Platform) wait(q *http.Request, k objectKey, known uint64, watch bool) (protocol.Object, bool) {
 	limit := time.NewTimer(watchLimit)
 	defer limit.Stop()
@@ -189,9 +192,9 @@
 
 func etag(version uint64) string { return `"` + strconv.FormatUint(version, 10) + `"` }
 
-// condition reads If-Match or If-None-Match: the version to replace, 0 for an
-// object that must not exist yet.
-func condition(q *http.Request) (uint64, bool) {
+// expectedVersion returns the version that If-Match requires, or 0 if If-None-Match
+// requires that the object does not exist. It returns false if neither is valid.
+func expectedVersion(q *http.Request) (uint64, bool) {
 	if q.Header.Get("If-None-Match") == "*" {
 		return 0, true
 	}
@@ -207,15 +210,15 @@
 	if !p.admit(w, q, p.writes, &p.calls.Writes) {
 		return
 	}
-	want, ok := condition(q)
+	want, ok := expectedVersion(q)
 	value, err := io.ReadAll(http.MaxBytesReader(w, q.Body, protocol.MaxObjectBytes))
 	if !ok || err != nil {
 		http.Error(w, "a write needs If-Match or If-None-Match and at most 1 MiB", http.StatusBadRequest)
 		return
 	}
 	version, done := p.put(keyOf(q), want, value)
-	if done && p.losesAnswer() {
-		panic(http.ErrAbortHandler) // the write took effect, its answer is lost
+	if done && p.takeResponseLoss() {
+		panic(http.ErrAbortHandler) // drop the response of a write that took effect
 	}
 	w.Header().Set("ETag", etag(version))
 	if !done {
@@ -246,10 +249,10 @@
 	p.changed = make(chan struct{})
 }
 
-func (p *Platform) losesAnswer() bool {
+func (p *Platform) takeResponseLoss() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	lost := hit(p.faults.LoseWriteResponses)
+	lost := oneIn(p.faults.LoseWriteResponses)
 	if p.faults.LoseNextResponses > 0 {
 		p.faults.LoseNextResponses--
 		lost = true
@@ -264,7 +267,7 @@
 	if !p.admit(w, q, p.writes, &p.calls.Writes) {
 		return
 	}
-	want, ok := condition(q)
+	want, ok := expectedVersion(q)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if held := p.objects[keyOf(q)].Version; !ok || held != want {
--- a/standin/platform_vms.go
+++ b/standin/platform_vms.go
@@ -24,7 +24,7 @@
 	defer p.mutex.Unlock()
 	shown := map[string]protocol.VM{}
 	for _, c := range p.vms {
-		if !now.Before(c.seen) {
+		if !now.Before(c.visibleAt) {
 			shown[c.vm.Name] = c.vm
 		}
 	}
@@ -47,7 +47,7 @@
 	p.mutex.Unlock()
 }
 
-// serveSetVM lets a scenario say that a VM is leaving, or is not.
+// serveSetVM lets a test scenario mark a VM as leaving or as staying.
 func (p *Platform) serveSetVM(_ http.ResponseWriter, q *http.Request) {
 	v := q.URL.Query()
 	p.SetVM(protocol.VM{Name: v.Get("name"), Leaving: v.Get("leaving") == "true"})
--- a/standin/runner.go
+++ b/standin/runner.go
@@ -13,40 +13,40 @@
 )
 
 const (
-	// reportLag is how old an engine's load report is when it leaves.
-	reportLag = 100 * time.Millisecond
-	// batchTime is how long a batch may last, but for the chunk of a prompt.
+	// reportInterval is the time between two load reports of an engine.
+	reportInterval = 100 * time.Millisecond
+	// batchTime is the maximum duration of a batch, not counting a prompt chunk.
 	batchTime = 10 * time.Millisecond
-	// maxQueuedSteps is how many steps wait before an engine refuses more.
+	// maxQueuedSteps is the queue length from which an engine refuses further steps.
 	maxQueuedSteps = 4096
-	// maxSequences is how many requests' caches an engine keeps.
+	// maxSequences is the maximum number of requests whose caches an engine keeps.
 	maxSequences = 8192
 )
 
-// Runner is a stand-in engine. It batches continuously: all steps that wait go
-// into the next batch, urgent ones first, and a batch takes as long as its
-// layer passes need at the runner's speed.
+// Runner is a stand-in engine with continuous batching. Each batch takes queued steps
+// in order of priority, up to a budget, and lasts as long as its layer passes take at
+// the speed of the runner.
 type Runner struct {
 	server
 	Spec         protocol.Runner
-	Layers       int // of the whole model
+	Layers       int // of the complete model
 	ExecutionLog *ExecutionLog
-	Unfenced     bool // takes orders without checking their epoch
-
-	mutex     sync.Mutex
-	queue     []job
-	wake      chan struct{}
-	sequences map[protocol.RequestID]*sequence
-	prefixes  prefixCache
-	conns     map[*runnerConn]struct{}
-	slowdown  float64
-	mangle    ReplyFaults
-	leaving   bool
-	nextFree  time.Time
-	fence     uint64
-	orders    []ReceivedOrder
-	ends      *ends // nil for never
-	born      protocol.Incarnation
+	Unfenced     bool // accepts orders without checking their fence
+
+	mutex        sync.Mutex
+	queue        []job
+	wake         chan struct{}
+	sequences    map[protocol.RequestID]*sequence
+	prefixes     prefixCache
+	conns        map[*runnerConn]struct{}
+	slowdown     float64
+	replyFaults  ReplyFaults
+	leaving      bool
+	busyUntil    time.Time
+	fence        uint64
+	orders       []ReceivedOrder
+	crashTrigger *crashTrigger // nil if the engine never crashes
+	incarnation  protocol.Incarnation
 }
 
 type job struct {
@@ -54,8 +54,8 @@
 	step protocol.Step
 }
 
-// sequence is the KV cache of one request: one value for each layer held, after
-// the first `positions` positions.
+// sequence is the KV cache of one request after the first `positions` positions, with
+// one value for each loaded layer.
 type sequence struct {
 	attempt   uint32
 	positions int
@@ -63,21 +63,22 @@
 	cancelled bool
 }
 
-// ReplyFaults says what goes wrong with one in so many replies; zero means never.
+// ReplyFaults configures faults in replies. A value n affects one in n replies on average;
+// zero disables the fault.
 type ReplyFaults struct {
 	Duplicate, Delay, Drop, WrongSpan, WrongPosition, Truncate int
 }
 
-// Listen starts the engine on an address.
+// Listen starts the engine at an address.
 func (r *Runner) Listen(address string) error {
 	r.wake = make(chan struct{}, 1)
 	r.sequences = map[protocol.RequestID]*sequence{}
 	r.conns = map[*runnerConn]struct{}{}
-	r.born = protocol.Incarnation(time.Now().UnixMilli())
+	r.incarnation = protocol.Incarnation(time.Now().UnixMilli())
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /steps", r.serveSteps)
 	mux.HandleFunc("GET /load", r.serveLoad)
-	mux.HandleFunc("GET /ledger", r.serveLedger)
+	mux.HandleFunc("GET /ledger", r.serveExecutionLog)
 	mux.HandleFunc("GET /kv/{request}", r.serveExport)
 	mux.HandleFunc("PUT /kv/{request}", r.serveImport)
 	mux.HandleFunc("GET /events", r.serveEvents)
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// Close kills the engine's process: its connections break at once.
+// Close simulates a kill of the engine's process: its connections break at once.
 func (r *Runner) Close() {
 	r.server.Close()
 	r.mutex.Lock()
@@ -100,22 +101,22 @@
 	}
 }
 
-// PowerOff cuts the engine off as when its VM loses power: connections stay open
-// and nothing answers any more.
+// PowerOff simulates a power loss of the engine's VM: step connections stay open, but the
+// engine no longer answers.
 func (r *Runner) PowerOff() { r.server.Close() }
 
-// SetSlowdown makes the engine that many times slower; 1 restores it.
+// SetSlowdown makes the engine slower by a factor; 1 restores the normal speed.
 func (r *Runner) SetSlowdown(times float64) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.slowdown = times
 }
 
-// SetReplyFaults sets what goes wrong with the engine's replies.
+// SetReplyFaults replaces the faults that the engine injects into its replies.
 func (r *Runner) SetReplyFaults(m ReplyFaults) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.mangle = m
+	r.replyFaults = m
 }
 
 // Leave makes the engine refuse new sequences and report that it is leaving.
@@ -125,7 +126,8 @@
 	r.leaving = true
 }
 
-// enqueue puts steps behind those at least as urgent.
+// enqueue adds steps to the queue, behind those of equal or higher priority. It refuses
+// steps that exceed maxQueuedSteps.
 func (r *Runner) enqueue(c *runnerConn, steps []protocol.Step) {
 	r.mutex.Lock()
 	for _, s := range steps {
@@ -151,14 +153,14 @@
 func (r *Runner) load() protocol.LoadReport {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	queued := int64(max(0, time.Until(r.nextFree).Seconds()) * r.Spec.Speed)
+	queued := int64(max(0, time.Until(r.busyUntil).Seconds()) * r.Spec.Speed)
 	for i := range r.queue {
 		queued += int64(r.queue[i].step.Count * r.queue[i].step.Span.Layers())
 	}
 	return protocol.LoadReport{
 		Runner: r.Spec.Name, Epoch: r.Spec.Epoch, From: r.Spec.From, To: r.Spec.To,
 		Queued: queued, Streams: len(r.sequences), Leaving: r.leaving,
-		UnixMS: time.Now().UnixMilli(), Incarnation: r.born,
+		UnixMS: time.Now().UnixMilli(), Incarnation: r.incarnation,
 	}
 }
 
@@ -178,7 +180,7 @@
 	r.mutex.Unlock()
 }
 
-// report sends the load to every connected entry.
+// report sends a load report to every connected entry.
 func (r *Runner) report() {
 	l := r.load()
 	r.mutex.Lock()
--- a/standin/runner_batch.go
+++ b/standin/runner_batch.go
@@ -9,9 +9,9 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// run is the engine's batch loop.
+// run sends load reports and runs batches until the engine is closed.
 func (r *Runner) run() {
-	report := time.NewTicker(reportLag)
+	report := time.NewTicker(reportInterval)
 	defer report.Stop()
 	for {
 		select {
@@ -31,16 +31,17 @@
 		if len(batch) == 0 {
 			return
 		}
-		r.pace(passes)
+		r.waitForBatch(passes)
 		if r.done.Closed() {
-			return // killed in the middle of a batch
+			return // killed during the batch
 		}
-		r.answer(batch)
+		r.executeBatch(batch)
 	}
 }
 
-// takeBatch removes the steps of the next batch: the most urgent single
-// positions up to the batch's budget, and the first chunk of a prompt.
+// takeBatch removes the steps of the next batch from the queue: the single positions of
+// highest priority up to the budget of the batch, and at most one prompt chunk. It also
+// returns the number of layer passes of the batch.
 func (r *Runner) takeBatch() ([]job, int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -64,32 +65,33 @@
 	return batch, passes
 }
 
-// pace sleeps until the batch would be done. It keeps account of oversleeping,
-// so that the long-run speed is the configured one.
-func (r *Runner) pace(passes int) {
+// waitForBatch sleeps for the duration of a batch. It compensates for oversleeping, so
+// that the average speed matches the configured one.
+func (r *Runner) waitForBatch(passes int) {
 	r.mutex.Lock()
 	slowdown := max(1, r.slowdown)
 	now := time.Now()
-	if r.nextFree.Before(now.Add(-time.Millisecond * 5)) {
-		r.nextFree = now
+	if r.busyUntil.Before(now.Add(-time.Millisecond * 5)) {
+		r.busyUntil = now
 	}
-	r.nextFree = r.nextFree.Add(time.Duration(float64(passes) * slowdown / r.Spec.Speed * float64(time.Second)))
-	wait := r.nextFree.Sub(now)
+	r.busyUntil = r.busyUntil.Add(time.Duration(float64(passes) * slowdown / r.Spec.Speed * float64(time.Second)))
+	wait := r.busyUntil.Sub(now)
 	r.mutex.Unlock()
 	if wait > 0 {
 		time.Sleep(wait)
 	}
 }
 
-// answer runs each step of a batch and replies, one frame a connection.
-func (r *Runner) answer(batch []job) {
-	if r.ends != nil && r.ends.under(batch) {
-		go (&crash{ends: r.ends, runner: r}).run()
+// executeBatch runs the steps of a batch and sends the replies, one frame per connection.
+// If a prompt in the batch triggers a crash, the engine crashes instead.
+func (r *Runner) executeBatch(batch []job) {
+	if r.crashTrigger != nil && r.crashTrigger.triggeredBy(batch) {
+		go (&crash{trigger: r.crashTrigger, runner: r}).run()
 		return
 	}
 	replies := map[*runnerConn][]protocol.Reply{}
 	r.mutex.Lock()
-	mangle := r.mangle
+	mangle := r.replyFaults
 	for i := range batch {
 		reply := r.step(&batch[i].step)
 		replies[batch[i].conn] = append(replies[batch[i].conn], reply)
@@ -100,7 +102,8 @@
 	}
 }
 
-// step runs one step on the caches, or says why not. The mutex is held.
+// step runs one step on the caches and returns its reply, which carries a fault if the
+// step can't run. The caller holds the mutex.
 func (r *Runner) step(s *protocol.Step) protocol.Reply {
 	reply := protocol.Reply{
 		Request: s.Request, Attempt: s.Attempt, Number: s.Number, Position: s.Position,
@@ -130,7 +133,8 @@
 	return reply
 }
 
-// sequenceFor returns the caches that the step goes on from.
+// sequenceFor returns the sequence that a step continues or starts, or the fault for which
+// the step can't run.
 func (r *Runner) sequenceFor(s *protocol.Step) (*sequence, protocol.Fault) {
 	if s.Span.From != r.Spec.From || s.Span.To != r.Spec.To || s.Epoch != r.Spec.Epoch {
 		return nil, protocol.FaultWrongLayers
@@ -147,7 +151,7 @@
 			return nil, protocol.FaultOverload
 		}
 		if seq != nil && seq.attempt == s.Attempt {
-			return nil, protocol.FaultFenced // this attempt has begun already
+			return nil, protocol.FaultFenced // this attempt has already started
 		}
 		seq = &sequence{attempt: s.Attempt, caches: make([]uint64, s.Span.Layers())}
 		r.sequences[s.Request] = seq
@@ -157,12 +161,13 @@
 		return nil, protocol.FaultCacheMissing
 	}
 	if seq.positions > s.Position {
-		return nil, protocol.FaultFenced // ran already
+		return nil, protocol.FaultFenced // already ran
 	}
 	return seq, protocol.FaultNone
 }
 
-// cancel forgets a request's caches and drops its waiting steps.
+// cancel deletes the caches of a request and removes its steps from the queue, up to the
+// cancelled attempt.
 func (r *Runner) cancel(c protocol.Cancel) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/standin/runner_cache.go
+++ b/standin/runner_cache.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	// blockTokens is how many prompt positions one cached prefix block covers.
+	// blockTokens is the number of prompt positions per cached prefix block.
 	blockTokens = 16
-	// maxBlocks bounds an engine's prefix cache.
+	// maxBlocks is the maximum number of blocks in an engine's prefix cache.
 	maxBlocks = 1024
-	// maxEvents bounds how many cache events an engine still has to tell.
+	// maxEvents is the number of most recent cache events that an engine keeps.
 	maxEvents = 4096
-	// eventLag is how late a cache event is published.
-	eventLag = 200 * time.Millisecond
-	// eventGap is one in how many cache events is never told.
-	eventGap = 50
+	// eventDelay is the delay until a cache event is published.
+	eventDelay = 200 * time.Millisecond
+	// lostEventOdds makes one in this many cache events get lost.
+	lostEventOdds = 50
 )
 
-// CacheEvent tells that a block of a prompt's prefix was stored or dropped.
-// Numbers rise by one; a missing number is a gap.
+// CacheEvent reports that a block of a prompt prefix was stored or dropped. Numbers
+// increase by one, so that a missing number reveals a lost event.
 type CacheEvent struct {
-	Number  uint64    `json:"number"`
-	Block   uint64    `json:"block"`
-	Dropped bool      `json:"dropped"`
-	told    time.Time // from when it is published
+	Number      uint64    `json:"number"`
+	Block       uint64    `json:"block"`
+	Dropped     bool      `json:"dropped"`
+	publishedAt time.Time // when it becomes visible
 }
 
-// prefixCache remembers which prompt prefixes an engine has run, by hash of the
-// tokens up to each block's end, with the caches at that point.
+// prefixCache stores the layer caches at the end of prompt prefixes that the engine has
+// run, by the hash of the prefix's tokens.
 type prefixCache struct {
 	blocks map[uint64][]uint64
 	order  []uint64
@@ -44,8 +44,8 @@
 	number uint64
 }
 
-// store keeps the caches of a prompt's first block. Later blocks are kept when
-// a step happens to end on a block's border.
+// store adds the prefix that a step has run. It stores only the first step of a prompt,
+// and only if that step ends on a block boundary.
 func (p *prefixCache) store(s *protocol.Step, seq *sequence) {
 	if len(s.Tokens) == 0 || seq.positions%blockTokens != 0 || s.Position != 0 {
 		return
@@ -59,29 +59,29 @@
 	}
 	p.blocks[hash] = slices.Clone(seq.caches)
 	p.order = append(p.order, hash)
-	p.tell(hash, false)
+	p.publish(hash, false)
 	if len(p.order) > maxBlocks {
 		oldest := p.order[0]
 		p.order = p.order[1:]
 		delete(p.blocks, oldest)
-		p.tell(oldest, true)
+		p.publish(oldest, true)
 	}
 }
 
-func (p *prefixCache) tell(block uint64, dropped bool) {
+func (p *prefixCache) publish(block uint64, dropped bool) {
 	p.number++
-	if rand.IntN(eventGap) == 0 {
+	if rand.IntN(lostEventOdds) == 0 {
 		return
 	}
 	p.events = append(p.events, CacheEvent{
-		Number: p.number, Block: block, Dropped: dropped, told: time.Now().Add(eventLag),
+		Number: p.number, Block: block, Dropped: dropped, publishedAt: time.Now().Add(eventDelay),
 	})
 	if len(p.events) > maxEvents {
 		p.events = p.events[1:]
 	}
 }
 
-// BlockHash names a prompt's prefix.
+// BlockHash returns the hash that identifies a prompt prefix.
 func BlockHash(tokens []int32) uint64 {
 	var h uint64
 	for _, t := range tokens {
@@ -90,7 +90,7 @@
 	return h
 }
 
-// stepInput returns the hidden state that enters the step's i-th position.
+// stepInput returns the input hidden state for the i-th position of a step.
 func stepInput(s *protocol.Step, i int) uint64 {
 	if s.Span.From == 0 {
 		return embed(s.Tokens[i])
@@ -106,17 +106,17 @@
 	}
 	now := time.Now()
 	r.mutex.Lock()
-	told := []CacheEvent{}
+	visible := []CacheEvent{}
 	for _, e := range r.prefixes.events {
-		if e.Number > after && !now.Before(e.told) {
-			told = append(told, e)
+		if e.Number > after && !now.Before(e.publishedAt) {
+			visible = append(visible, e)
 		}
 	}
 	r.mutex.Unlock()
-	writeJSON(w, told)
+	writeJSON(w, visible)
 }
 
-// kvCache is an exported KV cache on the wire.
+// kvCache is the wire format of an exported KV cache.
 type kvCache struct {
 	Attempt   uint32   `json:"attempt"`
 	Positions int      `json:"positions"`
@@ -172,6 +172,6 @@
 	writeJSON(w, r.load())
 }
 
-func (r *Runner) serveLedger(w http.ResponseWriter, _ *http.Request) {
+func (r *Runner) serveExecutionLog(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, r.ExecutionLog.Entries())
 }
--- a/standin/runner_conn.go
+++ b/standin/runner_conn.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// mangledDelay is how long a delayed reply is held back.
-	mangledDelay = 30 * time.Millisecond
-	// farDelay and slowDelay are there and back on links of those classes; a
-	// near link's is what loopback takes.
+	// replyDelay is how long the fault Delay holds a reply back.
+	replyDelay = 30 * time.Millisecond
+	// farDelay and slowDelay are the round-trip times of links of those classes. A
+	// near link has the latency of loopback.
 	farDelay  = 5 * time.Millisecond
 	slowDelay = 50 * time.Millisecond
 )
 
-// linkDelay is how long a reply takes longer than on loopback.
+// linkDelay returns the latency that a link class adds to loopback.
 func linkDelay(class string) time.Duration {
 	switch class {
 	case "far":
@@ -40,7 +40,7 @@
 	socket *websocket.Conn
 }
 
-// run reads step frames until the connection ends.
+// run reads step frames until the connection closes.
 func (c *runnerConn) run() {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -69,17 +69,17 @@
 	c.write(protocol.ReplyFrame{Report: &l})
 }
 
-// send writes replies, spoilt as m says.
+// send injects the faults m into replies and writes them after the delay of the link.
 func (c *runnerConn) send(rs []protocol.Reply, m ReplyFaults) {
-	now, late := spoil(rs, m)
+	now, late := injectFaults(rs, m)
 	link := linkDelay(c.runner.Spec.Link)
 	if len(late) > 0 {
-		go (&delayed{conn: c, replies: late, due: time.Now().Add(mangledDelay + link)}).run()
+		go (&delayedReplies{conn: c, replies: late, due: time.Now().Add(replyDelay + link)}).run()
 	}
 	switch {
 	case len(now) == 0:
 	case link > 0:
-		go (&delayed{conn: c, replies: now, due: time.Now().Add(link)}).run()
+		go (&delayedReplies{conn: c, replies: now, due: time.Now().Add(link)}).run()
 	default:
 		c.write(protocol.ReplyFrame{Replies: now})
 	}
@@ -93,34 +93,34 @@
 	_ = c.socket.Write(context.Background(), websocket.MessageBinary, b)
 }
 
-// delayed is a bunch of replies that are held back for a while.
-type delayed struct {
+// delayedReplies holds replies that are written at a later time.
+type delayedReplies struct {
 	conn    *runnerConn
 	replies []protocol.Reply
 	due     time.Time
 }
 
-func (d *delayed) run() {
+func (d *delayedReplies) run() {
 	time.Sleep(time.Until(d.due))
 	d.conn.write(protocol.ReplyFrame{Replies: d.replies})
 }
 
-// spoil applies m to replies and splits them into those sent now and later.
-func spoil(rs []protocol.Reply, m ReplyFaults) (now, late []protocol.Reply) {
+// injectFaults applies m to replies and splits them into those to send now and later.
+func injectFaults(rs []protocol.Reply, m ReplyFaults) (now, late []protocol.Reply) {
 	for _, r := range rs {
 		switch {
-		case hit(m.Drop):
+		case oneIn(m.Drop):
 			continue
-		case hit(m.Delay):
+		case oneIn(m.Delay):
 			late = append(late, r)
 			continue
-		case hit(m.Duplicate):
+		case oneIn(m.Duplicate):
 			now = append(now, r)
-		case hit(m.WrongSpan):
+		case oneIn(m.WrongSpan):
 			r.Span.To++
-		case hit(m.WrongPosition):
+		case oneIn(m.WrongPosition):
 			r.Position++
-		case hit(m.Truncate) && len(r.Hidden) > protocol.HiddenStateBytes:
+		case oneIn(m.Truncate) && len(r.Hidden) > protocol.HiddenStateBytes:
 			r.Hidden = r.Hidden[:len(r.Hidden)-protocol.HiddenStateBytes]
 			r.Count--
 		}
@@ -132,4 +132,4 @@
 	return now, late
 }
 
-func hit(oneIn int) bool { return oneIn > 0 && rand.IntN(oneIn) == 0 }
+func oneIn(oneIn int) bool { return oneIn > 0 && rand.IntN(oneIn) == 0 }
--- a/standin/runner_order.go
+++ b/standin/runner_order.go
@@ -9,10 +9,11 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// maxOrders is how many orders an engine remembers for tests.
+// maxOrders is the number of most recent orders that an engine keeps for tests.
 const maxOrders = 1024
 
-// ReceivedOrder is an order as an engine got it.
+// ReceivedOrder is an order that an engine received, and whether the engine refused it as
+// outdated.
 type ReceivedOrder struct {
 	Order   protocol.Order `json:"order"`
 	Refused bool           `json:"refused"`
@@ -35,13 +36,13 @@
 	case o.Load != nil && (o.Load.From < 0 || o.Load.From >= o.Load.To || o.Load.To > r.Layers):
 		http.Error(w, "not a span of the model", http.StatusBadRequest)
 	default:
-		r.obey(&o)
+		r.applyOrder(&o)
 		w.WriteHeader(http.StatusNoContent)
 	}
 }
 
-// obey takes an order. The mutex is held.
-func (r *Runner) obey(o *protocol.Order) {
+// applyOrder carries out an order. The caller holds the mutex.
+func (r *Runner) applyOrder(o *protocol.Order) {
 	r.fence = max(r.fence, o.Fence)
 	if o.Leave != nil {
 		r.leaving = *o.Leave
--- a/standin/server.go
+++ b/standin/server.go
@@ -10,8 +10,8 @@
 	"pinerun.example/pinerun/internal/lifecycle"
 )
 
-// server is a listener that can be cut off with all its connections, as when a
-// VM dies. The zero value is closed.
+// server is an HTTP server that can be stopped together with all its connections, as
+// when a VM fails. The zero value is not listening.
 type server struct {
 	mutex    sync.Mutex
 	listener net.Listener
@@ -19,7 +19,7 @@
 	done     lifecycle.Done
 }
 
-// Listen starts to serve on an address such as "127.0.0.1:0".
+// listen starts to serve at an address such as "127.0.0.1:0".
 func (s *server) listen(address string, h http.Handler) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -35,7 +35,7 @@
 
 func (s *server) run(h *http.Server, l net.Listener) { _ = h.Serve(l) }
 
-// Address returns the IP and port served, or "" before Listen.
+// Address returns the IP address and port of the server, or "" before listen.
 func (s *server) Address() string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -45,7 +45,7 @@
 	return s.listener.Addr().String()
 }
 
-// Close cuts the listener and every connection.
+// Close closes the listener and all HTTP connections.
 func (s *server) Close() {
 	s.done.Close()
 	s.mutex.Lock()
--- a/standin/service.go
+++ b/standin/service.go
@@ -10,24 +10,25 @@
 	"time"
 )
 
-// maxCallBytes bounds the body of a call to a stand-in service.
+// maxCallBytes is the maximum body size of a call to a stand-in service.
 const maxCallBytes = 1 << 20
 
-// CallHeader names a call so that the service can count how often it ran.
+// CallHeader is the header that identifies a call, so that the service can count how often
+// the call ran.
 const CallHeader = "Idempotency-Key"
 
-// Service is a stand-in plain service that records each run of a call.
+// Service is one endpoint of a stand-in plain service. It counts the runs of each call.
 type Service struct {
 	server
 	Name  string
-	Calls *CallCounter // shared by the service's endpoints
+	Calls *CallCounter // shared by the endpoints of the service
 
-	mutex sync.Mutex
-	delay time.Duration
-	lose  int
+	mutex     sync.Mutex
+	delay     time.Duration
+	loseOneIn int
 }
 
-// CallCounter counts the runs of each call over all endpoints of a service.
+// CallCounter counts the runs of each call across all endpoints of a service.
 type CallCounter struct {
 	mutex sync.Mutex
 	runs  map[string]int
@@ -43,14 +44,14 @@
 	return b.runs[key]
 }
 
-// Runs returns how often the call ran.
+// Runs returns how often the call with a key ran.
 func (b *CallCounter) Runs(key string) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.runs[key]
 }
 
-// Duplicates returns how many calls ran more than once.
+// Duplicates returns the number of calls that ran more than once.
 func (b *CallCounter) Duplicates() int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -63,7 +64,7 @@
 	return doubled
 }
 
-// Listen starts the service on an address.
+// Listen starts the service at an address.
 func (s *Service) Listen(address string) error {
 	if s.Calls == nil {
 		s.Calls = &CallCounter{}
@@ -76,12 +77,12 @@
 	return s.listen(address, mux)
 }
 
-// SetFaults makes each call take longer and loses one in so many answers after the
-// call has run; zero means never.
+// SetFaults adds a delay to each call and drops the response of one in lose calls after
+// the call has run. A value of zero disables either fault.
 func (s *Service) SetFaults(delay time.Duration, lose int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.delay, s.lose = delay, lose
+	s.delay, s.loseOneIn = delay, lose
 }
 
 func (s *Service) serveCall(w http.ResponseWriter, q *http.Request) {
@@ -91,15 +92,15 @@
 		return
 	}
 	s.mutex.Lock()
-	delay, lose := s.delay, s.lose
+	delay, lose := s.delay, s.loseOneIn
 	s.mutex.Unlock()
 	run := 0
 	if key := q.Header.Get(CallHeader); key != "" {
 		run = s.Calls.add(key)
 	}
 	time.Sleep(delay)
-	if hit(lose) {
-		panic(http.ErrAbortHandler) // it ran, and its answer is lost
+	if oneIn(lose) {
+		panic(http.ErrAbortHandler) // drop the response of a call that ran
 	}
 	writeJSON(w, struct {
 		Service string `json:"service"`
@@ -122,7 +123,7 @@
 	s.SetFaults(delay, lose)
 }
 
-// serveRan answers 200 once the call has begun to run.
+// serveRan responds with status 200 if the call has started to run, else with 404.
 func (s *Service) serveRan(w http.ResponseWriter, q *http.Request) {
 	if s.Calls.Runs(q.URL.Query().Get("key")) == 0 {
 		http.Error(w, "not yet", http.StatusNotFound)
--- a/standin/weights.go
+++ b/standin/weights.go
@@ -9,18 +9,18 @@
 	"golang.org/x/time/rate"
 )
 
-// weightChunk is how many bytes of weights are sent at a time.
+// weightChunk is the number of bytes sent at a time.
 const weightChunk = 64 << 10
 
-// WeightStore is a stand-in weights store: any name has the bytes asked for, sent
-// at a limited rate shared by all readers.
+// WeightStore is a stand-in weights store. It serves the requested number of bytes for any
+// name, at a limited rate that all readers share.
 type WeightStore struct {
 	server
 	BytesPerSecond int
 	limit          *rate.Limiter
 }
 
-// Listen starts the store on an address.
+// Listen starts the store at an address.
 func (s *WeightStore) Listen(address string) error {
 	s.limit = rate.NewLimiter(rate.Limit(s.BytesPerSecond), weightChunk)
 	mux := http.NewServeMux()
--- a/standin/wire.go
+++ b/standin/wire.go
@@ -16,7 +16,7 @@
 
 func littleEndian(b []byte) uint64 { return binary.LittleEndian.Uint64(b) }
 
-// sortByPriority puts the most urgent jobs first and keeps the order of equals.
+// sortByPriority sorts jobs by descending urgency and keeps the order of equal ones.
 func sortByPriority(jobs []job) {
 	slices.SortStableFunc(jobs, func(a, b job) int {
 		return int(a.step.Priority) - int(b.step.Priority)
