--- a/standin/deployment.go
+++ b/standin/deployment.go
@@ -119,10 +119,10 @@
 func (d *Deployment) startServices(s settings.Standin, c *configuration) error {
 	d.CallCounters = map[string]*CallCounter{}
 	for _, v := range s.Services {
-		book := &CallCounter{}
-		d.CallCounters[v.Name] = book
+		counter := &CallCounter{}
+		d.CallCounters[v.Name] = counter
 		for i := range v.Endpoints {
-			e := &Service{Name: v.Endpoints[i].Name, Calls: book}
+			e := &Service{Name: v.Endpoints[i].Name, Calls: counter}
 			if err := e.Listen(d.address(v.Endpoints[i].Address)); err != nil {
 				return err
 			}
--- a/standin/execution_log.go
+++ b/standin/execution_log.go
@@ -64,8 +64,8 @@
 		byAttempt[k] = append(byAttempt[k], r)
 	}
 	var found []string
-	for k, rs := range byAttempt {
-		if line := findViolation(rs); line != "" {
+	for k, attempt := range byAttempt {
+		if line := findViolation(attempt); line != "" {
 			found = append(found, fmt.Sprintf("%s attempt %d: %s", k.request, k.attempt, line))
 		}
 	}
--- a/standin/runner_conn.go
+++ b/standin/runner_conn.go
@@ -69,9 +69,9 @@
 	c.write(protocol.ReplyFrame{Report: &l})
 }
 
-// send injects the faults m into replies and writes them after the delay of the link.
-func (c *runnerConn) send(rs []protocol.Reply, m ReplyFaults) {
-	now, late := injectFaults(rs, m)
+// send injects faults into replies and writes them after the delay of the link.
+func (c *runnerConn) send(replies []protocol.Reply, faults ReplyFaults) {
+	now, late := injectFaults(replies, faults)
 	link := linkDelay(c.runner.Spec.Link)
 	if len(late) > 0 {
 		go (&delayedReplies{conn: c, replies: late, due: time.Now().Add(replyDelay + link)}).run()
@@ -105,28 +105,28 @@
 	d.conn.write(protocol.ReplyFrame{Replies: d.replies})
 }
 
-// injectFaults applies m to replies and splits them into those to send now and later.
-func injectFaults(rs []protocol.Reply, m ReplyFaults) (now, late []protocol.Reply) {
-	for _, r := range rs {
+// injectFaults applies faults to replies and splits them into those to send now and later.
+func injectFaults(replies []protocol.Reply, faults ReplyFaults) (now, late []protocol.Reply) {
+	for _, r := range replies {
 		switch {
-		case oneIn(m.Drop):
+		case oneIn(faults.Drop):
 			continue
-		case oneIn(m.Delay):
+		case oneIn(faults.Delay):
 			late = append(late, r)
 			continue
-		case oneIn(m.Duplicate):
+		case oneIn(faults.Duplicate):
 			now = append(now, r)
-		case oneIn(m.WrongSpan):
+		case oneIn(faults.WrongSpan):
 			r.Span.To++
-		case oneIn(m.WrongPosition):
+		case oneIn(faults.WrongPosition):
 			r.Position++
-		case oneIn(m.Truncate) && len(r.Hidden) > protocol.HiddenStateBytes:
+		case oneIn(faults.Truncate) && len(r.Hidden) > protocol.HiddenStateBytes:
 			r.Hidden = r.Hidden[:len(r.Hidden)-protocol.HiddenStateBytes]
 			r.Count--
 		}
 		now = append(now, r)
 	}
-	if m.Duplicate > 0 {
+	if faults.Duplicate > 0 {
 		slices.Reverse(now)
 	}
 	return now, late
--- a/standin/runner_crash.go
+++ b/standin/runner_crash.go
@@ -38,15 +38,15 @@
 }
 
 // triggeredBy reports whether a step of a batch crashes the engine, and counts the crash.
-func (e *crashTrigger) triggeredBy(batch []job) bool {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	if e.prompt == "" {
+func (t *crashTrigger) triggeredBy(batch []job) bool {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	if t.prompt == "" {
 		return false
 	}
 	for i := range batch {
-		if strings.Contains(protocol.Text(batch[i].step.Tokens), e.prompt) {
-			e.crashes++
+		if strings.Contains(protocol.Text(batch[i].step.Tokens), t.prompt) {
+			t.crashes++
 			return true
 		}
 	}
@@ -54,11 +54,11 @@
 }
 
 // close stops all restarted engines and prevents further restarts.
-func (e *crashTrigger) close() {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	e.closed = true
-	for _, r := range e.restarted {
+func (t *crashTrigger) close() {
+	t.mutex.Lock()
+	defer t.mutex.Unlock()
+	t.closed = true
+	for _, r := range t.restarted {
 		r.Close()
 	}
 }
--- a/standin/service.go
+++ b/standin/service.go
@@ -34,29 +34,29 @@
 	runs  map[string]int
 }
 
-func (b *CallCounter) add(key string) int {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if b.runs == nil {
-		b.runs = map[string]int{}
+func (c *CallCounter) add(key string) int {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.runs == nil {
+		c.runs = map[string]int{}
 	}
-	b.runs[key]++
-	return b.runs[key]
+	c.runs[key]++
+	return c.runs[key]
 }
 
 // Runs returns how often the call with a key ran.
-func (b *CallCounter) Runs(key string) int {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.runs[key]
+func (c *CallCounter) Runs(key string) int {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	return c.runs[key]
 }
 
 // Duplicates returns the number of calls that ran more than once.
-func (b *CallCounter) Duplicates() int {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
+func (c *CallCounter) Duplicates() int {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
 	doubled := 0
-	for _, n := range b.runs {
+	for _, n := range c.runs {
 		if n > 1 {
 			doubled++
 		}
@@ -77,12 +77,12 @@
 	return s.listen(address, mux)
 }
 
-// SetFaults adds a delay to each call and drops the response of one in lose calls after
-// the call has run. A value of zero disables either fault.
-func (s *Service) SetFaults(delay time.Duration, lose int) {
+// SetFaults adds a delay to each call and drops the response of one in loseOneIn calls
+// after the call has run. A value of zero disables either fault.
+func (s *Service) SetFaults(delay time.Duration, loseOneIn int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.delay, s.loseOneIn = delay, lose
+	s.delay, s.loseOneIn = delay, loseOneIn
 }
 
 func (s *Service) serveCall(w http.ResponseWriter, q *http.Request) {
@@ -92,14 +92,14 @@
 		return
 	}
 	s.mutex.Lock()
-	delay, lose := s.delay, s.loseOneIn
+	delay, loseOneIn := s.delay, s.loseOneIn
 	s.mutex.Unlock()
 	run := 0
 	if key := q.Header.Get(CallHeader); key != "" {
 		run = s.Calls.add(key)
 	}
 	time.Sleep(delay)
-	if oneIn(lose) {
+	if oneIn(loseOneIn) {
 		panic(http.ErrAbortHandler) // drop the response of a call that ran
 	}
 	writeJSON(w, struct {
