--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -17,50 +17,51 @@
 	"pinerun.example/pinerun/platform/platformtest"
 )
 
-// deadline is how long a caller waits.
+// deadline is the deadline of a request, after which its caller gives up.
 const deadline = 6 * time.Second
 
-// The kinds of calls, after the routes of platformtest.Table: what must not run twice,
-// what may, and what is answered by a stream.
+// The kinds of calls, named after the routes of platformtest.Table: calls that must not
+// run twice, calls that may, and calls with a streamed answer.
 const (
-	once   = "once"
-	again  = "again"
-	stream = "stream"
+	nonIdempotent = "once"
+	idempotent    = "again"
+	stream        = "stream"
 )
 
-var kinds = []string{once, again, stream}
+var kinds = []string{nonIdempotent, idempotent, stream}
 
-// The keys of the one team: usualKey is never taken away, spareKey comes and goes.
+// The keys of the only team. permanentKey is always valid; spareKey is granted and revoked
+// during the run.
 const (
-	usualKey = "key"
-	spareKey = "spare"
+	permanentKey = "key"
+	spareKey     = "spare"
 )
 
-// call is one request of a caller and what came of it.
+// call is one request of a caller and its result.
 type call struct {
-	id     string
-	work   string // what is asked for, "" for what nobody else asks for
-	kind   string
-	key    string
-	entry  *entry
-	sent   time.Time
-	status int // 0 when no head came
-	header http.Header
-	body   string
-	broken error // why the answer did not come whole
-	left   bool  // the caller gave up early
-	pace   pace  // at which the answer is read
+	id          string
+	work        string // requested work that several calls share, "" for work unique to this call
+	kind        string
+	key         string
+	entry       *entry
+	sent        time.Time
+	status      int // 0 if no response header arrived
+	header      http.Header
+	body        string
+	err         error       // why the answer is incomplete
+	abandoned   bool        // the caller was to give up early
+	readPattern readPattern // how the caller reads the answer
 }
 
-// content names what is asked for.
+// content returns the name of the requested work.
 func (c *call) content() string { return cmp.Or(c.work, c.id) }
 
-// runsOnce reports whether the request must not run twice.
-func (c *call) runsOnce() bool { return c.kind == once }
+// runsAtMostOnce reports whether the request must not run more than once.
+func (c *call) runsAtMostOnce() bool { return c.kind == nonIdempotent }
 
-// promised reports whether the answer says that the request has not run and never
-// will.
-func (c *call) promised() bool {
+// promisesNotRun reports whether the status guarantees that the request has not run and
+// will not run.
+func (c *call) promisesNotRun() bool {
 	switch c.status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -69,35 +70,33 @@
 	}
 }
 
-// callers send requests at a steady rate, each of a group on connections that it
-// keeps open.
+// callers is a group of callers that send requests at a steady rate. It records their calls.
 type callers struct {
-	world *world
-	mutex sync.Mutex
-	calls []*call
-	wait  sync.WaitGroup
-	stop  chan struct{}
-	seq   int
+	testbed *testbed
+	mutex   sync.Mutex
+	calls   []*call
+	wait    sync.WaitGroup
+	stop    chan struct{}
+	seq     int
 }
 
-// caller is one of them: it keeps its connection to one entry.
+// caller sends requests to one entry, one after the other on a persistent connection.
 type caller struct {
 	callers *callers
 	entry   *entry
 	kind    string
-	slow    bool // it asks for long streams
-	draw    *rand.Rand
+	slow    bool // it requests long streams and reads them slowly
+	rng     *rand.Rand
 	client  *http.Client
 }
 
-// startCallers sends three kinds of requests to every entry, one after the other on
-// each connection.
-func startCallers(w *world, draw *rand.Rand) *callers {
-	cs := &callers{world: w, stop: make(chan struct{})}
-	for _, e := range w.entries {
+// startCallers starts one caller for each entry and each kind of call.
+func startCallers(tb *testbed, rng *rand.Rand) *callers {
+	cs := &callers{testbed: tb, stop: make(chan struct{})}
+	for _, e := range tb.entries {
 		for _, kind := range kinds {
 			c := &caller{
-				callers: cs, entry: e, kind: kind, draw: rand.New(rand.NewPCG(draw.Uint64(), 1)),
+				callers: cs, entry: e, kind: kind, rng: rand.New(rand.NewPCG(rng.Uint64(), 1)),
 				client: &http.Client{Transport: &http.Transport{}},
 			}
 			cs.wait.Add(1)
@@ -107,13 +106,13 @@
 	return cs
 }
 
-// close ends the callers and waits for their last answers.
+// close stops the callers and waits for their last answers.
 func (cs *callers) close() {
 	close(cs.stop)
 	cs.wait.Wait()
 }
 
-// all returns the calls that have ended.
+// all returns the completed calls.
 func (cs *callers) all() []*call {
 	cs.mutex.Lock()
 	defer cs.mutex.Unlock()
@@ -127,7 +126,7 @@
 	return "soak-" + strconv.Itoa(cs.seq)
 }
 
-func (cs *callers) note(c *call) {
+func (cs *callers) record(c *call) {
 	cs.mutex.Lock()
 	defer cs.mutex.Unlock()
 	cs.calls = append(cs.calls, c)
@@ -140,61 +139,61 @@
 		select {
 		case <-c.callers.stop:
 			return
-		case <-time.After(time.Duration(10+c.draw.IntN(60)) * time.Millisecond):
+		case <-time.After(time.Duration(10+c.rng.IntN(60)) * time.Millisecond):
 		}
-		c.callers.note(c.ask())
+		c.callers.record(c.sendRequest())
 	}
 }
 
-// ask sends one request, now and then with the spare key, and now and then leaves
-// before the answer.
-func (c *caller) ask() *call {
+// sendRequest sends one request. It sometimes uses the spare key and sometimes gives up
+// before the answer arrives.
+func (c *caller) sendRequest() *call {
 	if c.slow {
-		return c.askSlowly()
+		return c.sendSlowRequest()
 	}
-	q := &call{id: c.callers.id(), kind: c.kind, key: usualKey, entry: c.entry, sent: time.Now()}
+	q := &call{id: c.callers.id(), kind: c.kind, key: permanentKey, entry: c.entry, sent: time.Now()}
 	wait := deadline
-	switch c.draw.IntN(20) {
+	switch c.rng.IntN(20) {
 	case 0:
-		q.left = true
-		wait = time.Duration(c.draw.IntN(20)) * time.Millisecond
+		q.abandoned = true
+		wait = time.Duration(c.rng.IntN(20)) * time.Millisecond
 	case 1, 2, 3:
 		q.key = spareKey
 	}
-	send(c.client, q, wait)
+	do(c.client, q, wait)
 	return q
 }
 
-// send sends a request and notes what comes of it.
-func send(client *http.Client, q *call, wait time.Duration) {
+// do sends a request, waits for at most the given time and stores the result in q.
+func do(client *http.Client, q *call, wait time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	url := fmt.Sprintf("http://%s/%s/%s", q.entry.callers.address(), q.kind, q.content())
+	url := fmt.Sprintf("http://%s/%s/%s", q.entry.callerLink.address(), q.kind, q.content())
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader(bodyOf(q.content())))
 	if err != nil {
-		q.broken = err
+		q.err = err
 		return
 	}
-	req.GetBody = nil // the library must not send it again by itself
+	req.GetBody = nil // prevents net/http from retrying the request
 	req.Host = "h.example"
 	req.Header.Set("X-Pinerun-Request-Id", q.id)
 	req.Header.Set("X-Pinerun-Deadline-Ms", strconv.FormatInt(deadline.Milliseconds(), 10))
 	req.Header.Set("Authorization", "Token "+q.key)
 	res, err := client.Do(req)
 	if err != nil {
-		q.broken = err
+		q.err = err
 		return
 	}
 	defer func() { _ = res.Body.Close() }()
 	q.status, q.header = res.StatusCode, res.Header
-	body, err := q.pace.readAll(res.Body)
-	q.body, q.broken = string(body), err
+	body, err := q.readPattern.readAll(res.Body)
+	q.body, q.err = string(body), err
 }
 
 func bodyOf(id string) string { return "body of " + id }
 
-// whole is a stream as it has to come.
-func whole() string { return streamOf(platformtest.StreamEvents, 0) }
+// expectedStream returns the complete body of a stream.
+func expectedStream() string { return streamOf(platformtest.StreamEvents, 0) }
 
 func streamOf(events, size int) string {
 	var all strings.Builder
--- a/soak/checks_test.go
+++ b/soak/checks_test.go
@@ -13,154 +13,155 @@
 	"pinerun.example/pinerun/platform/platformtest"
 )
 
-// checkAnswers checks that callers got their own answers, unchanged, and that nothing
-// that ended early looked whole.
-func (w *world) checkAnswers(calls []*call) {
+// checkAnswers checks that callers received the unchanged answers to their own requests,
+// and that no truncated answer looked complete.
+func (tb *testbed) checkAnswers(calls []*call) {
 	for _, c := range calls {
-		if c.status == 0 || c.left {
+		if c.status == 0 || c.abandoned {
 			continue
 		}
 		signature := c.header.Get("X-Pinerun-Response-Signature")
 		signer := strings.TrimPrefix(signature, "signed-by-")
 		switch {
 		case c.status == http.StatusOK:
-			w.checkSuccess(c, signature, signer)
+			tb.checkSuccess(c, signature, signer)
 		case signature != "":
-			if c.status != http.StatusInternalServerError || c.broken == nil && c.body != "failed at "+signer {
-				w.problem("%s %s: an endpoint's failure was changed: %d %q of %s", c.kind, c.id, c.status, c.body, signer)
+			if c.status != http.StatusInternalServerError || c.err == nil && c.body != "failed at "+signer {
+				tb.reportProblem("%s %s: the failure response of an endpoint was changed: %d %q of %s", c.kind, c.id, c.status, c.body, signer)
 			}
-		case c.status >= 300 && c.status < 500 && !c.promised() && !w.mayRefuse(c):
-			w.problem("%s %s: refused with %d though it is proper: %q", c.kind, c.id, c.status, c.body)
+		case c.status >= 300 && c.status < 500 && !c.promisesNotRun() && !tb.mayRefuse(c):
+			tb.reportProblem("%s %s: valid request refused with %d: %q", c.kind, c.id, c.status, c.body)
 		}
 	}
 }
 
-func (w *world) checkSuccess(c *call, signature, signer string) {
+func (tb *testbed) checkSuccess(c *call, signature, signer string) {
 	if signature == "" {
-		w.problem("%s %s: a success without a signature: %q", c.kind, c.id, c.body)
+		tb.reportProblem("%s %s: success response without a signature: %q", c.kind, c.id, c.body)
 	}
 	if got := c.header.Get("X-Pinerun-Request-Id"); got != c.id {
-		w.problem("%s %s: the answer of another request, %q", c.kind, c.id, got)
+		tb.reportProblem("%s %s: received the answer to another request, %q", c.kind, c.id, got)
 	}
 	want := "answer of " + signer
 	if c.kind == stream {
-		want = wholeOf(c.id)
+		want = expectedStreamOf(c.id)
 	}
-	if c.broken == nil && c.body != want || !strings.HasPrefix(want, c.body) {
-		w.problem("%s %s: not the endpoint's answer: %d bytes, %.300q (%v)", c.kind, c.id, len(c.body), c.body, c.broken)
+	if c.err == nil && c.body != want || !strings.HasPrefix(want, c.body) {
+		tb.reportProblem("%s %s: answer differs from that of the endpoint: %d bytes, %.300q (%v)", c.kind, c.id, len(c.body), c.body, c.err)
 	}
 }
 
-// mayRefuse reports whether a table without a call's key may have been in force at its
-// entry while it was served: one that the store held then, or as long before as an entry
-// may go by an old one.
-func (w *world) mayRefuse(c *call) bool {
+// mayRefuse reports whether the entry may have refused a call because its key was revoked.
+// The entry may use any table that the store held while the call was served, or before
+// that for as long as an entry may use an outdated table.
+func (tb *testbed) mayRefuse(c *call) bool {
 	if c.key != spareKey || c.status != http.StatusUnauthorized {
 		return false
 	}
-	from, to := c.sent.Add(-keyWithdrawn-scheduling), c.sent.Add(deadline)
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	var taken time.Time
-	for _, s := range w.spare {
-		if s.given && !taken.IsZero() && taken.Before(to) && s.at.After(from) {
+	from, to := c.sent.Add(-keyRevocationBound-schedulingSlack), c.sent.Add(deadline)
+	tb.mutex.Lock()
+	defer tb.mutex.Unlock()
+	var revoked time.Time
+	for _, s := range tb.spareKeyChanges {
+		if s.granted && !revoked.IsZero() && revoked.Before(to) && s.at.After(from) {
 			return true
 		}
 		switch {
-		case s.given:
-			taken = time.Time{}
-		case taken.IsZero():
-			taken = s.at
+		case s.granted:
+			revoked = time.Time{}
+		case revoked.IsZero():
+			revoked = s.at
 		}
 	}
-	return !taken.IsZero() && taken.Before(to)
+	return !revoked.IsZero() && revoked.Before(to)
 }
 
-// arrival is one request that came to an endpoint.
+// arrival is a request that an endpoint received.
 type arrival struct {
 	endpoint *endpoint
 	request  platformtest.Request
-	run      bool // it was begun there
+	started  bool // the endpoint started to run it
 }
 
-// arrivals returns all that came to endpoints, by request.
-func (w *world) arrivals() map[string][]arrival {
+// arrivals returns all requests that endpoints received, by request ID.
+func (tb *testbed) arrivals() map[string][]arrival {
 	all := map[string][]arrival{}
-	for _, e := range w.all() {
-		begun := map[time.Time]bool{}
+	for _, e := range tb.allEndpoints() {
+		started := map[time.Time]bool{}
 		for _, r := range e.Started() {
-			begun[r.At] = true
+			started[r.At] = true
 		}
 		for _, r := range e.Received() {
-			all[r.ID] = append(all[r.ID], arrival{endpoint: e, request: r, run: begun[r.At]})
+			all[r.ID] = append(all[r.ID], arrival{endpoint: e, request: r, started: started[r.At]})
 		}
 	}
 	return all
 }
 
-// checkRuns checks what endpoints saw against what callers sent and were told.
-func (w *world) checkRuns(calls []*call) {
-	arrivals := w.arrivals()
+// checkRuns compares the requests that endpoints received with those that callers sent and
+// the answers that callers received.
+func (tb *testbed) checkRuns(calls []*call) {
+	arrivals := tb.arrivals()
 	for _, c := range calls {
 		runs := 0
 		for _, a := range arrivals[c.id] {
-			w.checkUnchanged(c, &a)
-			if a.run {
+			tb.checkUnchanged(c, &a)
+			if a.started {
 				runs++
-				w.checkKey(c, &a)
+				tb.checkKey(c, &a)
 			}
 			if a.endpoint.engine {
-				w.checkPath(c.id, a.endpoint, a.request.Path)
+				tb.checkPath(c.id, a.endpoint, a.request.Path)
 			}
 		}
-		if c.runsOnce() && runs > 1 {
-			w.problem("%s ran %d times", c.id, runs)
+		if c.runsAtMostOnce() && runs > 1 {
+			tb.reportProblem("%s ran %d times", c.id, runs)
 		}
-		if c.runsOnce() && runs > 0 && c.promised() {
-			w.problem("%s was answered %d and has run", c.id, c.status)
+		if c.runsAtMostOnce() && runs > 0 && c.promisesNotRun() {
+			tb.reportProblem("%s ran although it was answered with %d", c.id, c.status)
 		}
 		delete(arrivals, c.id)
 	}
-	for id, came := range arrivals {
-		r := &came[0].request
-		w.problem("%q was asked by nobody: %s %s of %d bytes, path %q, team %q, at %s", id, r.Method, r.Target, len(r.Body), r.Path, r.Team, came[0].endpoint.ID)
+	for id, received := range arrivals {
+		r := &received[0].request
+		tb.reportProblem("%q was sent by no caller: %s %s of %d bytes, path %q, team %q, at %s", id, r.Method, r.Target, len(r.Body), r.Path, r.Team, received[0].endpoint.ID)
 	}
 }
 
-func (w *world) checkUnchanged(c *call, a *arrival) {
+func (tb *testbed) checkUnchanged(c *call, a *arrival) {
 	r := &a.request
 	if r.Method != http.MethodPost || r.Target != "/"+c.kind+"/"+c.content() || r.Body != bodyOf(c.content()) {
-		w.problem("%s came changed: %s %s %q", c.id, r.Method, r.Target, r.Body)
+		tb.reportProblem("%s arrived changed: %s %s %q", c.id, r.Method, r.Target, r.Body)
 	}
 	if r.Team != "team" || r.Key != "" {
-		w.problem("%s came as team %q with key %q", c.id, r.Team, r.Key)
+		tb.reportProblem("%s arrived as team %q with key %q", c.id, r.Team, r.Key)
 	}
 	if c.kind != stream && r.LastEvent != "" {
-		w.problem("%s was resumed after %q", c.id, r.LastEvent)
+		tb.reportProblem("%s was resumed after %q", c.id, r.LastEvent)
 	}
 	if left, err := strconv.Atoi(r.DeadlineMS); err != nil || left > int(deadline.Milliseconds()) {
-		w.problem("%s came with the deadline %q", c.id, r.DeadlineMS)
+		tb.reportProblem("%s arrived with the deadline %q", c.id, r.DeadlineMS)
 	}
 	if a.endpoint.engine != (c.kind == stream) {
-		w.problem("%s of kind %s came to %s", c.id, c.kind, a.endpoint.ID)
+		tb.reportProblem("%s of kind %s arrived at %s", c.id, c.kind, a.endpoint.ID)
 	}
 }
 
-// checkMoves checks that orders to change a path concern requests that callers sent.
-func (w *world) checkMoves(calls []*call) {
-	for _, e := range w.all() {
+// checkPathChanges checks that every path change concerns a request that a caller sent.
+func (tb *testbed) checkPathChanges(calls []*call) {
+	for _, e := range tb.allEndpoints() {
 		for _, m := range e.PathChanges() {
-			w.checkPath(m.ID, e, m.Path)
+			tb.checkPath(m.ID, e, m.Path)
 			if !slices.ContainsFunc(calls, func(c *call) bool { return c.id == m.ID }) {
-				w.problem("%q was asked by nobody and ordered over the path %q at %s", m.ID, m.Path, e.ID)
+				tb.reportProblem("%q was sent by no caller, but rerouted over the path %q at %s", m.ID, m.Path, e.ID)
 			}
 		}
 	}
 }
 
-// checkPath checks that a path runs every layer once and in order, the first ones at the
-// engine that was told of it.
-func (w *world) checkPath(id string, first *endpoint, path string) {
+// checkPath checks that a path runs every layer once and in order, and that its first stage
+// is the engine that received it.
+func (tb *testbed) checkPath(id string, first *endpoint, path string) {
 	next := 0
 	for i, part := range strings.Split(path, ",") {
 		address, span, _ := strings.Cut(part, "=")
@@ -168,72 +169,72 @@
 		begin, err1 := strconv.Atoi(from)
 		end, err2 := strconv.Atoi(to)
 		if err1 != nil || err2 != nil || begin != next || end <= begin || i == 0 && address != first.link.address() {
-			w.problem("%s was sent over the path %q", id, path)
+			tb.reportProblem("%s was sent over the path %q", id, path)
 			return
 		}
 		next = end
 	}
 	if next != platformtest.TableLayers {
-		w.problem("%s was sent over the path %q", id, path)
+		tb.reportProblem("%s was sent over the path %q", id, path)
 	}
 }
 
-// checkKey checks that no request ran that was sent too long after its key was taken
-// away.
-func (w *world) checkKey(c *call, a *arrival) {
+// checkKey checks that a request did not run if it was sent later than keyRevocationBound
+// after its key was revoked.
+func (tb *testbed) checkKey(c *call, a *arrival) {
 	if c.key != spareKey {
 		return
 	}
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	given := true
-	for _, s := range w.spare {
-		if s.given && s.at.Before(a.request.At) || !s.given && s.at.Before(c.sent.Add(-keyWithdrawn)) {
-			given = s.given
+	tb.mutex.Lock()
+	defer tb.mutex.Unlock()
+	granted := true
+	for _, s := range tb.spareKeyChanges {
+		if s.granted && s.at.Before(a.request.At) || !s.granted && s.at.Before(c.sent.Add(-keyRevocationBound)) {
+			granted = s.granted
 		}
 	}
-	if !given {
-		w.problems = append(w.problems, c.id+" ran with a key that was taken away")
+	if !granted {
+		tb.problems = append(tb.problems, c.id+" ran with a revoked key")
 	}
 }
 
-// checkBudget checks the bound on further sends in every window.
-func (w *world) checkBudget(calls []*call) {
+// checkRetryBudget checks the bound on retries in every window.
+func (tb *testbed) checkRetryBudget(calls []*call) {
 	var sent []time.Time
 	for _, c := range calls {
 		sent = append(sent, c.sent)
 	}
-	further := w.furtherSends()
-	for _, t := range further {
-		requests := max(windowed(sent, t), windowed(sent, t.Add(-retryWindow)), windowed(sent, t.Add(-retryWindow/2)))
-		if n := windowed(further, t); float64(n) > retryShare*float64(requests)+retrySlack {
-			w.problem("%d further sends in a window of %d requests", n, requests)
+	retryTimes := tb.retries()
+	for _, t := range retryTimes {
+		requests := max(countInWindow(sent, t), countInWindow(sent, t.Add(-retryWindow)), countInWindow(sent, t.Add(-retryWindow/2)))
+		if n := countInWindow(retryTimes, t); float64(n) > retryShare*float64(requests)+retrySlack {
+			tb.reportProblem("%d retries in a window of %d requests", n, requests)
 			return
 		}
 	}
 }
 
-// furtherSends returns when requests came to endpoints after they had come first.
-func (w *world) furtherSends() []time.Time {
-	var further []time.Time
-	for _, as := range w.arrivals() {
-		first := as[0].request.At
-		for _, a := range as {
+// retries returns the arrival times of requests after their first arrival at an endpoint.
+func (tb *testbed) retries() []time.Time {
+	var retryTimes []time.Time
+	for _, received := range tb.arrivals() {
+		first := received[0].request.At
+		for _, a := range received {
 			if a.request.At.Before(first) {
 				first = a.request.At
 			}
 		}
-		for _, a := range as {
+		for _, a := range received {
 			if a.request.At.After(first) {
-				further = append(further, a.request.At)
+				retryTimes = append(retryTimes, a.request.At)
 			}
 		}
 	}
-	return further
+	return retryTimes
 }
 
-// windowed counts the times within the window that begins at from.
-func windowed(times []time.Time, from time.Time) int {
+// countInWindow counts the times within the window of length retryWindow that starts at from.
+func countInWindow(times []time.Time, from time.Time) int {
 	n := 0
 	for _, t := range times {
 		if !t.Before(from) && t.Before(from.Add(retryWindow)) {
@@ -243,12 +244,12 @@
 	return n
 }
 
-// checkLogs checks that no entry told of a fault of its own.
-func (w *world) checkLogs() {
-	for name, log := range w.logs() {
+// checkLogs checks that no entry logged a panic, a fatal error or a data race.
+func (tb *testbed) checkLogs() {
+	for name, log := range tb.logs() {
 		for _, bad := range []string{"panic:", "fatal error:", "DATA RACE"} {
 			if bytes.Contains(log, []byte(bad)) {
-				w.problem("%s wrote %q", name, bad)
+				tb.reportProblem("%s logged %q", name, bad)
 			}
 		}
 	}
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,20 +1,22 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package soak is the randomized fault soak of the deployed form. Its tests run the
-// real program as separate processes before a stand-in platform, inject faults from
-// outside, and check what the users' rules promise from what callers and endpoints see.
+// Package soak contains randomized fault-injection soak tests. The tests run the real
+// program as separate processes against a stand-in platform and inject faults from
+// outside. They check the guarantees of the users' rules against what callers and
+// endpoints observe.
 //
-// Connections of callers, of entries to the store and to endpoints go through loopback
-// proxies that delay, reset, cut one way or silence them. Processes are stopped, paused,
-// killed and restarted by signals, the store and the endpoints misbehave, the routing
-// table changes, all in series that overlap. Each run is drawn from one seed:
+// The connections from callers to entries, from entries to the store and from entries to
+// endpoints pass through loopback proxies, which delay them, reset them, or block one or
+// both directions. Signals stop, pause, kill and restart processes. The store and the
+// endpoints fail, and the routing table changes. Several series of faults run in
+// parallel. One seed determines the faults of a run:
 //
 //	go test ./soak                               // the seeds of CI
 //	go test ./soak -soak.seeds 50 -soak.parallel 4 -timeout 60m
-//	go test ./soak -soak.seed 1234               // one run again
-//	go test ./soak -soak.entries 60              // more processes
-//	go test ./soak -soak.race                    // the program built with the race detector
+//	go test ./soak -soak.seed 1234               // repeat one run
+//	go test ./soak -soak.entries 60              // more entries
+//	go test ./soak -soak.race                    // build the program with the race detector
 //
-// Entries keep nothing on disk and compare no times of day, so there is no storage of
-// their own and no clock to disturb from outside.
+// Entries store nothing on disk and don't compare wall-clock times, so the tests inject no
+// disk or clock faults.
 package soak
--- a/soak/endpoint_test.go
+++ b/soak/endpoint_test.go
@@ -11,132 +11,132 @@
 	"pinerun.example/pinerun/platform/platformtest"
 )
 
-// endpoint is a stand-in with the proxy before it.
+// endpoint is a stand-in endpoint behind a proxy.
 type endpoint struct {
 	*platformtest.Endpoint
-	link    *proxy
-	service string
-	center  string
-	engine  bool
-	born    int64 // Unix milliseconds of its start, 0 where it does not tell
+	link        *proxy
+	service     string
+	dataCenter  string
+	engine      bool
+	incarnation int64 // start time in Unix milliseconds, 0 if the record does not contain it
 
 	mutex   sync.Mutex
-	span    [2]int
-	leaving time.Time // when the store took that it leaves, zero before
-	gone    bool
+	layers  [2]int
+	leaving time.Time // when the store accepted that it is leaving, zero before
+	removed bool
 }
 
-// addEndpoint starts an endpoint and records it.
-func (w *world) addEndpoint(engine bool, center string) {
-	w.begin(&endpoint{center: center, engine: engine}, w.nextID())
+// addEndpoint starts a new endpoint and writes its record.
+func (tb *testbed) addEndpoint(engine bool, dataCenter string) {
+	tb.startEndpoint(&endpoint{dataCenter: dataCenter, engine: engine}, tb.nextID())
 }
 
-// nextID returns the ID of an endpoint that is new.
-func (w *world) nextID() string {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.made++
-	return fmt.Sprint("p-", w.made)
+// nextID returns the ID for a new endpoint.
+func (tb *testbed) nextID() string {
+	tb.mutex.Lock()
+	defer tb.mutex.Unlock()
+	tb.endpointCount++
+	return fmt.Sprint("p-", tb.endpointCount)
 }
 
-// startAgain starts the process of an endpoint that has crashed anew, at its address and
-// with nothing in its memory, under an ID.
-func (w *world) startAgain(old *endpoint, id string) {
-	w.begin(&endpoint{center: old.center, engine: old.engine, link: old.link, born: time.Now().UnixMilli()}, id)
+// restart starts a new process for an endpoint that has crashed, at the same address, without
+// its previous state and under the given ID.
+func (tb *testbed) restart(old *endpoint, id string) {
+	tb.startEndpoint(&endpoint{dataCenter: old.dataCenter, engine: old.engine, link: old.link, incarnation: time.Now().UnixMilli()}, id)
 }
 
-// begin starts the process of an endpoint and records it.
-func (w *world) begin(e *endpoint, id string) {
+// startEndpoint starts the process of an endpoint and writes its record.
+func (tb *testbed) startEndpoint(e *endpoint, id string) {
 	e.service = "plain"
 	if e.engine {
 		e.service = "llm"
-		e.Endpoint = platformtest.NewEngine(w.t, id)
+		e.Endpoint = platformtest.NewEngine(tb.t, id)
 	} else {
-		e.Endpoint = platformtest.NewService(w.t, id)
+		e.Endpoint = platformtest.NewService(tb.t, id)
 	}
-	e.SetResponseSizeFor(longEnding, longEvents, longFilling)
+	e.SetResponseSizeFor(longSuffix, longEvents, longPadding)
 	if e.link == nil {
-		e.link = newProxy(w.t, e.Address())
+		e.link = newProxy(tb.t, e.Address())
 	} else {
-		e.link.aim(e.Address())
+		e.link.setTarget(e.Address())
 	}
 	if e.engine {
-		w.endUnder(e)
+		tb.crashOnWork(e)
 	}
-	e.OnLayersChange(func(from, to int) { w.hold(e, from, to) })
-	w.record(e, "ready")
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.endpoints = append(w.endpoints, e)
+	e.OnLayersChange(func(from, to int) { tb.setLayers(e, from, to) })
+	tb.writeRecord(e, "ready")
+	tb.mutex.Lock()
+	defer tb.mutex.Unlock()
+	tb.endpoints = append(tb.endpoints, e)
 }
 
-// hold takes an order: the engine holds other layers from now on.
-func (w *world) hold(e *endpoint, from, to int) {
+// setLayers carries out an order to load other layers. It reports a problem if they don't fit.
+func (tb *testbed) setLayers(e *endpoint, from, to int) {
 	if mb := (to - from) * platformtest.TableLayerMB; mb > platformtest.TableEngineMB || from < 0 || to > platformtest.TableLayers {
-		w.problem("%s was ordered to hold %d-%d, %d MB", e.ID, from, to, mb)
+		tb.reportProblem("%s was ordered to load layers %d-%d, %d MB", e.ID, from, to, mb)
 	}
 	e.mutex.Lock()
-	e.span = [2]int{from, to}
+	e.layers = [2]int{from, to}
 	e.mutex.Unlock()
-	w.rewrite(e)
+	tb.updateRecord(e)
 }
 
-// rewrite writes an endpoint's record as it stands. One that is gone has none, whoever
-// wrote it.
-func (w *world) rewrite(e *endpoint) {
+// updateRecord writes the current record of an endpoint, or deletes the record, even if another
+// program wrote it, if the endpoint is removed.
+func (tb *testbed) updateRecord(e *endpoint) {
 	e.mutex.Lock()
 	state := "ready"
 	if !e.leaving.IsZero() {
 		state = "draining"
 	}
-	gone := e.gone
+	removed := e.removed
 	e.mutex.Unlock()
-	if gone {
-		w.store.Delete("servers", e.ID)
+	if removed {
+		tb.store.Delete("servers", e.ID)
 		return
 	}
-	w.record(e, state)
+	tb.writeRecord(e, state)
 }
 
-// record writes what an endpoint says of itself.
-func (w *world) record(e *endpoint, state string) {
+// writeRecord writes the record that an endpoint publishes about itself.
+func (tb *testbed) writeRecord(e *endpoint, state string) {
 	e.mutex.Lock()
-	span := e.span
+	layers := e.layers
 	e.mutex.Unlock()
 	record := map[string]any{
-		"service": e.service, "address": e.link.address(), "zone": e.center, "slots": 8, "state": state, "route_type": "t4",
-		"layers": map[string]int{"from": span[0], "target_version": span[1]},
+		"service": e.service, "address": e.link.address(), "zone": e.dataCenter, "slots": 8, "state": state, "route_type": "t4",
+		"layers": map[string]int{"from": layers[0], "target_version": layers[1]},
 	}
-	if e.born > 0 {
-		record["born"] = e.born
+	if e.incarnation > 0 {
+		record["born"] = e.incarnation
 	}
-	w.store.Put("servers", e.ID, record)
+	tb.store.Put("servers", e.ID, record)
 }
 
-// leave makes an endpoint say that it is leaving.
-func (w *world) leave(e *endpoint) {
-	w.record(e, "draining")
+// markLeaving writes to the record of an endpoint that it is leaving.
+func (tb *testbed) markLeaving(e *endpoint) {
+	tb.writeRecord(e, "draining")
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.leaving = time.Now()
 }
 
-// remove ends an endpoint.
-func (w *world) remove(e *endpoint) {
+// remove deletes the record of an endpoint and stops it.
+func (tb *testbed) remove(e *endpoint) {
 	e.mutex.Lock()
-	e.gone = true
+	e.removed = true
 	e.mutex.Unlock()
-	w.store.Delete("servers", e.ID)
+	tb.store.Delete("servers", e.ID)
 	e.Stop()
 	e.link.reset()
 }
 
-// live returns the endpoints of a service that neither leave nor are gone.
-func (w *world) live(engine bool) []*endpoint {
+// live returns the engines or the plain endpoints that are neither leaving nor removed.
+func (tb *testbed) live(engine bool) []*endpoint {
 	var list []*endpoint
-	for _, e := range w.all() {
+	for _, e := range tb.allEndpoints() {
 		e.mutex.Lock()
-		if e.engine == engine && e.leaving.IsZero() && !e.gone {
+		if e.engine == engine && e.leaving.IsZero() && !e.removed {
 			list = append(list, e)
 		}
 		e.mutex.Unlock()
@@ -144,8 +144,8 @@
 	return list
 }
 
-func (w *world) all() []*endpoint {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return slices.Clone(w.endpoints)
+func (tb *testbed) allEndpoints() []*endpoint {
+	tb.mutex.Lock()
+	defer tb.mutex.Unlock()
+	return slices.Clone(tb.endpoints)
 }
--- a/soak/entry_test.go
+++ b/soak/entry_test.go
@@ -16,118 +16,119 @@
 	"pinerun.example/pinerun/platform/platformtest"
 )
 
-// entry is one process of the deployed form.
+// entry is an entry of the program under test, which runs as one process at a time.
 type entry struct {
-	world   *world
-	name    string
-	center  string
-	callers *proxy // the way of callers to it
-	store   *proxy // its way to the store
-	ready   string
-	file    string
-	log     string
-
-	life    sync.Mutex // held by who ends it and starts it again
-	mutex   sync.Mutex
-	process *exec.Cmd
-	ended   chan struct{} // closed when the process has ended
-	wanted  bool          // an end is expected: it was told to, or killed
-	paused  time.Time     // when it was last paused or went on
-	peakMB  int           // the most memory that a process of it took
+	testbed          *testbed
+	name             string
+	dataCenter       string
+	callerLink       *proxy // between callers and this entry
+	storeLink        *proxy // between this entry and the store
+	readinessAddress string
+	settingsFile     string
+	logFile          string
+
+	lifecycleMutex  sync.Mutex // held while the process is stopped and restarted
+	mutex           sync.Mutex
+	process         *exec.Cmd
+	exited          chan struct{} // closed when the process has exited
+	exitExpected    bool          // the process was asked to stop, or killed
+	lastPauseChange time.Time     // when it was last paused or resumed
+	peakMB          int           // peak memory of all processes of this entry
 }
 
-func (w *world) newEntry(dir, name, center string) *entry {
-	e := &entry{world: w, name: name, center: center, ready: platformtest.FreeAddress(), store: newProxy(w.t, w.store.Address())}
-	callers := platformtest.FreeAddress()
-	e.callers = newProxy(w.t, callers)
-	text := platformtest.RenderSettings(w.t, "..", map[string]any{
-		"node_name": name, "zone": center, "zones": map[string]string{"a": "east", "b": "west"}, "ip": "127.0.0.1", "listen.front": callers, "listen.readiness": e.ready,
-		"platform.address": e.store.address(), "bounds.grace_s": stopWithin.Seconds(), "bounds.revoke_ms": keyWithdrawn.Milliseconds(),
+func (tb *testbed) newEntry(dir, name, dataCenter string) *entry {
+	e := &entry{testbed: tb, name: name, dataCenter: dataCenter, readinessAddress: platformtest.FreeAddress(), storeLink: newProxy(tb.t, tb.store.Address())}
+	frontAddress := platformtest.FreeAddress()
+	e.callerLink = newProxy(tb.t, frontAddress)
+	text := platformtest.RenderSettings(tb.t, "..", map[string]any{
+		"node_name": name, "zone": dataCenter, "zones": map[string]string{"a": "east", "b": "west"}, "ip": "127.0.0.1", "listen.front": frontAddress, "listen.readiness": e.readinessAddress,
+		"platform.address": e.storeLink.address(), "bounds.grace_s": stopWithin.Seconds(), "bounds.revoke_ms": keyRevocationBound.Milliseconds(),
 		"bounds.retry_budget_ratio": retryShare, "bounds.retry_budget_slack": retrySlack,
 		"bounds.budget_window_s": retryWindow.Seconds(), "limits.memory_mb": memoryMB, "limits.max_fds": 8192, "internal_ports.0": platformtest.FreePort(),
 	})
-	text = strings.Replace(text, "127.0.0.1:9464", platformtest.FreeAddress(), 1) // all stand on this machine
-	e.file, e.log = filepath.Join(dir, name+".jsonc"), filepath.Join(dir, name+".log")
-	require.NoError(w.t, os.WriteFile(e.file, []byte(text), 0o600))
-	w.t.Cleanup(e.kill)
+	text = strings.Replace(text, "127.0.0.1:9464", platformtest.FreeAddress(), 1) // all entries share this machine
+	e.settingsFile, e.logFile = filepath.Join(dir, name+".jsonc"), filepath.Join(dir, name+".log")
+	require.NoError(tb.t, os.WriteFile(e.settingsFile, []byte(text), 0o600))
+	tb.t.Cleanup(e.kill)
 	return e
 }
 
-// start runs the process; its log goes on.
+// start starts the process, which appends to the log.
 func (e *entry) start() {
-	out, err := os.OpenFile(e.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-	require.NoError(e.world.t, err)
+	out, err := os.OpenFile(e.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	require.NoError(e.testbed.t, err)
 	defer func() { _ = out.Close() }()
-	p := exec.Command(e.world.binary, "front", "-settings", e.file)
+	p := exec.Command(e.testbed.binary, "front", "-settings", e.settingsFile)
 	p.Stdout, p.Stderr = out, out
-	require.NoError(e.world.t, p.Start())
+	require.NoError(e.testbed.t, p.Start())
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.process, e.ended, e.wanted = p, make(chan struct{}), false
-	go (&watcher{entry: e, process: p, ended: e.ended}).run()
+	e.process, e.exited, e.exitExpected = p, make(chan struct{}), false
+	go (&processMonitor{entry: e, process: p, exited: e.exited}).run()
 }
 
-// watcher waits for the end of a process.
-type watcher struct {
+// processMonitor waits for a process to exit and reports unexpected exits.
+type processMonitor struct {
 	entry   *entry
 	process *exec.Cmd
-	ended   chan struct{}
+	exited  chan struct{}
 }
 
-func (w *watcher) run() {
-	err := w.process.Wait()
-	w.entry.mutex.Lock()
-	wanted := w.entry.wanted
-	w.entry.mutex.Unlock()
-	if !wanted {
-		w.entry.world.problem("%s ended by itself: %v", w.entry.name, err)
+func (m *processMonitor) run() {
+	err := m.process.Wait()
+	m.entry.mutex.Lock()
+	expected := m.entry.exitExpected
+	m.entry.mutex.Unlock()
+	if !expected {
+		m.entry.testbed.reportProblem("%s exited unexpectedly: %v", m.entry.name, err)
 	}
-	close(w.ended)
+	close(m.exited)
 }
 
-// signal sends a signal to the process that runs now.
+// signal sends a signal to the current process.
 func (e *entry) signal(s os.Signal) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.process != nil {
-		_ = e.process.Process.Signal(s) // it may have ended
+		_ = e.process.Process.Signal(s) // it may have exited
 	}
 }
 
-// pause stops the process, or lets it go on.
+// pause sends SIGSTOP or SIGCONT to the process and records the time.
 func (e *entry) pause(s os.Signal) {
 	e.mutex.Lock()
-	e.paused = time.Now()
+	e.lastPauseChange = time.Now()
 	e.mutex.Unlock()
 	e.signal(s)
 }
 
-// pausedSince reports whether the process was paused or went on after a time.
+// pausedSince reports whether the process was paused or resumed after a time.
 func (e *entry) pausedSince(at time.Time) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.paused.After(at)
+	return e.lastPauseChange.After(at)
 }
 
-// expectEnd says that the process will end, and returns a channel that tells when.
-func (e *entry) expectEnd() <-chan struct{} {
+// expectExit marks an exit of the process as expected. It returns a channel that is closed when
+// the process has exited.
+func (e *entry) expectExit() <-chan struct{} {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.wanted = true
-	return e.ended
+	e.exitExpected = true
+	return e.exited
 }
 
 func (e *entry) kill() {
-	ended := e.expectEnd()
+	exited := e.expectExit()
 	e.signal(os.Kill)
-	if ended != nil {
-		<-ended
+	if exited != nil {
+		<-exited
 	}
 }
 
 func (e *entry) isReady() bool {
 	c := http.Client{Timeout: time.Second}
-	res, err := c.Get("http://" + e.ready + "/ready")
+	res, err := c.Get("http://" + e.readinessAddress + "/ready")
 	if err != nil {
 		return false
 	}
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -12,24 +12,24 @@
 
 func (s *series) killEntry() {
 	e := s.entry()
-	e.life.Lock()
-	defer e.life.Unlock()
-	s.storm.tell("kill " + e.name)
+	e.lifecycleMutex.Lock()
+	defer e.lifecycleMutex.Unlock()
+	s.injection.record("kill " + e.name)
 	e.kill()
 	s.pause(10, 800)
 	e.start()
 }
 
-// killMany kills most entries at the same moment.
-func (s *series) killMany() {
+// killMostEntries kills most entries at the same time.
+func (s *series) killMostEntries() {
 	var killed []*entry
-	for _, e := range s.storm.world.entries {
-		if s.draw.IntN(4) > 0 && e.life.TryLock() {
-			defer e.life.Unlock()
+	for _, e := range s.injection.testbed.entries {
+		if s.rng.IntN(4) > 0 && e.lifecycleMutex.TryLock() {
+			defer e.lifecycleMutex.Unlock()
 			killed = append(killed, e)
 		}
 	}
-	s.storm.tell("kill most entries")
+	s.injection.record("kill most entries")
 	for _, e := range killed {
 		e.kill()
 	}
@@ -39,25 +39,25 @@
 	}
 }
 
-// stopEntry tells an entry to stop, and hangs up on it meanwhile.
+// stopEntry asks an entry to stop, half of the time with a SIGHUP while it stops.
 func (s *series) stopEntry() {
 	e := s.entry()
-	e.life.Lock()
-	defer e.life.Unlock()
-	s.storm.tell("stop " + e.name)
+	e.lifecycleMutex.Lock()
+	defer e.lifecycleMutex.Unlock()
+	s.injection.record("stop " + e.name)
 	ready := e.isReady()
-	told := time.Now()
-	ended := e.expectEnd()
+	stopSent := time.Now()
+	exited := e.expectExit()
 	e.signal(syscall.SIGTERM)
-	if ready && s.draw.IntN(2) == 0 {
+	if ready && s.rng.IntN(2) == 0 {
 		s.pause(1, 300)
 		e.signal(syscall.SIGHUP)
 	}
 	select {
-	case <-ended:
-	case <-time.After(stopWithin + scheduling):
-		if !e.pausedSince(told) {
-			s.storm.world.problem("%s did not stop in time", e.name)
+	case <-exited:
+	case <-time.After(stopWithin + schedulingSlack):
+		if !e.pausedSince(stopSent) {
+			s.injection.testbed.reportProblem("%s did not stop in time", e.name)
 		}
 		e.kill()
 	}
@@ -66,39 +66,39 @@
 
 func (s *series) pauseEntry() {
 	e := s.entry()
-	s.storm.tell("pause " + e.name)
+	s.injection.record("pause " + e.name)
 	e.pause(syscall.SIGSTOP)
-	s.last()
+	s.waitFaultDuration()
 	e.pause(syscall.SIGCONT)
 }
 
-// hangUp tells an entry to read its settings anew, half of the time while the file
-// holds a mistake. A process whose own code does not run yet ends at a hangup, and
-// nothing in the program can change that.
-func (s *series) hangUp() {
+// reloadSettings makes an entry reload its settings, half of the time from an invalid file.
+// It skips entries that are not ready: SIGHUP kills a process that has not installed its
+// signal handler yet, and the program can't prevent that.
+func (s *series) reloadSettings() {
 	e := s.entry()
-	e.life.Lock() // an entry that starts needs the good file
-	defer e.life.Unlock()
+	e.lifecycleMutex.Lock() // a starting entry needs the valid file
+	defer e.lifecycleMutex.Unlock()
 	if !e.isReady() {
 		return
 	}
-	s.storm.tell("hang up on " + e.name)
-	good, err := os.ReadFile(e.file)
+	s.injection.record("SIGHUP to " + e.name)
+	valid, err := os.ReadFile(e.settingsFile)
 	if err != nil {
-		s.storm.world.problem("the settings of %s can't be read: %v", e.name, err)
+		s.injection.testbed.reportProblem("the settings of %s can't be read: %v", e.name, err)
 		return
 	}
-	if s.draw.IntN(2) == 0 {
-		s.write(e, []byte(`{"front": {}}`))
-		defer s.write(e, good)
+	if s.rng.IntN(2) == 0 {
+		s.writeSettings(e, []byte(`{"front": {}}`))
+		defer s.writeSettings(e, valid)
 	}
 	e.signal(syscall.SIGHUP)
 	s.pause(50, 300)
 }
 
-func (s *series) write(e *entry, content []byte) {
-	if err := os.WriteFile(e.file, content, 0o600); err != nil {
-		s.storm.world.problem("the settings of %s can't be written: %v", e.name, err)
+func (s *series) writeSettings(e *entry, content []byte) {
+	if err := os.WriteFile(e.settingsFile, content, 0o600); err != nil {
+		s.injection.testbed.reportProblem("the settings of %s can't be written: %v", e.name, err)
 	}
 }
 
@@ -106,52 +106,52 @@
 	faults := []platformtest.StoreFaults{
 		{Down: true}, {Silent: true}, {LoseWriteResponses: true}, {Slow: 300 * time.Millisecond}, {Slow: 1200 * time.Millisecond}, {StalledWatches: true},
 	}
-	n := s.draw.IntN(len(faults))
-	s.storm.tell([]string{"store down", "store silent", "store loses answers", "store slow", "store very slow", "store deaf"}[n])
-	store := s.storm.world.store
+	n := s.rng.IntN(len(faults))
+	s.injection.record([]string{"store down", "store silent", "store loses write responses", "store slow", "store very slow", "store watches stalled"}[n])
+	store := s.injection.testbed.store
 	store.Fail(faults[n])
 	if faults[n].StalledWatches {
-		s.pause(100, 1000) // watches hear nothing for a second at most, then the history goes
+		s.pause(100, 1000) // watches receive nothing for at most a second, then the history is compacted
 		store.Compact()
 	} else {
-		s.last()
+		s.waitFaultDuration()
 	}
 	store.Fail(platformtest.StoreFaults{})
 }
 
-// disturb draws what happens to a link for a while.
-func (s *series) disturb(p *proxy, what string) {
+// disturbLink injects a random fault into a link for some time.
+func (s *series) disturbLink(p *proxy, what string) {
 	states := []linkState{
-		{delay: 20 * time.Millisecond}, {delay: 200 * time.Millisecond}, {stopOut: true}, {stopIn: true}, {stopOut: true, stopIn: true},
+		{delay: 20 * time.Millisecond}, {delay: 200 * time.Millisecond}, {blockOutbound: true}, {blockInbound: true}, {blockOutbound: true, blockInbound: true},
 	}
-	names := []string{"delayed", "much delayed", "cut outward", "cut inward", "silent", "reset"}
-	n := s.draw.IntN(len(names))
-	s.storm.tell(what + " " + names[n])
+	names := []string{"delayed", "delayed a lot", "blocked outbound", "blocked inbound", "blocked in both directions", "reset"}
+	n := s.rng.IntN(len(names))
+	s.injection.record(what + " " + names[n])
 	if n == len(states) {
 		p.reset()
 		return
 	}
 	p.set(states[n])
-	s.last()
-	if s.draw.IntN(2) == 0 {
-		p.reset() // what was held up is lost
+	s.waitFaultDuration()
+	if s.rng.IntN(2) == 0 {
+		p.reset() // blocked bytes are lost
 	}
 	p.set(linkState{})
 }
 
-func (s *series) disturbStoreWay() {
+func (s *series) disturbStoreLink() {
 	e := s.entry()
-	s.disturb(e.store, "way to the store of "+e.name)
+	s.disturbLink(e.storeLink, "link to the store of "+e.name)
 }
 
-func (s *series) disturbCallers() {
+func (s *series) disturbCallerLink() {
 	e := s.entry()
-	s.disturb(e.callers, "way of callers to "+e.name)
+	s.disturbLink(e.callerLink, "link of callers to "+e.name)
 }
 
-func (s *series) disturbEndpointWay() {
+func (s *series) disturbEndpointLink() {
 	e := s.endpoint()
-	s.disturb(e.link, "way to "+e.ID)
+	s.disturbLink(e.link, "link to "+e.ID)
 }
 
 func (s *series) failEndpoint() {
@@ -160,63 +160,63 @@
 		platformtest.WrongRequestID, platformtest.ExtraResponse, platformtest.ClosesConnection, platformtest.Pauses,
 	}
 	e := s.endpoint()
-	n := s.draw.IntN(len(faults))
-	s.storm.tell(e.ID + " " + []string{"refuses", "hangs", "cuts", "fails", "unsigned", "other id", "extra", "closes", "pauses"}[n])
-	e.Fail(faults[n], s.draw.IntN(platformtest.StreamEvents))
-	s.last()
+	n := s.rng.IntN(len(faults))
+	s.injection.record(e.ID + " " + []string{"refuses", "hangs", "truncates", "fails", "unsigned", "wrong request ID", "extra response", "closes connection", "pauses"}[n])
+	e.Fail(faults[n], s.rng.IntN(platformtest.StreamEvents))
+	s.waitFaultDuration()
 	e.Fail(platformtest.None, 0)
 }
 
-// replaceEndpoint starts a new endpoint; the old one says that it leaves, serves on
-// and goes.
+// replaceEndpoint starts a new endpoint and drains the old one: it announces that it is
+// leaving, continues to serve for drainBound, and stops.
 func (s *series) replaceEndpoint() {
-	w := s.storm.world
+	tb := s.injection.testbed
 	old := s.endpoint()
-	s.storm.tell("replace " + old.ID)
-	w.addEndpoint(old.engine, old.center)
+	s.injection.record("replace " + old.ID)
+	tb.addEndpoint(old.engine, old.dataCenter)
 	s.pause(50, 500)
-	w.leave(old)
+	tb.markLeaving(old)
 	time.Sleep(drainBound)
 	s.pause(100, 500)
-	w.remove(old)
+	tb.remove(old)
 }
 
-// crashEndpoint ends an endpoint without a word; its record goes later.
+// crashEndpoint stops an endpoint without notice. Its record is deleted later.
 func (s *series) crashEndpoint() {
-	w := s.storm.world
-	old := s.doom()
+	tb := s.injection.testbed
+	old := s.reserveForCrash()
 	if old == nil {
 		return
 	}
-	s.storm.tell("crash " + old.ID)
+	s.injection.record("crash " + old.ID)
 	old.Stop()
 	old.link.reset()
 	s.pause(500, 3000)
-	w.store.Delete("servers", old.ID)
-	w.addEndpoint(old.engine, old.center)
+	tb.store.Delete("servers", old.ID)
+	tb.addEndpoint(old.engine, old.dataCenter)
 }
 
 func (s *series) changeTable() {
-	w := s.storm.world
-	if s.draw.IntN(2) == 0 {
-		s.storm.tell("take the spare key away")
-		w.changeTable(usualKey)
+	tb := s.injection.testbed
+	if s.rng.IntN(2) == 0 {
+		s.injection.record("revoke the spare key")
+		tb.changeTable(permanentKey)
 		return
 	}
-	s.storm.tell("give the spare key")
-	w.changeTable(usualKey, spareKey)
+	s.injection.record("grant the spare key")
+	tb.changeTable(permanentKey, spareKey)
 }
 
-// withdrawUnheard takes the spare key away while an entry can't hear of it, until well
-// after the key must not be taken any more.
-func (s *series) withdrawUnheard() {
-	w, e := s.storm.world, s.entry()
-	s.storm.tell("take the spare key away, unheard by " + e.name)
-	w.changeTable(usualKey, spareKey)
+// revokeKeyUnreachable revokes the spare key while an entry can't reach the store. The entry
+// stays cut off until well after the time from which it must refuse the key.
+func (s *series) revokeKeyUnreachable() {
+	tb, e := s.injection.testbed, s.entry()
+	s.injection.record("revoke the spare key, store unreachable for " + e.name)
+	tb.changeTable(permanentKey, spareKey)
 	s.pause(300, 1000)
-	e.store.set(linkState{stopOut: true, stopIn: true})
-	w.changeTable(usualKey)
-	time.Sleep(keyWithdrawn)
+	e.storeLink.set(linkState{blockOutbound: true, blockInbound: true})
+	tb.changeTable(permanentKey)
+	time.Sleep(keyRevocationBound)
 	s.pause(1000, 2000)
-	e.store.set(linkState{})
+	e.storeLink.set(linkState{})
 }
--- a/soak/proxy_ports_test.go
+++ b/soak/proxy_ports_test.go
@@ -12,15 +12,15 @@
 	"pinerun.example/pinerun/platform/platformtest"
 )
 
-// TestProxiesListenWhereNoOtherTestDid: an endpoint is asked through its proxy. On a port
-// that the system drew it is also asked by whoever asked the port's last owner, another
-// test's server or a gone endpoint of a run beside this one, and takes that for a request
-// that nobody sent.
-func TestProxiesListenWhereNoOtherTestDid(t *testing.T) {
+// TestProxyListensBelowEphemeralPortRange guards against requests that reach the wrong endpoint.
+// If a proxy listens on an ephemeral port, clients of the port's previous owner may still connect
+// to it: that owner is a server of another test or a removed endpoint of a parallel run. The
+// endpoint then receives a request that no caller of its own run sent.
+func TestProxyListensBelowEphemeralPortRange(t *testing.T) {
 	p := newProxy(t, platformtest.NewService(t, "s").Address())
 	_, port, err := net.SplitHostPort(p.address())
 	require.NoError(t, err)
 	n, err := strconv.Atoi(port)
 	require.NoError(t, err)
-	require.Less(t, n, 20000, "as stand-ins do, below the range from which the system draws")
+	require.Less(t, n, 20000, "the port is below the ephemeral range, as those of the stand-ins")
 }
--- a/soak/proxy_test.go
+++ b/soak/proxy_test.go
@@ -13,30 +13,31 @@
 	"pinerun.example/pinerun/platform/platformtest"
 )
 
-// pieceBytes is how much a proxy passes on at once; a usual answer of the stand-ins is shorter.
-const pieceBytes = 16 << 10
+// chunkBytes is the maximum number of bytes that a proxy forwards at once. Typical answers of the
+// stand-ins are shorter.
+const chunkBytes = 16 << 10
 
-// linkState is what a proxy does to the bytes of its connections.
+// linkState defines how a proxy delays or blocks the bytes of its connections.
 type linkState struct {
-	delay   time.Duration // of every piece
-	stopOut bool          // bytes towards the target stand still
-	stopIn  bool          // bytes back stand still
+	delay         time.Duration // added to every chunk
+	blockOutbound bool          // hold back bytes to the target
+	blockInbound  bool          // hold back bytes from the target
 }
 
-// proxy passes connections on to a target and disturbs them.
+// proxy forwards connections to a target and injects faults into them.
 type proxy struct {
 	listener net.Listener
 
-	mutex  sync.Mutex
-	target string
-	state  linkState
-	moved  chan struct{} // closed when the state changes
-	conns  map[net.Conn]bool
-	done   bool
+	mutex        sync.Mutex
+	target       string
+	state        linkState
+	stateChanged chan struct{} // closed when the state changes
+	conns        map[net.Conn]bool
+	closed       bool
 }
 
 func newProxy(t testing.TB, target string) *proxy {
-	p := &proxy{target: target, listener: platformtest.Listen(), moved: make(chan struct{}), conns: map[net.Conn]bool{}}
+	p := &proxy{target: target, listener: platformtest.Listen(), stateChanged: make(chan struct{}), conns: map[net.Conn]bool{}}
 	go p.run()
 	t.Cleanup(p.close)
 	return p
@@ -44,29 +45,29 @@
 
 func (p *proxy) address() string { return p.listener.Addr().String() }
 
-// set changes what happens to bytes from now on.
+// set replaces the link state.
 func (p *proxy) set(s linkState) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.state = s
-	close(p.moved)
-	p.moved = make(chan struct{})
+	close(p.stateChanged)
+	p.stateChanged = make(chan struct{})
 }
 
-// aim passes new connections on to another target.
-func (p *proxy) aim(target string) {
+// setTarget changes the target of new connections.
+func (p *proxy) setTarget(target string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.target = target
 }
 
-func (p *proxy) aimed() string {
+func (p *proxy) currentTarget() string {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.target
 }
 
-// reset breaks every open connection off.
+// reset aborts every open connection.
 func (p *proxy) reset() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -78,7 +79,7 @@
 func (p *proxy) close() {
 	_ = p.listener.Close()
 	p.mutex.Lock()
-	p.done = true
+	p.closed = true
 	p.mutex.Unlock()
 	p.set(linkState{})
 	p.reset()
@@ -90,66 +91,65 @@
 		if err != nil {
 			return
 		}
-		out, err := net.Dial("tcp", p.aimed())
+		out, err := net.Dial("tcp", p.currentTarget())
 		if err != nil {
-			abort(in) // as a dead port does
+			abort(in) // as if no process listened on the port
 			continue
 		}
-		if !p.keep(in, out) {
+		if !p.track(in, out) {
 			return
 		}
-		go (&pipe{proxy: p, from: in, to: out, outward: true}).run()
+		go (&pipe{proxy: p, from: in, to: out, outbound: true}).run()
 		go (&pipe{proxy: p, from: out, to: in}).run()
 	}
 }
 
-// keep holds both ends where reset finds them. Their sockets are small, so that who does not
-// read is felt behind the proxy.
-func (p *proxy) keep(ends ...net.Conn) bool {
+// track registers connections for reset. It shrinks their socket buffers, so that a peer that
+// doesn't read exerts back pressure through the proxy.
+func (p *proxy) track(conns ...net.Conn) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, c := range ends {
-		if p.done {
+	for _, c := range conns {
+		if p.closed {
 			_ = c.Close()
 		}
-		shrink(c)
+		shrinkBuffers(c)
 		p.conns[c] = true
 	}
-	return !p.done
+	return !p.closed
 }
 
-func (p *proxy) drop(c net.Conn) {
+func (p *proxy) untrack(c net.Conn) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	delete(p.conns, c)
 }
 
-// pass waits as long as the state holds bytes of that direction up, and returns the
-// delay.
-func (p *proxy) pass(outward bool) time.Duration {
+// awaitUnblocked waits while the link state blocks a direction, and returns the delay of the link.
+func (p *proxy) awaitUnblocked(outbound bool) time.Duration {
 	for {
 		p.mutex.Lock()
-		s, moved := p.state, p.moved
+		s, stateChanged := p.state, p.stateChanged
 		p.mutex.Unlock()
-		stopped := s.stopIn
-		if outward {
-			stopped = s.stopOut
+		blocked := s.blockInbound
+		if outbound {
+			blocked = s.blockOutbound
 		}
-		if !stopped {
+		if !blocked {
 			return s.delay
 		}
-		<-moved
+		<-stateChanged
 	}
 }
 
-// shrink bounds what the system keeps of a connection's bytes.
-func shrink(c net.Conn) {
+// shrinkBuffers limits the socket buffers of a connection.
+func shrinkBuffers(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_, _ = tcp.SetReadBuffer(2*pieceBytes), tcp.SetWriteBuffer(2*pieceBytes)
+		_, _ = tcp.SetReadBuffer(2*chunkBytes), tcp.SetWriteBuffer(2*chunkBytes)
 	}
 }
 
-// abort ends a connection by a reset.
+// abort closes a connection with a TCP reset.
 func abort(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -161,16 +161,16 @@
 type pipe struct {
 	proxy    *proxy
 	from, to net.Conn
-	outward  bool
+	outbound bool
 }
 
 func (p *pipe) run() {
-	defer p.proxy.drop(p.from)
-	b := make([]byte, pieceBytes)
+	defer p.proxy.untrack(p.from)
+	b := make([]byte, chunkBytes)
 	for {
 		n, err := p.from.Read(b)
 		if n > 0 {
-			time.Sleep(p.proxy.pass(p.outward))
+			time.Sleep(p.proxy.awaitUnblocked(p.outbound))
 			if _, werr := p.to.Write(b[:n]); werr != nil {
 				_ = p.from.Close()
 				return
@@ -179,7 +179,7 @@
 		if err == nil {
 			continue
 		}
-		p.proxy.pass(p.outward)
+		p.proxy.awaitUnblocked(p.outbound)
 		if tcp, ok := p.to.(*net.TCPConn); ok && errors.Is(err, io.EOF) {
 			_ = tcp.CloseWrite()
 			return
--- a/soak/records_test.go
+++ b/soak/records_test.go
@@ -7,58 +7,58 @@
 	"strings"
 )
 
-// restartEndpoint crashes an endpoint whose process starts again at its address, under its
-// own ID or another one. The record of the process that is gone stays for a while and may
-// come back, as a write does that was under way.
+// restartEndpoint crashes an endpoint and restarts it at the same address, under the same ID or
+// another one. With another ID, the record of the crashed process remains for some time and may
+// reappear, as if a write had been in flight.
 func (s *series) restartEndpoint() {
-	w := s.storm.world
-	old := s.doom()
+	tb := s.injection.testbed
+	old := s.reserveForCrash()
 	if old == nil {
 		return
 	}
 	old.Stop()
 	old.link.reset()
 	s.pause(50, 1500)
-	if s.draw.IntN(2) == 0 {
-		s.storm.tell("restart " + old.ID + " under its ID")
-		w.startAgain(old, old.ID)
+	if s.rng.IntN(2) == 0 {
+		s.injection.record("restart " + old.ID + " under its ID")
+		tb.restart(old, old.ID)
 		return
 	}
-	s.storm.tell("restart " + old.ID + " under another ID")
-	stale, _ := w.store.Get("servers", old.ID)
-	w.startAgain(old, w.nextID())
+	s.injection.record("restart " + old.ID + " under another ID")
+	stale, _ := tb.store.Get("servers", old.ID)
+	tb.restart(old, tb.nextID())
 	s.pause(100, 2500)
-	w.store.Delete("servers", old.ID)
-	if s.draw.IntN(2) == 0 {
+	tb.store.Delete("servers", old.ID)
+	if s.rng.IntN(2) == 0 {
 		s.pause(50, 1000)
-		w.store.Put("servers", old.ID, stale)
+		tb.store.Put("servers", old.ID, stale)
 		s.pause(100, 2500)
-		w.store.Delete("servers", old.ID)
+		tb.store.Delete("servers", old.ID)
 	}
 }
 
-// writeForeign writes records that another program could write: of nobody, and for a while
-// in place of an endpoint's own.
-func (s *series) writeForeign() {
-	w := s.storm.world
+// writeInvalidRecords writes records that another program could write. One has the ID of no
+// endpoint, the other replaces the record of an endpoint for some time.
+func (s *series) writeInvalidRecords() {
+	tb := s.injection.testbed
 	e := s.endpoint()
-	content := s.foreign(e)
-	nobody := fmt.Sprint("foreign-", s.draw.IntN(1000))
-	s.storm.tell("foreign records of " + nobody + " and " + e.ID)
-	w.store.Put("servers", nobody, content)
-	w.store.Put("servers", e.ID, content)
-	s.last()
-	w.store.Delete("servers", nobody)
-	w.rewrite(e)
+	content := s.invalidRecord(e)
+	unknownID := fmt.Sprint("foreign-", s.rng.IntN(1000))
+	s.injection.record("invalid records of " + unknownID + " and " + e.ID)
+	tb.store.Put("servers", unknownID, content)
+	tb.store.Put("servers", e.ID, content)
+	s.waitFaultDuration()
+	tb.store.Delete("servers", unknownID)
+	tb.updateRecord(e)
 }
 
-// foreign draws what stands in a record that names no endpoint to use.
-func (s *series) foreign(e *endpoint) any {
+// invalidRecord returns random content for a record from which no entry can use the endpoint.
+func (s *series) invalidRecord(e *endpoint) any {
 	record := map[string]any{
-		"service": e.service, "address": e.link.address(), "zone": e.center, "slots": 8, "state": "ready", "route_type": "t4",
+		"service": e.service, "address": e.link.address(), "zone": e.dataCenter, "slots": 8, "state": "ready", "route_type": "t4",
 		"layers": map[string]int{"from": 0, "target_version": 10},
 	}
-	switch s.draw.IntN(8) {
+	switch s.rng.IntN(8) {
 	case 0:
 		return 7
 	case 1:
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -20,22 +20,23 @@
 )
 
 var (
-	oneSeed  = flag.Uint64("soak.seed", 0, "the one seed to run")
-	newSeeds = flag.Int("soak.seeds", 0, "how many fresh seeds to run, in place of those of CI")
-	parallel = flag.Int("soak.parallel", 2, "how many runs beside each other")
-	entries  = flag.Int("soak.entries", 4, "how many entries each run has")
-	stormFor = flag.Duration("soak.storm", 6*time.Second, "how long faults are injected")
-	withRace = flag.Bool("soak.race", false, "build the program with the race detector")
-	keepIn   = flag.String("soak.keep", "", "a folder for the logs of runs that failed")
+	singleSeed    = flag.Uint64("soak.seed", 0, "the only seed to run")
+	freshSeeds    = flag.Int("soak.seeds", 0, "number of random seeds to run instead of those of CI")
+	parallel      = flag.Int("soak.parallel", 2, "number of parallel runs")
+	entries       = flag.Int("soak.entries", 4, "number of entries per run")
+	faultDuration = flag.Duration("soak.storm", 6*time.Second, "duration of the fault injection")
+	withRace      = flag.Bool("soak.race", false, "build the program with the race detector")
+	logDir        = flag.String("soak.keep", "", "directory for the logs of failed runs")
 )
 
-// seriesBeside is how many series of faults run side by side.
-const seriesBeside = 6
+// parallelSeries is the number of fault series that run in parallel.
+const parallelSeries = 6
 
-// seedsFile holds the seeds that ever failed, each with the cause.
+// seedsFile contains the seeds that CI runs: all that ever failed, each with its cause, and two
+// that never did.
 const seedsFile = "testdata/seeds.txt"
 
-// TestSoak runs the seeds of CI, or those that the flags ask for.
+// TestSoak runs the seeds of CI, or those that the flags select.
 func TestSoak(t *testing.T) {
 	var arguments []string
 	if *withRace {
@@ -55,11 +56,11 @@
 
 // seeds returns the seeds to run.
 func seeds(t *testing.T) []uint64 {
-	if *oneSeed != 0 {
-		return []uint64{*oneSeed}
+	if *singleSeed != 0 {
+		return []uint64{*singleSeed}
 	}
 	var list []uint64
-	for range *newSeeds {
+	for range *freshSeeds {
 		list = append(list, rand.Uint64N(1e9))
 	}
 	if len(list) > 0 {
@@ -74,66 +75,66 @@
 			continue
 		}
 		seed, err := strconv.ParseUint(number, 10, 64)
-		require.NoError(t, err, "%s: a line is a seed and its cause", seedsFile)
+		require.NoError(t, err, "%s: a line must consist of a seed and its cause", seedsFile)
 		list = append(list, seed)
 	}
 	return list
 }
 
-// runSeed plays one storm and the calm after it.
+// runSeed injects faults into a new testbed, checks its recovery, then checks all calls of the run.
 func runSeed(t *testing.T, binary string, seed uint64) {
-	draw := rand.New(rand.NewPCG(seed, 0))
-	w := newWorld(t, binary, *entries)
-	cs := startCallers(w, draw)
-	startSlow(cs, seed)
-	deadly := startDeadly(cs, seed)
-	s := &storm{world: w, till: time.Now().Add(*stormFor)}
-	s.run(draw, seriesBeside)
-	deadly.close()
-	c := &calm{world: w}
-	c.run()
+	rng := rand.New(rand.NewPCG(seed, 0))
+	tb := newTestbed(t, binary, *entries)
+	cs := startCallers(tb, rng)
+	startSlowCallers(cs, seed)
+	crashing := startCrashCaller(cs, seed)
+	injection := &faultInjection{testbed: tb, until: time.Now().Add(*faultDuration)}
+	injection.run(rng, parallelSeries)
+	crashing.close()
+	rec := &recovery{testbed: tb}
+	rec.run()
 	cs.close()
-	calls := append(cs.all(), c.calls...)
-	w.checkAnswers(cs.all())
-	w.checkRuns(calls)
-	w.checkMoves(calls)
-	w.checkBudget(calls)
-	w.checkLogs()
-	w.checkHeld(cs.all())
-	w.checkInnocent(calls)
-	if len(w.problems) == 0 {
-		t.Logf("seed %d: %s; slow callers: %s; %s", seed, summary(calls), w.slowSummary(cs.all()), w.deadlySummary(calls, c.deadlyRan))
+	calls := append(cs.all(), rec.calls...)
+	tb.checkAnswers(cs.all())
+	tb.checkRuns(calls)
+	tb.checkPathChanges(calls)
+	tb.checkRetryBudget(calls)
+	tb.checkLogs()
+	tb.checkMemory(cs.all())
+	tb.checkOtherWork(calls)
+	if len(tb.problems) == 0 {
+		t.Logf("seed %d: %s; slow callers: %s; %s", seed, summary(calls), tb.slowSummary(cs.all()), tb.crashSummary(calls, rec.crashWorkRuns))
 		return
 	}
-	t.Errorf("seed %d: %s\n  %s\nwhat was done:\n  %s", seed, summary(calls),
-		strings.Join(w.problems[:min(len(w.problems), 20)], "\n  "), strings.Join(s.story, "\n  "))
-	keep(t, w, seed)
+	t.Errorf("seed %d: %s\n  %s\ninjected faults:\n  %s", seed, summary(calls),
+		strings.Join(tb.problems[:min(len(tb.problems), 20)], "\n  "), strings.Join(injection.log, "\n  "))
+	saveLogs(t, tb, seed)
 }
 
-// summary counts how calls ended.
+// summary counts the results of calls.
 func summary(calls []*call) string {
-	good, refused, broken := 0, 0, 0
+	complete, refused, aborted := 0, 0, 0
 	for _, c := range calls {
 		switch {
 		case answered(c):
-			good++
-		case c.status == 0 || c.broken != nil:
-			broken++
+			complete++
+		case c.status == 0 || c.err != nil:
+			aborted++
 		default:
 			refused++
 		}
 	}
-	return fmt.Sprintf("%d calls, %d answered, %d refused or failed, %d broken off or left", len(calls), good, refused, broken)
+	return fmt.Sprintf("%d calls, %d answered, %d refused or failed, %d aborted or abandoned", len(calls), complete, refused, aborted)
 }
 
-// keep copies the logs of a run that failed.
-func keep(t *testing.T, w *world, seed uint64) {
-	if *keepIn == "" {
+// saveLogs copies the logs of a failed run to logFolder, if set.
+func saveLogs(t *testing.T, tb *testbed, seed uint64) {
+	if *logDir == "" {
 		return
 	}
-	require.NoError(t, os.MkdirAll(*keepIn, 0o750))
-	for name, log := range w.logs() {
-		file := filepath.Join(*keepIn, fmt.Sprintf("%d-%s.log", seed, name))
+	require.NoError(t, os.MkdirAll(*logDir, 0o750))
+	for name, log := range tb.logs() {
+		file := filepath.Join(*logDir, fmt.Sprintf("%d-%s.log", seed, name))
 		require.NoError(t, os.WriteFile(file, log, 0o600))
 	}
 }
