--- a/coordination/loss/loss.go
+++ b/coordination/loss/loss.go
@@ -69,9 +69,9 @@
 	return r
 }
 
-// WithOccupant returns the report with the ID of the process that answers at the endpoint's
+// WithAddressOwner returns the report with the ID of the process that answers at the endpoint's
 // address.
-func (r Report) WithOccupant(occupant string) Report {
+func (r Report) WithAddressOwner(occupant string) Report {
 	r.occupant = occupant
 	return r
 }
@@ -79,9 +79,9 @@
 // Incarnation returns the incarnation of the endpoint that was observed, 0 if it is not known.
 func (r Report) Incarnation() protocol.Incarnation { return r.incarnation }
 
-// Occupant returns the ID of the process that answers at the endpoint's address, "" if it is not
+// AddressOwner returns the ID of the process that answers at the endpoint's address, "" if it is not
 // known.
-func (r Report) Occupant() string { return r.occupant }
+func (r Report) AddressOwner() string { return r.occupant }
 
 // Change is what a report changes: Lost, Suspected, Recovered, OccupantObserved or NoChange.
 type Change interface{ change() }
--- a/coordination/loss/occupant.go
+++ b/coordination/loss/occupant.go
@@ -12,13 +12,13 @@
 // request in flight to the address makes the same observation.
 const occupantReportInterval = time.Second
 
-// OccupantObserved means that a process answered at the endpoint's address: the endpoint itself,
+// AddressOwnerObserved means that a process answered at the endpoint's address: the endpoint itself,
 // another one, or a process without the layers of the endpoint's record. One observer suffices,
 // because the observation is an answer. The number of such endpoints is not limited as that of
 // losses is: an entry that is cut off gets no answers, so it cannot make such reports.
-type OccupantObserved struct{}
+type AddressOwnerObserved struct{}
 
-func (OccupantObserved) change() {}
+func (AddressOwnerObserved) change() {}
 
 // occupantReport is the latest report of the process at an endpoint's address.
 type occupantReport struct {
@@ -45,7 +45,7 @@
 	if expires := now.Add(ReportTTL); expires.After(s.expires) {
 		s.expires = expires
 	}
-	return OccupantObserved{}
+	return AddressOwnerObserved{}
 }
 
 // isUpdate reports whether a later report says something new.
--- a/transport/forward/failure.go
+++ b/transport/forward/failure.go
@@ -71,7 +71,7 @@
 // ApplyLossReport applies what a failure or address owner report changes, and reports whether
 // that may matter to the director.
 func (f *Forwarder) ApplyLossReport(report loss.Report, change loss.Change) bool {
-	if _, ok := change.(loss.OccupantObserved); ok {
+	if _, ok := change.(loss.AddressOwnerObserved); ok {
 		return f.applyOwner(&report)
 	}
 	r := f.Registry.View().Runner(report.Endpoint())
--- a/transport/forward/misdirected.go
+++ b/transport/forward/misdirected.go
@@ -48,7 +48,7 @@
 // applyOwner applies a report of which process answers at an endpoint's address, and reports
 // whether that changes which record is used or how.
 func (f *Forwarder) applyOwner(report *loss.Report) bool {
-	id, owner := report.Endpoint(), report.Occupant()
+	id, owner := report.Endpoint(), report.AddressOwner()
 	var changed bool
 	switch owner {
 	case "":
--- a/transport/relay/losses.go
+++ b/transport/relay/losses.go
@@ -36,7 +36,7 @@
 	if owner == endpoint {
 		observation = protocol.LossAnswered
 	}
-	s.applyLoss(loss.NewReport(endpoint, s.Self.Name, observation, at).WithIncarnation(s.incarnationOf(endpoint)).WithOccupant(owner), "")
+	s.applyLoss(loss.NewReport(endpoint, s.Self.Name, observation, at).WithIncarnation(s.incarnationOf(endpoint)).WithAddressOwner(owner), "")
 }
 
 // incarnationOf returns the incarnation of an endpoint that this entry knows, 0 for none.
@@ -69,7 +69,7 @@
 	now := clock.Now()
 	for _, m := range messages {
 		at := now.Add(-time.Duration(m.AgoMS * float64(time.Millisecond)))
-		s.applyLoss(loss.NewReport(m.Endpoint, m.Observer, m.Observation, at).WithIncarnation(m.Incarnation).WithOccupant(m.AddressOwner), from)
+		s.applyLoss(loss.NewReport(m.Endpoint, m.Observer, m.Observation, at).WithIncarnation(m.Incarnation).WithAddressOwner(m.AddressOwner), from)
 	}
 }
 
@@ -96,7 +96,7 @@
 		r := logged.(loss.Report)
 		messages = append(messages, protocol.LossReport{
 			Endpoint: r.Endpoint(), Incarnation: r.Incarnation(), Observer: r.Observer(), Observation: r.Observation(),
-			AgoMS: max(0, milliseconds(now.Sub(r.At()))), AddressOwner: r.Occupant(),
+			AgoMS: max(0, milliseconds(now.Sub(r.At()))), AddressOwner: r.AddressOwner(),
 		})
 	}
 	return messages, last
--- a/transport/relay/losses_test.go
+++ b/transport/relay/losses_test.go
@@ -143,7 +143,7 @@
 		require.Len(t, received, len(all))
 		for name, reports := range received {
 			require.Len(t, reports, 1, name)
-			require.Equal(t, "other", reports[0].Occupant())
+			require.Equal(t, "other", reports[0].AddressOwner())
 			require.Equal(t, protocol.LossMismatch, reports[0].Observation())
 			require.Equal(t, protocol.Incarnation(7), reports[0].Incarnation())
 		}
