--- a/coordination/bound/data_center.go
+++ b/coordination/bound/data_center.go
@@ -103,7 +103,7 @@
 // layOut assigns layers to the engines as if each order had taken effect.
 func layOut(f *protocol.EngineSpec, engines []placement.Engine) []placement.Engine {
 	for range maxPlans {
-		reassignments := placement.Plan(placement.Query{Facts: f, Engines: engines})
+		reassignments := placement.Plan(placement.Query{Spec: f, Engines: engines})
 		if len(reassignments) == 0 {
 			break
 		}
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -42,7 +42,7 @@
 // Query holds everything that a plan depends on. An Urgent query asks only for what can't wait: new
 // layouts, gaps and engines that hold nothing. It asks for no improvements.
 type Query struct {
-	Facts   *protocol.EngineSpec
+	Spec    *protocol.EngineSpec
 	Engines []Engine
 	Urgent  bool
 }
@@ -50,7 +50,7 @@
 // Equal reports whether two queries have the same answer, because they agree in everything that the
 // answer depends on. It compares the facts by pointer.
 func (q *Query) Equal(other *Query) bool {
-	return q.Facts == other.Facts && q.Urgent == other.Urgent && slices.Equal(q.Engines, other.Engines)
+	return q.Spec == other.Spec && q.Urgent == other.Urgent && slices.Equal(q.Engines, other.Engines)
 }
 
 // Reassignment is the decision that an engine shall hold a span.
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -128,7 +128,7 @@
 
 func TestEveryDataCenterGetsCompleteReplica(t *testing.T) {
 	f, engines := facts(), typicalFleet()
-	apply(engines, placement.Plan(placement.Query{Facts: f, Engines: engines}))
+	apply(engines, placement.Plan(placement.Query{Spec: f, Engines: engines}))
 	requireFits(t, f, engines)
 	for _, c := range []string{"a", "b", "c"} {
 		for l, n := range holders(f, engines, c) {
@@ -141,18 +141,18 @@
 		e := placement.Evaluate(f, inDataCenter(engines, c))
 		require.Greater(t, e.RequestsPerSecond(), minimum, "%s: capacity for %.0f requests of %.1f s", c, e.Capacity(), e.RequestSeconds())
 	}
-	require.Empty(t, placement.Plan(placement.Query{Facts: f, Engines: engines}), "nothing is left to do")
+	require.Empty(t, placement.Plan(placement.Query{Spec: f, Engines: engines}), "nothing is left to do")
 }
 
 func TestLossIsRepairedWithoutMovingNeededLayers(t *testing.T) {
 	f := facts()
 	for lost := range typicalFleet() {
 		engines := typicalFleet()
-		apply(engines, placement.Plan(placement.Query{Facts: f, Engines: engines}))
+		apply(engines, placement.Plan(placement.Query{Spec: f, Engines: engines}))
 		dataCenter := engines[lost].DataCenter
 		engines = append(engines[:lost:lost], engines[lost+1:]...)
 		before := holders(f, engines, dataCenter)
-		reassignments := placement.Plan(placement.Query{Facts: f, Engines: engines})
+		reassignments := placement.Plan(placement.Query{Spec: f, Engines: engines})
 		gap := slices.Contains(before, 0)
 		if !gap {
 			require.LessOrEqual(t, len(reassignments), 1, "without a gap there is at most one improvement")
@@ -181,9 +181,9 @@
 
 func TestRestartedEngineGetsLayers(t *testing.T) {
 	f, engines := facts(), typicalFleet()
-	apply(engines, placement.Plan(placement.Query{Facts: f, Engines: engines}))
+	apply(engines, placement.Plan(placement.Query{Spec: f, Engines: engines}))
 	engines[3].Held, engines[3].Serving = protocol.Span{}, protocol.Span{}
-	reassignments := placement.Plan(placement.Query{Facts: f, Engines: engines})
+	reassignments := placement.Plan(placement.Query{Spec: f, Engines: engines})
 	require.NotEmpty(t, reassignments)
 	apply(engines, reassignments)
 	require.Positive(t, engines[3].Held.Layers())
@@ -200,9 +200,9 @@
 		{ID: "serves", DataCenter: "a", Accelerator: "t4", Held: span(0, 8), Serving: span(0, 8)},
 		{ID: "loads", DataCenter: "a", Accelerator: "t4", Held: span(0, 8)},
 	}
-	require.Empty(t, placement.Plan(placement.Query{Facts: f, Engines: engines}), "the layers would have no holder until the other engine has loaded them")
+	require.Empty(t, placement.Plan(placement.Query{Spec: f, Engines: engines}), "the layers would have no holder until the other engine has loaded them")
 	engines[1].Serving = span(0, 8)
-	reassignments := placement.Plan(placement.Query{Facts: f, Engines: engines})
+	reassignments := placement.Plan(placement.Query{Spec: f, Engines: engines})
 	require.NotEmpty(t, reassignments)
 	apply(engines, reassignments)
 	for l, n := range holders(f, engines, "a") {
@@ -227,7 +227,7 @@
 		engine("g", "l4", 33, 42), engine("h", "l4", 42, 51), engine("i", "l4", 51, 60), engine("j", "l4", 60, 69), engine("k", "l4", 69, 78),
 		engine("l", "t4", 78, 80),
 	}
-	reassignments := placement.Plan(placement.Query{Facts: f, Engines: engines})
+	reassignments := placement.Plan(placement.Query{Spec: f, Engines: engines})
 	filled := 0
 	for _, r := range reassignments {
 		require.Contains(t, []string{"b", "c", "d", "e"}, r.Engine(), "only engines whose layers have other holders")
@@ -242,7 +242,7 @@
 func TestSmallDataCentersShareReplica(t *testing.T) {
 	f := facts()
 	engines := fleet(map[string][4]int{"a": {0, 0, 4, 0}, "b": {0, 0, 5, 0}})
-	apply(engines, placement.Plan(placement.Query{Facts: f, Engines: engines}))
+	apply(engines, placement.Plan(placement.Query{Spec: f, Engines: engines}))
 	a, b := holders(f, engines, "a"), holders(f, engines, "b")
 	for l := range a {
 		require.Positive(t, a[l]+b[l])
@@ -269,7 +269,7 @@
 		}
 		for range 200 { // each plan holds at most one improvement
 			before := holdersOfReplicas(f, engines)
-			reassignments := placement.Plan(placement.Query{Facts: f, Engines: engines})
+			reassignments := placement.Plan(placement.Query{Spec: f, Engines: engines})
 			if len(reassignments) == 0 {
 				return
 			}
@@ -279,7 +279,7 @@
 				require.False(t, before[l] > 0 && n == 0 && !hasGap(f, before, l), "layer %d of %d lost its last holder", l%f.Layers, f.Layers)
 			}
 		}
-		t.Fatalf("plans never end: %v", placement.Plan(placement.Query{Facts: f, Engines: engines}))
+		t.Fatalf("plans never end: %v", placement.Plan(placement.Query{Spec: f, Engines: engines}))
 	})
 }
 
@@ -296,8 +296,8 @@
 			}
 			return engines
 		}
-		one := placement.Query{Facts: f, Engines: draw(), Urgent: rapid.Bool().Draw(t, "urgent")}
-		two := placement.Query{Facts: f, Engines: draw(), Urgent: rapid.Bool().Draw(t, "urgent")}
+		one := placement.Query{Spec: f, Engines: draw(), Urgent: rapid.Bool().Draw(t, "urgent")}
+		two := placement.Query{Spec: f, Engines: draw(), Urgent: rapid.Bool().Draw(t, "urgent")}
 		engines := slices.Clone(one.Engines)
 		plan := placement.Plan(one)
 		require.Equal(t, engines, one.Engines, "a plan changes nothing of its query")
@@ -306,7 +306,7 @@
 			require.Equal(t, plan, placement.Plan(two))
 		}
 		other := one
-		other.Facts = facts()
+		other.Spec = facts()
 		require.False(t, one.Equal(&other))
 		other = one
 		other.Urgent = !one.Urgent
@@ -325,7 +325,7 @@
 func BenchmarkReplan(b *testing.B) {
 	for _, n := range []int{4, 15, 46} {
 		engines := fleet(map[string][4]int{"a": {0, 2 * n, 4 * n, 7 * n}})
-		one := placement.Query{Facts: facts(), Engines: engines, Urgent: true}
+		one := placement.Query{Spec: facts(), Engines: engines, Urgent: true}
 		two := one
 		two.Engines = slices.Clone(engines)
 		b.Run(fmt.Sprintf("engines=%d", len(engines)), func(b *testing.B) {
@@ -350,7 +350,7 @@
 		b.Run(fmt.Sprintf("engines=%d", len(engines)), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				placement.Plan(placement.Query{Facts: facts(), Engines: engines})
+				placement.Plan(placement.Query{Spec: facts(), Engines: engines})
 			}
 		})
 	}
@@ -364,13 +364,13 @@
 	for _, n := range []int{1, 2, 4, 15, 46} {
 		engines := fleet(map[string][4]int{"a": {0, 2 * n, 4 * n, 7 * n}})
 		for range 50 {
-			apply(engines, placement.Plan(placement.Query{Facts: facts(), Engines: engines}))
+			apply(engines, placement.Plan(placement.Query{Spec: facts(), Engines: engines}))
 		}
 		for _, urgent := range []bool{false, true} {
 			b.Run(fmt.Sprintf("engines=%d/urgent=%v", len(engines), urgent), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					placement.Plan(placement.Query{Facts: facts(), Engines: engines, Urgent: urgent})
+					placement.Plan(placement.Query{Spec: facts(), Engines: engines, Urgent: urgent})
 				}
 			})
 		}
--- a/coordination/placement/pool.go
+++ b/coordination/placement/pool.go
@@ -59,14 +59,14 @@
 	var all []*pool
 	var small []Engine
 	for _, c := range centers {
-		p := newPool(q.Facts, byCenter[c])
+		p := newPool(q.Spec, byCenter[c])
 		if !p.fitsModel() {
 			small = append(small, byCenter[c]...)
 			continue
 		}
 		all = append(all, p)
 	}
-	if p := newPool(q.Facts, small); p.fitsModel() {
+	if p := newPool(q.Spec, small); p.fitsModel() {
 		all = append(all, p)
 	}
 	return all
--- a/coordination/placement/score_test.go
+++ b/coordination/placement/score_test.go
@@ -30,7 +30,7 @@
 // settle applies plans until nothing is left to do.
 func settle(t require.TestingT, f *protocol.EngineSpec, engines []placement.Engine) {
 	for range 100 {
-		reassignments := placement.Plan(placement.Query{Facts: f, Engines: engines})
+		reassignments := placement.Plan(placement.Query{Spec: f, Engines: engines})
 		if len(reassignments) == 0 {
 			return
 		}
@@ -105,14 +105,14 @@
 			engines[i].Serving = engines[i].Held
 		}
 		for range 100 {
-			reassignments := placement.Plan(placement.Query{Facts: f, Engines: engines})
+			reassignments := placement.Plan(placement.Query{Spec: f, Engines: engines})
 			if len(reassignments) == 0 {
 				return
 			}
 			before := placement.Evaluate(f, engines).Score()
 			improves := reassignments[0].Reason() == placement.ReasonImprove
 			if improves {
-				require.Empty(t, placement.Plan(placement.Query{Facts: f, Engines: engines, Urgent: true}))
+				require.Empty(t, placement.Plan(placement.Query{Spec: f, Engines: engines, Urgent: true}))
 			}
 			apply(engines, reassignments)
 			if improves {
--- a/coordination/placement/spare_test.go
+++ b/coordination/placement/spare_test.go
@@ -19,7 +19,7 @@
 		PrefillPerSecond: 200_000, LoadMS: 8000, LoadsAtOnce: 16,
 		Accelerators: []protocol.AcceleratorSpec{{Name: "l4", MemoryMB: 6000, StepFactor: 1, ReadFactor: 1}},
 	}
-	q := placement.Query{Facts: f}
+	q := placement.Query{Spec: f}
 	add := func(id string, from, to int) {
 		s := protocol.Span{From: from, To: to}
 		q.Engines = append(q.Engines, placement.Engine{ID: id, DataCenter: "a", Accelerator: "l4", Held: s, Serving: s})
--- a/transport/director/reassignments.go
+++ b/transport/director/reassignments.go
@@ -83,7 +83,7 @@
 // serviceReassignments returns the wanted reassignments of one service, except those of engines in
 // backoff.
 func (d *Director) serviceReassignments(s *protocol.RoutedService, endpoints, unrecorded []protocol.Endpoint, now time.Time, improving bool) []reassignment {
-	q := placement.Query{Facts: s.Engine, Urgent: !improving}
+	q := placement.Query{Spec: s.Engine, Urgent: !improving}
 	addresses := make(map[string]string)
 	accelerators := make(map[string]string) // of the unrecorded engines, by endpoint ID
 	for _, e := range unrecorded {
