--- a/coordination/admit/admit.go
+++ b/coordination/admit/admit.go
@@ -138,7 +138,8 @@
 	return Wait{}
 }
 
-// Finish records that a request of the team ended after running for that long.
+// Finish records that a request of the named team has ended after it ran for
+// the given time.
 func (q *Queue) Finish(name string, took time.Duration, _ time.Time) {
 	t := q.teams[name]
 	if t == nil || t.running == 0 {
--- a/coordination/admit/admit_test.go
+++ b/coordination/admit/admit_test.go
@@ -82,9 +82,9 @@
 	})
 }
 
-// longestSmallTeamWait runs a queue of capacity 1 in which a large team always has
-// waiting requests and a small team sends one every tenth slot. It returns the
-// most slots that a request of the small team waits.
+// longestSmallTeamWait runs a queue of capacity 1 in which a large team always
+// has waiting requests and a small team sends one every tenth slot. It returns
+// the largest number of slots that a request of the small team waits.
 func longestSmallTeamWait(perSlot int) int {
 	var q admit.Queue
 	q.Resize(1)
--- a/coordination/admit/limit.go
+++ b/coordination/admit/limit.go
@@ -5,8 +5,9 @@
 import "time"
 
 const (
-	// windowSamples and windowDuration are the least samples and the least time over
-	// which token gaps are averaged before the limit changes.
+	// windowSamples and windowDuration are the minimum number of samples and
+	// the minimum time over which token gaps are averaged before the limit
+	// changes.
 	windowSamples  = 50
 	windowDuration = 200 * time.Millisecond
 	// growFactor and shrinkFactor are the steps by which the limit changes.
@@ -37,8 +38,8 @@
 	return max(1, int(l.current))
 }
 
-// Observe takes one gap between tokens. Saturated says that the limit is reached:
-// only then does a short gap show that more requests could run.
+// Observe records one gap between tokens. Saturated says that the limit is
+// reached: only then does a short gap show that more requests could run.
 func (l *Limit) Observe(gap, target time.Duration, saturated bool, now time.Time) {
 	if l.samples == 0 {
 		l.since = now
--- a/coordination/admit/wait_queue_test.go
+++ b/coordination/admit/wait_queue_test.go
@@ -13,12 +13,12 @@
 	"pinerun.example/pinerun/coordination/admit"
 )
 
-var noon = time.Unix(1_800_000_000, 0)
+var baseTime = time.Unix(1_800_000_000, 0)
 
-// waiter returns a request that arrives afterMS milliseconds after noon, is late
-// 300 ms after that and of no use 1.5 s after that.
+// waiter returns a request that arrives afterMS milliseconds after baseTime.
+// Its TargetStart is 300 ms and its LatestStart 1.5 s after its arrival.
 func waiter(ticket admit.Ticket, team string, priority, afterMS int) admit.Waiter {
-	since := noon.Add(time.Duration(afterMS) * time.Millisecond)
+	since := baseTime.Add(time.Duration(afterMS) * time.Millisecond)
 	return admit.Waiter{
 		Ticket: ticket, Team: team, Priority: priority, Since: since,
 		TargetStart: since.Add(300 * time.Millisecond), LatestStart: since.Add(1500 * time.Millisecond),
@@ -50,7 +50,7 @@
 	enqueue(t, &q, waiter(2, "b", 1, 200))
 	enqueue(t, &q, waiter(3, "c", 0, 250))
 	enqueue(t, &q, waiter(4, "d", 1, 300))
-	require.Equal(t, []admit.Ticket{3, 2, 4, 1}, drain(&q, noon.Add(350*time.Millisecond)), "request 1 is past its target start")
+	require.Equal(t, []admit.Ticket{3, 2, 4, 1}, drain(&q, baseTime.Add(350*time.Millisecond)), "request 1 is past its target start")
 }
 
 func TestTeamsTakeTurns(t *testing.T) {
@@ -60,13 +60,13 @@
 	}
 	enqueue(t, &q, waiter(10, "small", 1, 50))
 	enqueue(t, &q, waiter(11, "small", 1, 60))
-	order := drain(&q, noon.Add(100*time.Millisecond))
+	order := drain(&q, baseTime.Add(100*time.Millisecond))
 	require.Equal(t, []admit.Ticket{0, 10, 1, 11, 2, 3, 4, 5}, order)
 }
 
 func TestUnreachableRequestIsRefusedWithRetryTime(t *testing.T) {
 	var q admit.WaitQueue
-	now := noon
+	now := baseTime
 	for i := range 5 { // ten dispatches a second
 		q.RecordDispatch("a", now)
 		now = now.Add(100 * time.Millisecond)
@@ -101,7 +101,7 @@
 func TestWaitQueueOnRandomRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q admit.WaitQueue
-		now := noon
+		now := baseTime
 		queued := map[admit.Ticket]int{}
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 90).Draw(t, "ms")) * time.Millisecond)
@@ -138,11 +138,11 @@
 		b.Run(fmt.Sprint("waiting=", n), func(b *testing.B) {
 			var q admit.WaitQueue
 			for i := range n {
-				q.Enqueue(waiter(admit.Ticket(i), fmt.Sprint("team-", i%10), 1, 0), noon)
+				q.Enqueue(waiter(admit.Ticket(i), fmt.Sprint("team-", i%10), 1, 0), baseTime)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				q.Peek(0, noon)
+				q.Peek(0, baseTime)
 			}
 		})
 	}
