--- a/coordination/bound/data_center.go
+++ b/coordination/bound/data_center.go
@@ -48,13 +48,14 @@
 // divided by the duration of each while all of them are open.
 func (d DataCenter) CapacityLimit() float64 { return d.capacityLimit }
 
-// PrefillLimit returns the requests a second whose prompts can be read.
+// PrefillLimit returns the requests a second whose prompts the engines can prefill.
 func (d DataCenter) PrefillLimit() float64 { return d.prefillLimit }
 
 // RequestsPerSecond returns the requests a second that both limits allow.
 func (d DataCenter) RequestsPerSecond() float64 { return min(d.capacityLimit, d.prefillLimit) }
 
-// Bottleneck returns the name of the lower limit.
+// Bottleneck returns the name of the lower limit: "room" for CapacityLimit, "reading" for
+// PrefillLimit.
 func (d DataCenter) Bottleneck() string {
 	if d.capacityLimit < d.prefillLimit {
 		return "room"
@@ -64,7 +65,7 @@
 
 // DataCenters returns the bounds of each data center, in order of name. The bounds of a data center
 // that can't hold the complete model are zero.
-func DataCenters(f *protocol.EngineSpec, engines []placement.Engine) []DataCenter {
+func DataCenters(spec *protocol.EngineSpec, engines []placement.Engine) []DataCenter {
 	byDataCenter := map[string][]placement.Engine{}
 	var names []string
 	for _, e := range engines {
@@ -76,34 +77,34 @@
 	slices.SortFunc(names, strings.Compare)
 	var all []DataCenter
 	for _, n := range names {
-		all = append(all, evaluateDataCenter(f, n, byDataCenter[n]))
+		all = append(all, evaluateDataCenter(spec, n, byDataCenter[n]))
 	}
 	return all
 }
 
-func evaluateDataCenter(f *protocol.EngineSpec, name string, engines []placement.Engine) DataCenter {
-	layout := layOut(f, slices.Clone(engines))
-	d := DataCenter{name: name, capacity: requestCapacity(f, layout), capacityAfterLoss: math.Inf(1)}
+func evaluateDataCenter(spec *protocol.EngineSpec, name string, engines []placement.Engine) DataCenter {
+	layout := layOut(spec, slices.Clone(engines))
+	d := DataCenter{name: name, capacity: requestCapacity(spec, layout), capacityAfterLoss: math.Inf(1)}
 	for _, e := range layout {
-		d.replicas += float64(e.Held.Layers()) / float64(f.Layers)
+		d.replicas += float64(e.Held.Layers()) / float64(spec.Layers)
 	}
 	for i := range layout {
 		rest := slices.Delete(slices.Clone(layout), i, i+1)
-		d.capacityAfterLoss = min(d.capacityAfterLoss, requestCapacity(f, layOut(f, rest)))
+		d.capacityAfterLoss = min(d.capacityAfterLoss, requestCapacity(spec, layOut(spec, rest)))
 	}
 	var seconds float64
-	d.stages, seconds = secondsPerToken(f, layout, d.capacity)
-	d.prefillLimit = Of(f.Layers, prefillRunners(f, layout)).Flow() / float64(f.TypicalPrompt)
+	d.stages, seconds = secondsPerToken(spec, layout, d.capacity)
+	d.prefillLimit = Of(spec.Layers, prefillRunners(spec, layout)).Flow() / float64(spec.TypicalPrompt)
 	if d.prefillLimit > 0 {
-		d.capacityLimit = d.capacity / (1/d.prefillLimit + seconds*float64(f.TypicalAnswer))
+		d.capacityLimit = d.capacity / (1/d.prefillLimit + seconds*float64(spec.TypicalAnswer))
 	}
 	return d
 }
 
 // layOut assigns layers to the engines as if each order had taken effect.
-func layOut(f *protocol.EngineSpec, engines []placement.Engine) []placement.Engine {
+func layOut(spec *protocol.EngineSpec, engines []placement.Engine) []placement.Engine {
 	for range maxPlans {
-		reassignments := placement.Plan(placement.Query{Spec: f, Engines: engines})
+		reassignments := placement.Plan(placement.Query{Spec: spec, Engines: engines})
 		if len(reassignments) == 0 {
 			break
 		}
@@ -117,29 +118,29 @@
 
 // requestCapacity returns how many requests of typical size fit beside the weights, limited by the
 // layer whose holders together have the least free memory.
-func requestCapacity(f *protocol.EngineSpec, engines []placement.Engine) float64 {
-	tokens := make([]float64, f.Layers)
+func requestCapacity(spec *protocol.EngineSpec, engines []placement.Engine) float64 {
+	tokens := make([]float64, spec.Layers)
 	for _, e := range engines {
-		a, ok := f.Accelerator(e.Accelerator)
+		a, ok := spec.Accelerator(e.Accelerator)
 		layers := float64(e.Held.Layers())
-		if !ok || layers == 0 || f.TokenLayerMB <= 0 {
+		if !ok || layers == 0 || spec.TokenLayerMB <= 0 {
 			continue
 		}
-		free := max(0, a.MemoryMB-layers*f.LayerMB) / (layers * f.TokenLayerMB)
+		free := max(0, a.MemoryMB-layers*spec.LayerMB) / (layers * spec.TokenLayerMB)
 		for l := e.Held.From; l < e.Held.To; l++ {
 			tokens[l] += free
 		}
 	}
-	return slices.Min(tokens) / float64(f.TypicalPrompt+f.TypicalAnswer)
+	return slices.Min(tokens) / float64(spec.TypicalPrompt+spec.TypicalAnswer)
 }
 
-// prefillRunners returns the engines as runners whose speed is that of reading prompts.
-func prefillRunners(f *protocol.EngineSpec, engines []placement.Engine) []protocol.Runner {
+// prefillRunners returns the engines as runners whose speed is their prefill speed.
+func prefillRunners(spec *protocol.EngineSpec, engines []placement.Engine) []protocol.Runner {
 	var all []protocol.Runner
 	for _, e := range engines {
-		if a, ok := f.Accelerator(e.Accelerator); ok && e.Held.Layers() > 0 {
+		if a, ok := spec.Accelerator(e.Accelerator); ok && e.Held.Layers() > 0 {
 			all = append(all, protocol.Runner{
-				Name: e.ID, From: e.Held.From, To: e.Held.To, Speed: f.PrefillPerSecond * float64(f.Layers) / a.ReadFactor,
+				Name: e.ID, From: e.Held.From, To: e.Held.To, Speed: spec.PrefillPerSecond * float64(spec.Layers) / a.ReadFactor,
 			})
 		}
 	}
@@ -148,23 +149,23 @@
 
 // secondsPerToken returns the number of stages on the fastest path and the duration of a token over
 // it while that many requests are open.
-func secondsPerToken(f *protocol.EngineSpec, engines []placement.Engine, open float64) (stages int, seconds float64) {
-	best := make([]float64, f.Layers+1)
-	stageCount := make([]int, f.Layers+1)
-	for l := 1; l <= f.Layers; l++ {
+func secondsPerToken(spec *protocol.EngineSpec, engines []placement.Engine, open float64) (stages int, seconds float64) {
+	best := make([]float64, spec.Layers+1)
+	stageCount := make([]int, spec.Layers+1)
+	for l := 1; l <= spec.Layers; l++ {
 		best[l] = math.Inf(1)
 		for _, e := range engines {
-			a, ok := f.Accelerator(e.Accelerator)
+			a, ok := spec.Accelerator(e.Accelerator)
 			if !ok || l <= e.Held.From || l > e.Held.To {
 				continue
 			}
 			from := e.Held.From
-			share := float64(l-from) / float64(f.Layers)
-			duration := best[from] + (f.StepMS+f.SequenceMS*open)/1000*a.StepFactor*share
+			share := float64(l-from) / float64(spec.Layers)
+			duration := best[from] + (spec.StepMS+spec.SequenceMS*open)/1000*a.StepFactor*share
 			if duration < best[l] {
 				best[l], stageCount[l] = duration, stageCount[from]+1
 			}
 		}
 	}
-	return stageCount[f.Layers], best[f.Layers]
+	return stageCount[spec.Layers], best[spec.Layers]
 }
