--- a/coordination/census/census.go
+++ b/coordination/census/census.go
@@ -45,7 +45,7 @@
 	unchangedSince time.Time // from when this entry has seen the version unchanged
 }
 
-// Observe takes all records as read at the given time.
+// Observe records the state of all records as read at the given time.
 func (c *Counter) Observe(objects []protocol.Object, now time.Time) {
 	next := make(map[string]record, len(objects))
 	for _, o := range objects {
