--- a/coordination/claim/log.go
+++ b/coordination/claim/log.go
@@ -136,8 +136,9 @@
 	}
 }
 
-// Loaded takes every slot of the shard. It reports false if the slots are inconsistent
-// because one was written during the load; then load again.
+// Loaded builds the log from every slot of the shard. It reports false if the slots are
+// inconsistent because one was written during the load. The caller must then load them
+// again.
 func (l *Log) Loaded(all []StoredSlot) bool {
 	l.index = map[protocol.ClaimKey]protocol.ClaimRecord{}
 	l.slots = map[int]slot{}
@@ -175,8 +176,8 @@
 // was lost. A read of the slot then shows what happened.
 func (l *Log) WriteUncertain() { l.inFlight, l.uncertain = 0, true }
 
-// SlotRead takes the slot of the next batch as read. Pending records that turn out to be in
-// the log get their results at once.
+// SlotRead handles the content of the next batch's slot, as read from the platform. Pending
+// records that turn out to be in the log get their results at once.
 func (l *Log) SlotRead(s StoredSlot) {
 	l.uncertain, l.refresh = false, false
 	switch {
