--- a/coordination/detect/detect.go
+++ b/coordination/detect/detect.go
@@ -4,10 +4,10 @@
 // or merely busy.
 //
 // The deadline of a reply follows what the runner has shown so far: the expected time of
-// the step, times the runner's average slowness plus several deviations of it. A runner
-// that has sent nothing since the step was sent is dead once the deadline has passed. A
-// runner that has sent other messages gets a few times longer, because its reply may be
-// queued behind others. After that the step is lost as well.
+// the step, times the runner's mean slowdown plus several deviations of it. A runner that
+// has sent nothing since the step was sent is dead once the deadline has passed. A runner
+// that has sent other messages gets a few times longer, because its reply may be queued
+// behind others. After that the step is lost as well.
 //
 //	switch d := detect.Classify(runner, step, now).(type) {
 //	case detect.Busy: // check again at d.Until()
@@ -26,7 +26,8 @@
 	maxDeviations = 6
 	// slack allows for pauses of this process and for the timers of the engine.
 	slack = 40 * time.Millisecond
-	// activeFactor is how many times longer a runner may take that still sends other messages.
+	// activeFactor is how many times longer a runner may take if it still sends other
+	// messages.
 	activeFactor = 6
 )
 
