--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -33,8 +33,8 @@
 	TTL = 3 * time.Second
 	// renewInterval is the time between renewals by the holder.
 	renewInterval = time.Second
-	// SafetyMargin is how much earlier than TTL the holder stops giving orders. It
-	// covers an order that is sent right before the end.
+	// SafetyMargin is how much earlier than TTL the holder stops giving orders.
+	// It covers an order that is sent right before the lease expires.
 	SafetyMargin = time.Second
 	// readInterval is how often entries other than the holder read the lease.
 	readInterval = 500 * time.Millisecond
@@ -116,9 +116,9 @@
 	}
 }
 
-// ObserveReport takes the state of the object as another entry reported it; version
-// 0 means that there is none. A report does not resolve an uncertain write, and a
-// report of an older version has no effect.
+// ObserveReport applies the state of the object as another entry reported it.
+// Version 0 means that the object does not exist. A report does not resolve an
+// uncertain write, and a report of an older version has no effect.
 func (l *Lease) ObserveReport(version uint64, r Record, now time.Time) {
 	l.receivesReports = true
 	if l.uncertain || l.known && version <= l.version {
@@ -142,8 +142,8 @@
 func (l *Lease) Released(version uint64) { l.committed(version) }
 
 // isHolder reports whether the last known record is this entry's own and this
-// entry has not given it up. An own record that expired is acquired again, with a
-// new epoch.
+// entry has not given the lease up. A lease of its own that has expired must be
+// acquired again, with a new epoch.
 func (l *Lease) isHolder() bool { return l.record.Holder == l.Self && !l.heldUntil.IsZero() }
 
 // renew returns the next action of the holder.
@@ -199,7 +199,8 @@
 	l.uncertain = true
 }
 
-// Observe takes the object as read; version 0 means that there is none.
+// Observe applies the state of the object as read from the platform. Version 0
+// means that the object does not exist.
 func (l *Lease) Observe(version uint64, r Record, now time.Time) {
 	l.known = true
 	l.uncertain = false
