--- a/coordination/loss/occupant_test.go
+++ b/coordination/loss/address_owner_test.go
@@ -12,25 +12,25 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-func misplaced(occupant string, ms int) loss.Report {
-	return loss.NewReport("e", "a", protocol.LossMismatch, at(ms)).WithAddressOwner(occupant)
+func misplacedReport(owner string, ms int) loss.Report {
+	return loss.NewReport("e", "a", protocol.LossMismatch, at(ms)).WithAddressOwner(owner)
 }
 
-func TestOneObserverSufficesForOccupant(t *testing.T) {
+func TestOneObserverSufficesForAddressOwner(t *testing.T) {
 	var tracker loss.Tracker
-	require.Equal(t, loss.AddressOwnerObserved{}, tracker.Apply(misplaced("other", 0), 80, at(10)))
-	require.Equal(t, loss.NoChange{}, tracker.Apply(misplaced("other", 300), 80, at(310)), "already known")
-	require.Equal(t, loss.AddressOwnerObserved{}, tracker.Apply(misplaced("third", 400), 80, at(410)))
+	require.Equal(t, loss.AddressOwnerObserved{}, tracker.Apply(misplacedReport("other", 0), 80, at(10)))
+	require.Equal(t, loss.NoChange{}, tracker.Apply(misplacedReport("other", 300), 80, at(310)), "already known")
+	require.Equal(t, loss.AddressOwnerObserved{}, tracker.Apply(misplacedReport("third", 400), 80, at(410)))
 	recovered := loss.NewReport("e", "a", protocol.LossAnswered, at(500)).WithAddressOwner("e")
 	require.Equal(t, loss.AddressOwnerObserved{}, tracker.Apply(recovered, 80, at(510)))
-	require.Equal(t, loss.NoChange{}, tracker.Apply(misplaced("third", 450), 80, at(520)), "observed before the endpoint answered itself")
-	require.Equal(t, loss.AddressOwnerObserved{}, tracker.Apply(misplaced("third", 600), 80, at(610)))
-	require.Equal(t, loss.AddressOwnerObserved{}, tracker.Apply(misplaced("third", 1700), 80, at(1710)), "observed again much later")
+	require.Equal(t, loss.NoChange{}, tracker.Apply(misplacedReport("third", 450), 80, at(520)), "observed before the endpoint answered itself")
+	require.Equal(t, loss.AddressOwnerObserved{}, tracker.Apply(misplacedReport("third", 600), 80, at(610)))
+	require.Equal(t, loss.AddressOwnerObserved{}, tracker.Apply(misplacedReport("third", 1700), 80, at(1710)), "observed again much later")
 }
 
-// TestOccupantReportsAreNotLimited: unlike a loss such a report is based on an answer, so an entry
-// that reaches no endpoint cannot make it.
-func TestOccupantReportsAreNotLimited(t *testing.T) {
+// TestAddressOwnerReportsAreNotLimited: unlike a loss, such a report is based on an answer, so an
+// entry that reaches no endpoint cannot make it.
+func TestAddressOwnerReportsAreNotLimited(t *testing.T) {
 	var tracker loss.Tracker
 	for i := range 80 {
 		r := loss.NewReport(fmt.Sprint("e", i), "a", protocol.LossMismatch, at(0))
--- a/coordination/loss/loss.go
+++ b/coordination/loss/loss.go
@@ -3,14 +3,14 @@
 // Package loss combines the reports of entries about lost endpoints.
 //
 // The platform's list drops an endpoint three heartbeats after its death. In these four seconds or
-// so each entry would run into the dead endpoint itself. So entries report to each other what they
-// observe, and a Tracker decides what the reports change:
+// so, requests of each entry would fail at the dead endpoint. So entries report to each other what
+// they observe, and a Tracker decides what the reports change:
 //
 //	switch c := tracker.Apply(report, known, now).(type) {
 //	case loss.Lost:             // send it no work until c.Until(); pass the report on
 //	case loss.Suspected:        // send it no work for a moment; pass the report on
 //	case loss.Recovered:        // it works after all; pass the report on
-//	case loss.OccupantObserved: // which process answers at its address; pass the report on
+//	case loss.AddressOwnerObserved: // which process answers at its address; pass the report on
 //	case loss.NoChange:         // already known, or not credible
 //	}
 package loss
@@ -38,12 +38,12 @@
 
 // Report is what an entry, the observer, observed at an endpoint.
 type Report struct {
-	endpoint    string
-	observer    string
-	observation protocol.LossObservation
-	at          time.Time
-	incarnation protocol.Incarnation
-	occupant    string
+	endpoint     string
+	observer     string
+	observation  protocol.LossObservation
+	at           time.Time
+	incarnation  protocol.Incarnation
+	addressOwner string
 }
 
 // NewReport returns the report of an observer.
@@ -71,8 +71,8 @@
 
 // WithAddressOwner returns the report with the ID of the process that answers at the endpoint's
 // address.
-func (r Report) WithAddressOwner(occupant string) Report {
-	r.occupant = occupant
+func (r Report) WithAddressOwner(owner string) Report {
+	r.addressOwner = owner
 	return r
 }
 
@@ -81,9 +81,9 @@
 
 // AddressOwner returns the ID of the process that answers at the endpoint's address, "" if it is not
 // known.
-func (r Report) AddressOwner() string { return r.occupant }
+func (r Report) AddressOwner() string { return r.addressOwner }
 
-// Change is what a report changes: Lost, Suspected, Recovered, OccupantObserved or NoChange.
+// Change is what a report changes: Lost, Suspected, Recovered, AddressOwnerObserved or NoChange.
 type Change interface{ change() }
 
 // Lost means that the endpoint is lost.
@@ -124,7 +124,7 @@
 	lastAnswer  time.Time       // when it last answered; disproves earlier failures
 	expires     time.Time
 	incarnation protocol.Incarnation // incarnation of the reports, 0 if it is not known
-	occupant    occupantReport
+	lastOwner   ownerReport
 }
 
 // suspected reports whether the endpoint is suspected or lost.
@@ -138,10 +138,10 @@
 	}
 	s := t.stateFor(&r)
 	if s != nil && r.incarnation.Before(s.incarnation) {
-		return NoChange{} // of an earlier incarnation
+		return NoChange{} // the report is about an earlier incarnation
 	}
-	if r.reportsOccupant() {
-		return t.applyOccupant(r, s, now)
+	if r.reportsOwner() {
+		return t.applyOwner(r, s, now)
 	}
 	if r.observation == protocol.LossAnswered {
 		return s.applyAnswer(r, now)
@@ -166,7 +166,7 @@
 	return s
 }
 
-// limitReached reports whether as many of the known endpoints are suspected or lost as may be.
+// limitReached reports whether the number of suspected and lost endpoints has reached the limit.
 func (t *Tracker) limitReached(known int) bool {
 	suspected := 0
 	for _, s := range t.endpoints {
--- a/coordination/loss/loss_test.go
+++ b/coordination/loss/loss_test.go
@@ -68,8 +68,8 @@
 	require.Equal(t, loss.Suspected{}, tracker.Apply(loss.NewReport("e", "b", protocol.LossSilent, later), 80, later))
 }
 
-// TestDisconnectedEntriesCannotMarkAllEndpointsLost: two entries that reach no endpoint report all of
-// them as refused.
+// TestDisconnectedEntriesCannotMarkAllEndpointsLost: two entries that cannot reach any endpoint
+// report that all of them refuse connections.
 func TestDisconnectedEntriesCannotMarkAllEndpointsLost(t *testing.T) {
 	var tracker loss.Tracker
 	lost := 0
