--- a/coordination/member/member.go
+++ b/coordination/member/member.go
@@ -1,9 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package member tracks the entries that one entry knows. It ranks them for shared
-// tasks and selects the peers that an entry connects to. Nothing that must be agreed
-// on depends on it: entries whose tables differ make superfluous calls but break no
-// guarantee.
+// Package member tracks the entries that one entry knows. It ranks them for shared tasks
+// and selects the peers that an entry connects to. No agreement depends on it: entries
+// whose tables differ make superfluous calls but break no guarantee.
 //
 //	var t member.Table
 //	t.Learn(listed, now)
@@ -30,7 +29,7 @@
 	RelaysPerDataCenter = 2
 	// maxFullMesh is the largest number of entries that all connect to each other.
 	maxFullMesh = 12
-	// minSuspicion is how long an unreachable entry is left out. The time doubles with each
+	// minSuspicion is how long an unreachable entry is excluded. The time doubles with each
 	// failure in a row, up to maxSuspicion.
 	minSuspicion = 5 * time.Second
 	maxSuspicion = time.Minute
@@ -52,7 +51,7 @@
 	failures     int // in a row
 }
 
-// Learn takes a list of members from the platform or from a peer. Entries that have
+// Learn applies a list of members from the platform or from a peer. Entries that have
 // neither been listed nor sent a heartbeat for forgetAfter are dropped.
 func (t *Table) Learn(listed []protocol.Member, now time.Time) {
 	if t.members == nil {
@@ -80,7 +79,7 @@
 	}
 }
 
-// Suspect leaves an entry out for a while because it could not be reached.
+// Suspect excludes an entry for a while because it could not be reached.
 func (t *Table) Suspect(name string, now time.Time) {
 	if e := t.members[name]; e != nil {
 		e.suspectUntil = now.Add(min(minSuspicion<<min(e.failures, 10), maxSuspicion))
