--- a/coordination/path/data_center_test.go
+++ b/coordination/path/data_center_test.go
@@ -17,14 +17,14 @@
 // are lost at once.
 const (
 	interruptedStreams = 130                    // open streams that ran through the lost engines
-	promptTokens       = 850                    // tokens that each stream has to read again, those that it has generated included
-	prefillTokensPerMS = 450.0                  // tokens that the paths of one data center read in a millisecond
+	promptTokens       = 850                    // tokens that each stream has to prefill again, including those that it has generated
+	prefillTokensPerMS = 450.0                  // tokens that the paths of one data center prefill in a millisecond
 	detectionDelay     = 125 * time.Millisecond // silence after which a stream resumes on another path
 	pauseTarget        = 250 * time.Millisecond // target for the pause
 )
 
-// pauses returns the pause of each stream if all resume at the same time and each data center reads
-// its prompts one after the other.
+// pauses returns the pause of each stream if all resume at the same time and each data center
+// prefills its prompts one after the other.
 func pauses(centers []string) []time.Duration {
 	busy := map[string]float64{}
 	var all []time.Duration
@@ -36,7 +36,7 @@
 }
 
 // TestResumedStreamsMeetPauseTarget counts the streams that resume within the target, when all are
-// read in the entry's data center and when they are spread over all data centers.
+// prefilled in the entry's data center and when they are spread over all data centers.
 func TestResumedStreamsMeetPauseTarget(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	centers := []string{"a", "b", "c"}
--- a/coordination/path/path.go
+++ b/coordination/path/path.go
@@ -28,8 +28,8 @@
 	// MaxLayers is the largest number of layers of a model.
 	MaxLayers = 256
 	// backlogWeight is the weight of a runner's backlog, the work that this entry's streams will
-	// still need there, relative to its expected time. A stream stays on its path, so that a queue
-	// that is short now says too little about a runner.
+	// still need there, relative to its expected time. A stream stays on its path, so a queue that
+	// is short now says too little about the runner's later load.
 	backlogWeight = 4.0
 )
 
--- a/coordination/path/path_test.go
+++ b/coordination/path/path_test.go
@@ -33,11 +33,11 @@
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
-// TestPathCoversEveryLayerOnce draws fleets, loads and policies. A path covers every layer once,
-// unless some layer can't be reached.
+// TestPathCoversEveryLayerOnce draws fleets, loads and policies. A path must cover every layer
+// once, unless some layer can't be reached.
 func TestPathCoversEveryLayerOnce(t *testing.T) {
-	var turn uint64
-	policies := []path.Policy{nil, path.LowestCost{}, path.LowestReportedLoad{}, path.Random{}, path.RoundRobin{Counter: &turn}, path.FixedPipeline{Index: &turn}}
+	var counter uint64
+	policies := []path.Policy{nil, path.LowestCost{}, path.LowestReportedLoad{}, path.Random{}, path.RoundRobin{Counter: &counter}, path.FixedPipeline{Index: &counter}}
 	rapid.Check(t, func(t *rapid.T) {
 		layers := rapid.IntRange(1, 24).Draw(t, "layers")
 		var runners []protocol.Runner
--- a/coordination/path/replace.go
+++ b/coordination/path/replace.go
@@ -47,8 +47,8 @@
 	return stage
 }
 
-// fillGap adds the cheapest stages over a gap to a path and reports whether there are any. Their
-// runners are kept from then on.
+// fillGap adds the cheapest stages over a gap to a path and reports whether there are any. From
+// then on, their runners count as runners that keep a stage.
 func (s *search) fillGap(m *fleet.Model, q *Query, gap protocol.Span, p *Path) bool {
 	begin := p.length
 	s.prepare(m, gap)
--- a/coordination/path/subspans_test.go
+++ b/coordination/path/subspans_test.go
@@ -140,8 +140,8 @@
 		var before, after path.Path
 		reached := path.ChooseSubspans(view.Model(testModel), &q, &before)
 		for i := range spans {
-			if pace := rapid.SampledFrom([]float64{1, 1, 1.5, 12, 1000}).Draw(t, "pace"); pace > 1 {
-				view.Runner(fmt.Sprint("r", i)).MarkSlow(pace, now, now.Add(time.Second))
+			if slowdown := rapid.SampledFrom([]float64{1, 1, 1.5, 12, 1000}).Draw(t, "pace"); slowdown > 1 {
+				view.Runner(fmt.Sprint("r", i)).MarkSlow(slowdown, now, now.Add(time.Second))
 			}
 		}
 		require.Equal(t, reached, path.ChooseSubspans(view.Model(testModel), &q, &after))
