--- a/coordination/placement/evaluator.go
+++ b/coordination/placement/evaluator.go
@@ -12,7 +12,7 @@
 
 // evaluator computes the score of a layout and the terms that it consists of.
 type evaluator struct {
-	facts         *protocol.EngineSpec
+	spec          *protocol.EngineSpec
 	pool          *pool
 	capacity      []float64                 // request capacity of each layer
 	byAccelerator [][]layerTotals           // totals for each accelerator and layer
@@ -38,7 +38,7 @@
 // of layouts one after the other, and reuses the memory.
 func (p *pool) sharedEvaluator() *evaluator {
 	if p.evaluator == nil || len(p.evaluator.capacity) != p.layers {
-		p.evaluator = newEvaluator(p.facts)
+		p.evaluator = newEvaluator(p.spec)
 	}
 	return p.evaluator
 }
@@ -56,24 +56,24 @@
 	return e
 }
 
-func newEvaluator(f *protocol.EngineSpec) *evaluator {
+func newEvaluator(spec *protocol.EngineSpec) *evaluator {
 	e := &evaluator{
-		facts: f, capacity: make([]float64, f.Layers),
-		byAccelerator: make([][]layerTotals, len(f.Accelerators)),
-		fastestFirst:  make([]int, len(f.Accelerators)),
-		layersFitting: make([][len(capacitySteps)]int, len(f.Accelerators)),
-		minBefore:     make([]float64, f.Layers+1), minFrom: make([]float64, f.Layers+1),
-		spareEndingAt: make([][len(capacitySteps)]int, f.Layers+1), spareBeginningAt: make([][len(capacitySteps)]int, f.Layers+1),
+		spec: spec, capacity: make([]float64, spec.Layers),
+		byAccelerator: make([][]layerTotals, len(spec.Accelerators)),
+		fastestFirst:  make([]int, len(spec.Accelerators)),
+		layersFitting: make([][len(capacitySteps)]int, len(spec.Accelerators)),
+		minBefore:     make([]float64, spec.Layers+1), minFrom: make([]float64, spec.Layers+1),
+		spareEndingAt: make([][len(capacitySteps)]int, spec.Layers+1), spareBeginningAt: make([][len(capacitySteps)]int, spec.Layers+1),
 	}
 	for k := range e.byAccelerator {
-		e.byAccelerator[k] = make([]layerTotals, f.Layers)
+		e.byAccelerator[k] = make([]layerTotals, spec.Layers)
 		e.fastestFirst[k] = k
 		for i, capacity := range capacitySteps {
-			e.layersFitting[k][i] = LayerCapacity(f, f.Accelerators[k].MemoryMB, float64((f.TypicalPrompt+f.TypicalAnswer)*capacity))
+			e.layersFitting[k][i] = LayerCapacity(spec, spec.Accelerators[k].MemoryMB, float64((spec.TypicalPrompt+spec.TypicalAnswer)*capacity))
 		}
 	}
 	slices.SortFunc(e.fastestFirst, func(a, b int) int {
-		return cmp.Compare(f.Accelerators[a].StepFactor, f.Accelerators[b].StepFactor)
+		return cmp.Compare(spec.Accelerators[a].StepFactor, spec.Accelerators[b].StepFactor)
 	})
 	return e
 }
@@ -102,11 +102,11 @@
 // the weights of its layers.
 func (e *evaluator) engineCapacity(g *group) float64 {
 	layers := float64(g.span.Layers())
-	tokens := float64(e.facts.TypicalPrompt + e.facts.TypicalAnswer)
-	if layers == 0 || e.facts.TokenLayerMB <= 0 || tokens == 0 {
+	tokens := float64(e.spec.TypicalPrompt + e.spec.TypicalAnswer)
+	if layers == 0 || e.spec.TokenLayerMB <= 0 || tokens == 0 {
 		return 0
 	}
-	capacity := (g.memoryMB - layers*e.facts.LayerMB) / (layers * e.facts.TokenLayerMB * tokens)
+	capacity := (g.memoryMB - layers*e.spec.LayerMB) / (layers * e.spec.TokenLayerMB * tokens)
 	return min(max(0, capacity), maxEngineRequests)
 }
 
@@ -116,7 +116,7 @@
 // requestSeconds returns how long a request of typical size takes while that many requests are
 // open. In each layer the fastest holders are full before slower ones take any request.
 func (e *evaluator) requestSeconds(open float64) float64 {
-	f := e.facts
+	spec := e.spec
 	perToken, perPrompt := 0.0, 0.0
 	for l := range e.capacity {
 		left := open
@@ -128,16 +128,16 @@
 			}
 			left -= requests
 			share := requests / open
-			step := f.StepMS + f.SequenceMS*requests/float64(totals.holders)
-			perToken += share * (f.Accelerators[k].StepFactor*step/float64(f.Layers) + stageOverheadMS*totals.stageShares/float64(totals.holders))
-			perPrompt += share * f.Accelerators[k].ReadFactor / float64(f.Layers)
+			step := spec.StepMS + spec.SequenceMS*requests/float64(totals.holders)
+			perToken += share * (spec.Accelerators[k].StepFactor*step/float64(spec.Layers) + stageOverheadMS*totals.stageShares/float64(totals.holders))
+			perPrompt += share * spec.Accelerators[k].ReadFactor / float64(spec.Layers)
 		}
 	}
 	prefill := 0.0
-	if f.PrefillPerSecond > 0 {
-		prefill = perPrompt * float64(f.TypicalPrompt) / f.PrefillPerSecond
+	if spec.PrefillPerSecond > 0 {
+		prefill = perPrompt * float64(spec.TypicalPrompt) / spec.PrefillPerSecond
 	}
-	return max(1e-6, perToken/1000*float64(f.TypicalAnswer)+prefill)
+	return max(1e-6, perToken/1000*float64(spec.TypicalAnswer)+prefill)
 }
 
 // scoreAfterLoss returns the score of the layout without one engine of a group. If all layers of
@@ -160,9 +160,9 @@
 	if uncovered == 0 {
 		return math.Log(max(remaining, 1) / seconds)
 	}
-	f := e.facts
+	spec := e.spec
 	repaired := min(remaining, float64(e.repairCapacity(g, uncovered)))
-	outage := (detectionSeconds + float64(uncovered)/float64(f.Layers)*f.LoadMS/1000/repairEngines) / outageWindowSeconds
+	outage := (detectionSeconds + float64(uncovered)/float64(spec.Layers)*spec.LoadMS/1000/repairEngines) / outageWindowSeconds
 	return math.Log(max(repaired*(1-min(maxOutageShare, outage)), capacity*(1-maxOutageShare)) / seconds)
 }
 
@@ -207,8 +207,8 @@
 	}
 }
 
-// addSpareLayers adds, for each capacity step, the layers that the engines of a group can take over
-// whose own layers have other holders.
+// addSpareLayers adds, for each capacity step, the layers that the engines of a group can take
+// over. The layers of the group itself must have other holders.
 func (e *evaluator) addSpareLayers(g *group) {
 	for i := range capacitySteps {
 		e.spareLayers[i] += g.engines * e.layersFitting[g.accelerator][i]
--- a/coordination/placement/improve.go
+++ b/coordination/placement/improve.go
@@ -7,7 +7,7 @@
 const (
 	// minGain is the least gain in score for which an engine is reassigned. Without it engines
 	// would be reassigned for no benefit. loadCostPerLayer is the score that each layer that has to
-	// be loaded costs. Both are parts of what the data center serves.
+	// be loaded costs. Both are fractions of the data center's throughput.
 	minGain          = 0.03
 	loadCostPerLayer = 0.001
 	// maxEvaluations limits how many spans are evaluated for one plan. An evaluation takes about 10
@@ -19,9 +19,9 @@
 )
 
 // improve returns reassignments that raise the score of a layout without gaps: those of all engines
-// that hold nothing or, once no order is pending, the single best one. It does not go on to the
-// best layout engine by engine, because that was measured to cost more than it gains: each
-// reassigned engine serves nothing for one or two seconds.
+// that hold nothing or, once no order is pending, the single best one. It does not continue engine
+// by engine to the best layout, because that costs more than it gains: each reassigned engine
+// serves nothing for one or two seconds.
 func (p *pool) improve(urgent bool) []Reassignment {
 	reassignments := p.assignEmptyEngines(urgent)
 	if len(reassignments) > 0 || urgent || p.orderPending() {
--- a/coordination/placement/layout.go
+++ b/coordination/placement/layout.go
@@ -39,7 +39,7 @@
 
 // withoutAssignments returns the pool as if no engine held anything, sorted by speed or by memory.
 func (p *pool) withoutAssignments(fastest bool) *pool {
-	t := &pool{facts: p.facts, layers: p.layers, fastestFirst: fastest, holders: make([]int, p.layers), servingHolders: p.servingHolders, evaluator: p.sharedEvaluator()}
+	t := &pool{spec: p.spec, layers: p.layers, fastestFirst: fastest, holders: make([]int, p.layers), servingHolders: p.servingHolders, evaluator: p.sharedEvaluator()}
 	t.engines = slices.Clone(p.engines)
 	t.sortEngines()
 	for i := range t.engines {
--- a/coordination/placement/placement.go
+++ b/coordination/placement/placement.go
@@ -9,7 +9,7 @@
 // engines hold layers a second time, so that the loss of an engine leaves another holder. Plan is
 // pure:
 //
-//	for _, r := range placement.Plan(placement.Query{Facts: facts, Engines: engines}) {
+//	for _, r := range placement.Plan(placement.Query{Spec: spec, Engines: engines}) {
 //		// order engine r.Engine() to hold r.Span()
 //	}
 //
@@ -48,7 +48,7 @@
 }
 
 // Equal reports whether two queries have the same answer, because they agree in everything that the
-// answer depends on. It compares the facts by pointer.
+// answer depends on. It compares the specs by pointer.
 func (q *Query) Equal(other *Query) bool {
 	return q.Spec == other.Spec && q.Urgent == other.Urgent && slices.Equal(q.Engines, other.Engines)
 }
@@ -128,10 +128,10 @@
 
 // LayerCapacity returns how many layers fit into an engine's memory together with the KV cache of
 // that many tokens.
-func LayerCapacity(f *protocol.EngineSpec, memoryMB float64, tokens float64) int {
-	perLayerMB := f.LayerMB + tokens*f.TokenLayerMB
+func LayerCapacity(spec *protocol.EngineSpec, memoryMB float64, tokens float64) int {
+	perLayerMB := spec.LayerMB + tokens*spec.TokenLayerMB
 	if perLayerMB <= 0 {
 		return 0
 	}
-	return min(f.Layers, int(math.Floor(memoryMB/perLayerMB)))
+	return min(spec.Layers, int(math.Floor(memoryMB/perLayerMB)))
 }
--- a/coordination/placement/placement_test.go
+++ b/coordination/placement/placement_test.go
@@ -15,9 +15,9 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// facts returns the figures of a typical deployment: 80 layers of 1,750 MB on four kinds of
+// typicalSpec returns the spec of a typical deployment: 80 layers of 1,750 MB on four kinds of
 // accelerators.
-func facts() *protocol.EngineSpec {
+func typicalSpec() *protocol.EngineSpec {
 	return &protocol.EngineSpec{
 		Layers: 80, LayerMB: 1750, TokenLayerMB: 0.007375, TypicalPrompt: 772, TypicalAnswer: 172,
 		StepMS: 0.85, SequenceMS: 0.0038, PrefillPerSecond: 196_000, LoadMS: 14_000,
@@ -127,7 +127,7 @@
 }
 
 func TestEveryDataCenterGetsCompleteReplica(t *testing.T) {
-	f, engines := facts(), typicalFleet()
+	f, engines := typicalSpec(), typicalFleet()
 	apply(engines, placement.Plan(placement.Query{Spec: f, Engines: engines}))
 	requireFits(t, f, engines)
 	for _, c := range []string{"a", "b", "c"} {
@@ -145,7 +145,7 @@
 }
 
 func TestLossIsRepairedWithoutMovingNeededLayers(t *testing.T) {
-	f := facts()
+	f := typicalSpec()
 	for lost := range typicalFleet() {
 		engines := typicalFleet()
 		apply(engines, placement.Plan(placement.Query{Spec: f, Engines: engines}))
@@ -180,7 +180,7 @@
 }
 
 func TestRestartedEngineGetsLayers(t *testing.T) {
-	f, engines := facts(), typicalFleet()
+	f, engines := typicalSpec(), typicalFleet()
 	apply(engines, placement.Plan(placement.Query{Spec: f, Engines: engines}))
 	engines[3].Held, engines[3].Serving = protocol.Span{}, protocol.Span{}
 	reassignments := placement.Plan(placement.Query{Spec: f, Engines: engines})
@@ -193,7 +193,7 @@
 // was only ordered to hold. No third engine can fill the gap. If the engine were reassigned at
 // once, its layers would have no holder until the other engine has loaded them.
 func TestEngineKeepsLayersUntilOtherHolderServes(t *testing.T) {
-	f := facts()
+	f := typicalSpec()
 	f.Layers = 12
 	span := func(from, to int) protocol.Span { return protocol.Span{From: from, To: to} }
 	engines := []placement.Engine{
@@ -217,7 +217,7 @@
 // engines beside the gap each took one or two layers, although other engines held only layers that
 // had another holder. One engine was left with ten layers and little request capacity.
 func TestSpareEnginesFillGap(t *testing.T) {
-	f := facts()
+	f := typicalSpec()
 	engine := func(id, accelerator string, from, to int) placement.Engine {
 		s := protocol.Span{From: from, To: to}
 		return placement.Engine{ID: id, DataCenter: "c", Accelerator: accelerator, Held: s, Serving: s}
@@ -240,7 +240,7 @@
 }
 
 func TestSmallDataCentersShareReplica(t *testing.T) {
-	f := facts()
+	f := typicalSpec()
 	engines := fleet(map[string][4]int{"a": {0, 0, 4, 0}, "b": {0, 0, 5, 0}})
 	apply(engines, placement.Plan(placement.Query{Spec: f, Engines: engines}))
 	a, b := holders(f, engines, "a"), holders(f, engines, "b")
@@ -253,7 +253,7 @@
 // more than its memory allows, no last holder gives a layer up, and the plans come to an end.
 func TestPlanOnAnyFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := facts()
+		f := typicalSpec()
 		f.Layers = rapid.IntRange(1, 120).Draw(t, "layers")
 		engines := fleet(map[string][4]int{
 			"a": {rapid.IntRange(0, 2).Draw(t, "h"), rapid.IntRange(0, 3).Draw(t, "a"), rapid.IntRange(0, 9).Draw(t, "l"), rapid.IntRange(0, 9).Draw(t, "t")},
@@ -287,7 +287,7 @@
 // equal, and each input that the plan depends on makes the query differ.
 func TestEqualQueriesHaveSamePlan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := facts()
+		f := typicalSpec()
 		draw := func() []placement.Engine {
 			engines := fleet(map[string][4]int{"a": {0, 1, 3, 3}, "b": {0, 2, 2, 2}})
 			for i := range engines {
@@ -306,7 +306,7 @@
 			require.Equal(t, plan, placement.Plan(two))
 		}
 		other := one
-		other.Spec = facts()
+		other.Spec = typicalSpec()
 		require.False(t, one.Equal(&other))
 		other = one
 		other.Urgent = !one.Urgent
@@ -325,7 +325,7 @@
 func BenchmarkReplan(b *testing.B) {
 	for _, n := range []int{4, 15, 46} {
 		engines := fleet(map[string][4]int{"a": {0, 2 * n, 4 * n, 7 * n}})
-		one := placement.Query{Spec: facts(), Engines: engines, Urgent: true}
+		one := placement.Query{Spec: typicalSpec(), Engines: engines, Urgent: true}
 		two := one
 		two.Engines = slices.Clone(engines)
 		b.Run(fmt.Sprintf("engines=%d", len(engines)), func(b *testing.B) {
@@ -350,7 +350,7 @@
 		b.Run(fmt.Sprintf("engines=%d", len(engines)), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				placement.Plan(placement.Query{Spec: facts(), Engines: engines})
+				placement.Plan(placement.Query{Spec: typicalSpec(), Engines: engines})
 			}
 		})
 	}
@@ -364,13 +364,13 @@
 	for _, n := range []int{1, 2, 4, 15, 46} {
 		engines := fleet(map[string][4]int{"a": {0, 2 * n, 4 * n, 7 * n}})
 		for range 50 {
-			apply(engines, placement.Plan(placement.Query{Spec: facts(), Engines: engines}))
+			apply(engines, placement.Plan(placement.Query{Spec: typicalSpec(), Engines: engines}))
 		}
 		for _, urgent := range []bool{false, true} {
 			b.Run(fmt.Sprintf("engines=%d/urgent=%v", len(engines), urgent), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					placement.Plan(placement.Query{Spec: facts(), Engines: engines, Urgent: urgent})
+					placement.Plan(placement.Query{Spec: typicalSpec(), Engines: engines, Urgent: urgent})
 				}
 			})
 		}
--- a/coordination/placement/pool.go
+++ b/coordination/placement/pool.go
@@ -16,7 +16,7 @@
 // pool is a set of engines that hold replicas of the model together: the engines of one data
 // center, or those of all data centers that are too small for a replica of their own.
 type pool struct {
-	facts          *protocol.EngineSpec
+	spec           *protocol.EngineSpec
 	layers         int
 	fastestFirst   bool // sort engines by speed, not by memory
 	engines        []member
@@ -30,7 +30,7 @@
 // member is an engine of a pool, with the layers that it can hold and does hold.
 type member struct {
 	id             string
-	accelerator    int // index in the accelerators of the facts
+	accelerator    int // index in the accelerators of the spec
 	memoryMB       float64
 	stepFactor     float64       // duration of a step relative to the fastest accelerator
 	capacity       int           // layers that it can hold in a new layout
@@ -74,17 +74,17 @@
 
 // newPool returns a pool of the engines with the layers that they hold. It skips engines whose
 // accelerator is unknown.
-func newPool(f *protocol.EngineSpec, engines []Engine) *pool {
+func newPool(spec *protocol.EngineSpec, engines []Engine) *pool {
 	p := &pool{
-		facts: f, layers: f.Layers, holders: make([]int, f.Layers), servingHolders: make([]int, f.Layers),
+		spec: spec, layers: spec.Layers, holders: make([]int, spec.Layers), servingHolders: make([]int, spec.Layers),
 		engines: make([]member, 0, len(engines)),
 	}
 	for _, e := range engines {
-		k := slices.IndexFunc(f.Accelerators, func(a protocol.AcceleratorSpec) bool { return a.Name == e.Accelerator })
+		k := slices.IndexFunc(spec.Accelerators, func(a protocol.AcceleratorSpec) bool { return a.Name == e.Accelerator })
 		if k < 0 {
 			continue
 		}
-		a := &f.Accelerators[k]
+		a := &spec.Accelerators[k]
 		p.engines = append(p.engines, member{
 			id: e.ID, accelerator: k, memoryMB: a.MemoryMB, stepFactor: a.StepFactor, span: e.Held, serving: e.Serving, slow: e.Slow,
 		})
@@ -111,7 +111,7 @@
 // layerCapacity returns how many layers an engine with that much memory can hold beside the KV
 // cache of that many requests of typical size.
 func (p *pool) layerCapacity(memoryMB float64, requests int) int {
-	return LayerCapacity(p.facts, memoryMB, float64((p.facts.TypicalPrompt+p.facts.TypicalAnswer)*requests))
+	return LayerCapacity(p.spec, memoryMB, float64((p.spec.TypicalPrompt+p.spec.TypicalAnswer)*requests))
 }
 
 // empty reports whether no engine holds or loads any layer.
--- a/coordination/placement/reference_test.go
+++ b/coordination/placement/reference_test.go
@@ -84,7 +84,7 @@
 		return math.Log(max(remaining, 1) / seconds)
 	}
 	repaired := min(remaining, r.repairCapacity(m, uncovered))
-	outage := (detectionSeconds + float64(uncovered)/float64(r.p.layers)*r.p.facts.LoadMS/1000/repairEngines) / outageWindowSeconds
+	outage := (detectionSeconds + float64(uncovered)/float64(r.p.layers)*r.p.spec.LoadMS/1000/repairEngines) / outageWindowSeconds
 	return math.Log(max(repaired*(1-min(maxOutageShare, outage)), capacity*(1-maxOutageShare)) / seconds)
 }
 
--- a/coordination/placement/repair.go
+++ b/coordination/placement/repair.go
@@ -178,8 +178,8 @@
 		longest = max(longest, n)
 		total += n
 	}
-	layers := max(float64(longest), float64(total)/float64(max(1, p.facts.LoadsAtOnce)))
-	return layers * p.facts.LoadMS / 1000 / float64(p.layers) / outageWindowSeconds
+	layers := max(float64(longest), float64(total)/float64(max(1, p.spec.LoadsAtOnce)))
+	return layers * p.spec.LoadMS / 1000 / float64(p.layers) / outageWindowSeconds
 }
 
 // addedLayers returns the number of layers of the span after that are not in the span before.
--- a/coordination/placement/score.go
+++ b/coordination/placement/score.go
@@ -10,8 +10,8 @@
 
 const (
 	// lossWeight is the weight of the score after the loss of one engine, relative to the score of
-	// the complete layout. Somewhere an engine is lost about every ten seconds and returns after as
-	// long, so that a data center lacks an engine a third of the time.
+	// the complete layout. In the whole fleet, an engine is lost about every ten seconds and
+	// returns ten seconds later, so that a data center lacks an engine a third of the time.
 	lossWeight = 0.35
 	// soleHolderPenalty is the score that it costs if an engine is the only holder of some layer.
 	// Every request of the data center passes that engine, so that it can't be excluded while it is
@@ -34,8 +34,8 @@
 	// maxEngineRequests limits the capacity of one engine that counts. An engine runs no more
 	// requests at once.
 	maxEngineRequests = 192
-	// stageOverheadMS is the time that each stage adds to a token: the way there and the wait for
-	// the engine's next pass.
+	// stageOverheadMS is the time that each stage adds to a token: the transfer to the engine and
+	// the wait for the engine's next pass.
 	stageOverheadMS = 0.3
 )
 
@@ -90,8 +90,8 @@
 }
 
 // Evaluate evaluates the layout of one pool of engines.
-func Evaluate(f *protocol.EngineSpec, engines []Engine) Evaluation {
-	p := newPool(f, engines)
+func Evaluate(spec *protocol.EngineSpec, engines []Engine) Evaluation {
+	p := newPool(spec, engines)
 	e := p.evaluate()
 	capacity := e.minCapacity()
 	if capacity <= 0 {
--- a/coordination/placement/score_test.go
+++ b/coordination/placement/score_test.go
@@ -14,8 +14,8 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// slowLargeFacts returns the figures of a deployment whose largest engines are not the fastest.
-func slowLargeFacts() *protocol.EngineSpec {
+// slowLargeSpec returns the spec of a deployment whose largest engines are not the fastest.
+func slowLargeSpec() *protocol.EngineSpec {
 	return &protocol.EngineSpec{
 		Layers: 80, LayerMB: 1750, TokenLayerMB: 0.007375, TypicalPrompt: 733, TypicalAnswer: 224,
 		StepMS: 1.02, SequenceMS: 0.00459, PrefillPerSecond: 164_000, LoadMS: 14_000, LoadsAtOnce: 6,
@@ -43,7 +43,7 @@
 // first and a capacity of 103 requests each, the same engines serve 44.6, 25.1 and 30.3 requests a
 // second by the same evaluation.
 func TestFasterEnginesFormPath(t *testing.T) {
-	f := slowLargeFacts()
+	f := slowLargeSpec()
 	for _, c := range []struct {
 		counts    [4]int
 		perSecond float64
@@ -59,7 +59,7 @@
 // against a plan that gives the returning engine only the single layer that is missing, for the
 // rest of the day.
 func TestReturningLargeEngineIsUsed(t *testing.T) {
-	f := slowLargeFacts()
+	f := slowLargeSpec()
 	engines := fleet(map[string][4]int{"a": {2, 4, 4}})
 	settle(t, f, engines)
 	complete := placement.Evaluate(f, engines).RequestsPerSecond()
@@ -78,7 +78,7 @@
 
 // TestFurtherHolderRaisesScore also checks that a layout with a gap has no throughput.
 func TestFurtherHolderRaisesScore(t *testing.T) {
-	f := slowLargeFacts()
+	f := slowLargeSpec()
 	f.Layers = 8
 	holds := func(id string, from, to int) placement.Engine {
 		s := protocol.Span{From: from, To: to}
@@ -96,7 +96,7 @@
 // its score, and an urgent plan contains none.
 func TestImprovementsRaiseScore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := slowLargeFacts()
+		f := slowLargeSpec()
 		f.Layers = rapid.IntRange(4, 30).Draw(t, "layers")
 		engines := fleet(map[string][4]int{"a": {1, rapid.IntRange(0, 4).Draw(t, "fast"), rapid.IntRange(1, 4).Draw(t, "slow")}})
 		for i := range engines {
