--- a/coordination/plan/intent.go
+++ b/coordination/plan/intent.go
@@ -110,7 +110,7 @@
 	return t
 }
 
-// defaultOpenLimit is the limit of open requests of a team whose intent gives none.
+// defaultOpenLimit is the limit of open requests of a team if its intent does not set one.
 const defaultOpenLimit = 100
 
 // malformed returns a refusal of an intent that can't be carried out.
@@ -242,7 +242,7 @@
 	return protocol.Team{}, false
 }
 
-// put adds a changed or new part. A part whose description stays the same is left out.
+// put adds a changed or new part. A part whose description stays the same is omitted.
 func (d *draft) put(k protocol.PartKind, name, before, after string, part any) error {
 	content, err := json.Marshal(part)
 	if err != nil {
