--- a/coordination/pressure/decision.go
+++ b/coordination/pressure/decision.go
@@ -7,7 +7,7 @@
 // Decision is what a stream does next: Continue, Pause, DropAttempt or Abort.
 type Decision interface{ decision() }
 
-// Continue means that the stream reads on from its engine.
+// Continue means that the stream continues to read from its engine.
 type Continue struct{}
 
 // Pause means that the stream stops reading from its engine for now.
--- a/coordination/pressure/pressure.go
+++ b/coordination/pressure/pressure.go
@@ -9,7 +9,7 @@
 //	evicted, ok := b.Reserve(a, n, now) // before n more bytes are held; the evicted release theirs
 //	b.Release(a, n, now)                // once the caller has read n bytes
 //	switch d := b.Decide(a, now).(type) {
-//	case pressure.Continue:    // read on from the engine
+//	case pressure.Continue:    // continue to read from the engine
 //	case pressure.Pause:       // stop reading from the engine, decide again at d.Until()
 //	case pressure.DropAttempt: // end the attempt; resume elsewhere once the caller has read all
 //	case pressure.Abort:       // abort the response
@@ -44,8 +44,8 @@
 	// so that the stream makes progress whenever its caller reads.
 	minAllowance = 4 << 10
 	// pauseTimeout is the longest time for which a resumable stream leaves its engine unread.
-	// Engines cut off after some seconds; an attempt that ends before that can still be told from a
-	// fault.
+	// Engines cut off a stream that is not read after some seconds. An attempt that this entry ends
+	// before that can still be distinguished from a fault.
 	pauseTimeout = 1500 * time.Millisecond
 	// minStall is how long a caller must have read nothing before its response may be evicted. A
 	// lost packet is retransmitted in less.
@@ -66,8 +66,8 @@
 	priority     int // 0 is the most urgent
 	resumable    bool
 	held         int64     // bytes
-	stalledSince time.Time // since when the caller has read nothing of what is held
-	pausedSince  time.Time // since when the stream has been paused, zero if it is not
+	stalledSince time.Time // time since which the caller has read nothing of what is held
+	pausedSince  time.Time // time since which the stream has been paused, zero if it is not
 	evicted      bool
 }
 
@@ -105,8 +105,8 @@
 // BodyBytes returns the number of bytes of request bodies that are held.
 func (b *Budget) BodyBytes() int64 { return b.bodyBytes }
 
-// Assign sets whose response the connection of an account carries from now on: the team, the
-// priority (0 is the most urgent), and whether a broken stream may resume elsewhere.
+// Assign sets the properties of the response that the connection of an account carries from now on:
+// the team, the priority (0 is the most urgent), and whether a broken stream may resume elsewhere.
 func (b *Budget) Assign(a *Account, team string, priority int, resumable bool) {
 	held := a.held
 	b.add(a, -held)
@@ -117,7 +117,7 @@
 // free returns the number of free bytes. It is negative after a lower limit is set.
 func (b *Budget) free() int64 { return b.effectiveLimit() - b.held - b.bodyBytes }
 
-// Reserve reserves n more bytes for an account. If needed it evicts accounts whose callers have
+// Reserve reserves n more bytes for an account. If necessary, it evicts accounts whose callers have
 // read nothing for a while, none of them more urgent than a. Evicted accounts hold nothing from
 // then on. If there are not enough free bytes it reports false and changes nothing else.
 func (b *Budget) Reserve(a *Account, n int64, now time.Time) (evicted []*Account, ok bool) {
--- a/coordination/pressure/pressure_test.go
+++ b/coordination/pressure/pressure_test.go
@@ -17,7 +17,8 @@
 
 var startTime = time.Unix(1_700_000_000, 0)
 
-// lateTime is a time at which callers have long not read what was held at startTime.
+// lateTime is long enough after startTime that the callers of accounts filled at startTime count as
+// stalled.
 var lateTime = startTime.Add(10 * time.Second)
 
 // newHoldingAccount returns an account that holds bytes since startTime.
@@ -252,8 +253,8 @@
 	}
 }
 
-// TestMoreUrgentAccountIsNotEvicted by a burst of new callers, even if no other account has stalled
-// for long.
+// TestMoreUrgentAccountIsNotEvicted: a burst of new callers does not evict a more urgent account,
+// even if no other account has stalled for long.
 func TestMoreUrgentAccountIsNotEvicted(t *testing.T) {
 	var b pressure.Budget
 	b.SetLimit(limit)
@@ -272,8 +273,8 @@
 	require.Equal(t, []*pressure.Account{urgent}, evicted)
 }
 
-// TestSteadyReaderKeepsItsAttempt: its engine is read again before it cuts the stream off, as soon
-// as less is held than the allowance.
+// TestSteadyReaderKeepsItsAttempt: once the pause is over, the stream reads from its engine again
+// as soon as it holds less than the full allowance, before the engine cuts it off.
 func TestSteadyReaderKeepsItsAttempt(t *testing.T) {
 	const share = 80 << 10
 	var b pressure.Budget
