--- a/coordination/quarantine/expire.go
+++ b/coordination/quarantine/expire.go
@@ -62,7 +62,7 @@
 	t.unlink(f, oldest)
 }
 
-// evict makes room for other work. It removes the work with the fewest crashes, and among equals
+// evict frees space for other work. It removes the work with the fewest crashes, and among equals
 // the one with the oldest failure. It removes a fixed share at once, because an outage adds
 // thousands of pieces of work.
 func (t *Tracker) evict(now time.Time) {
--- a/coordination/quarantine/isolation.go
+++ b/coordination/quarantine/isolation.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// maxIsolatedRun is how long an isolated run counts whose end is not reported. It covers the
+	// maxIsolatedRun is how long an isolated run counts if its end is not reported. It covers the
 	// wait at an engine, the prefill of the prompt and SafeAfter.
 	maxIsolatedRun = 3 * time.Second
 	// IsolationPollInterval is how often an entry checks whether waiting work may start its
--- a/coordination/quarantine/model_test.go
+++ b/coordination/quarantine/model_test.go
@@ -18,8 +18,8 @@
 	modelEndpoints = 5
 	// minRefusalCrashes is the least number of crashes for a refusal.
 	minRefusalCrashes = 3
-	// maxWait is how long work waits at most before it is checked again: an isolated run whose end
-	// was not reported.
+	// maxWait is how long work waits at most before it is checked again. The longest wait is that
+	// for an isolated run whose end was not reported.
 	maxWait = 3 * time.Second
 )
 
--- a/coordination/quarantine/probe.go
+++ b/coordination/quarantine/probe.go
@@ -35,8 +35,9 @@
 	}
 }
 
-// ClassifyAnswer classifies the answer of an endpoint that reports an incarnation. Incarnation is
-// the one to which the work was sent at a time of day. Either may be unknown.
+// ClassifyAnswer classifies an endpoint's answer to a probe by the incarnation that it reports.
+// Incarnation is the one to which the work was sent, and sentAt is the time of day at which it was
+// sent. Either incarnation may be unknown.
 func ClassifyAnswer(incarnation, reported protocol.Incarnation, sentAt time.Time) ProbeResult {
 	switch {
 	case !reported.Known():
--- a/coordination/quarantine/refusal.go
+++ b/coordination/quarantine/refusal.go
@@ -59,8 +59,9 @@
 	return all
 }
 
-// RestoreRefusal takes over a refusal from the platform's store if it holds the evidence for it:
-// records of other writers, and old ones, are ignored. It reports whether it did.
+// RestoreRefusal restores a refusal from the platform's store and reports whether it did. It
+// ignores a record that lacks the evidence for the refusal, such as one of another writer, that has
+// expired, or that lasts longer than any refusal does.
 func (t *Tracker) RestoreRefusal(f protocol.Fingerprint, r *protocol.RefusedWork, now, wall time.Time) bool {
 	remaining := time.UnixMilli(r.UntilMS).Sub(wall)
 	if countDistinct(r.Crashes) < refusalThreshold || !showsIsolatedRun(r.Crashes) || remaining <= 0 || remaining > refusalDuration<<maxRefusalDoublings {
@@ -119,8 +120,8 @@
 	}
 }
 
-// Release forgets what is known against some work, and ignores later reports of the time before. An
-// operator asks for it. It reports whether the work was refused.
+// Release clears some work at the request of an operator, and makes the tracker ignore later
+// reports about earlier failures. It reports whether the work was refused.
 func (t *Tracker) Release(f protocol.Fingerprint, now time.Time) bool {
 	w := t.works[f]
 	if w == nil || w.storedUntil.IsZero() {
--- a/coordination/quarantine/simulation_test.go
+++ b/coordination/quarantine/simulation_test.go
@@ -62,11 +62,11 @@
 	running     []*simRequest // in order of arrival
 }
 
-// simRequest is one try of a caller.
+// simRequest is one request of a caller, with all attempts of its entry.
 type simRequest struct {
 	work         protocol.Fingerprint
 	poison       bool
-	retries      int // that its caller has left
+	retries      int // how often its caller will still retry
 	entry        *simEntry
 	engine       *simEngine // where it runs, nil if it does not run
 	attempts     int
@@ -96,90 +96,90 @@
 	return last
 }
 
-func (sim *simulation) after(d time.Duration, action func()) {
-	heap.Push(&sim.events, event{at: sim.now.Add(d), order: len(sim.events), action: action})
+func (s *simulation) after(d time.Duration, action func()) {
+	heap.Push(&s.events, event{at: s.now.Add(d), order: len(s.events), action: action})
 }
 
-// between returns a random duration between two.
-func (sim *simulation) between(low, high time.Duration) time.Duration {
-	return low + time.Duration(sim.rand.Int64N(int64(high-low)))
+// between returns a random duration between low and high.
+func (s *simulation) between(low, high time.Duration) time.Duration {
+	return low + time.Duration(s.rand.Int64N(int64(high-low)))
 }
 
 // run simulates the load with a number of poison requests.
-func (sim *simulation) run(poison int) {
+func (s *simulation) run(poison int) {
 	for i := range simEntries {
-		sim.entries = append(sim.entries, &simEntry{name: fmt.Sprint("entry-", i)})
+		s.entries = append(s.entries, &simEntry{name: fmt.Sprint("entry-", i)})
 	}
 	for i := range simEngines {
-		sim.engines = append(sim.engines, &simEngine{id: fmt.Sprint("engine-", i), incarnation: 1, up: true})
+		s.engines = append(s.engines, &simEngine{id: fmt.Sprint("engine-", i), incarnation: 1, up: true})
 	}
 	for i := range int(simDuration / simArrivalInterval) {
-		sim.after(time.Duration(i)*simArrivalInterval, func() { sim.arrive(&simRequest{work: fingerprint(1000 + i), retries: 1}) })
+		s.after(time.Duration(i)*simArrivalInterval, func() { s.arrive(&simRequest{work: fingerprint(1000 + i), retries: 1}) })
 	}
 	for d := range poison {
 		for at := 5*time.Second + time.Duration(d)*300*time.Millisecond; at < simDuration; at += poisonInterval {
-			sim.after(at, func() { sim.arrive(&simRequest{work: fingerprint(d), poison: true}) })
+			s.after(at, func() { s.arrive(&simRequest{work: fingerprint(d), poison: true}) })
 		}
 	}
-	end := sim.now.Add(simDuration + simStreamDuration)
-	for len(sim.events) > 0 && sim.events[0].at.Before(end) {
-		next := heap.Pop(&sim.events).(event)
-		sim.now = next.at
+	end := s.now.Add(simDuration + simStreamDuration)
+	for len(s.events) > 0 && s.events[0].at.Before(end) {
+		next := heap.Pop(&s.events).(event)
+		s.now = next.at
 		next.action()
 	}
 }
 
 // arrive brings a request of a caller to an entry.
-func (sim *simulation) arrive(r *simRequest) {
-	r.entry = sim.entries[sim.rand.IntN(len(sim.entries))]
-	r.arrivedAt = sim.now
-	sim.dispatch(r)
+func (s *simulation) arrive(r *simRequest) {
+	r.entry = s.entries[s.rand.IntN(len(s.entries))]
+	r.arrivedAt = s.now
+	s.dispatch(r)
 }
 
 // dispatch handles a request by the status that its entry knows.
-func (sim *simulation) dispatch(r *simRequest) {
-	switch r.entry.tracker.Status(r.work, sim.now).(type) {
+func (s *simulation) dispatch(r *simRequest) {
+	switch r.entry.tracker.Status(r.work, s.now).(type) {
 	case quarantine.Refused:
 		if !r.poison {
-			sim.refused++
+			s.refused++
 		}
 		return
 	case quarantine.Waiting:
-		sim.retryLater(r)
+		s.retryLater(r)
 		return
 	case quarantine.RequireIsolation:
-		if e := sim.choose(r, true); e != nil && r.entry.tracker.MayStartIsolatedRun(sim.now, sim.rand.Float64()) {
-			sim.start(r, e)
+		if e := s.choose(r, true); e != nil && r.entry.tracker.MayStartIsolatedRun(s.now, s.rand.Float64()) {
+			s.start(r, e)
 			return
 		}
-		sim.retryLater(r)
+		s.retryLater(r)
 		return
 	}
-	if e := sim.choose(r, false); e != nil {
-		sim.start(r, e)
+	if e := s.choose(r, false); e != nil {
+		s.start(r, e)
 		return
 	}
-	sim.retryLater(r)
+	s.retryLater(r)
 }
 
 // retryLater lets a request wait for the next check, until its timeout.
-func (sim *simulation) retryLater(r *simRequest) {
-	if sim.now.Sub(r.arrivedAt) > simWaitTimeout {
-		sim.fail(r)
+func (s *simulation) retryLater(r *simRequest) {
+	if s.now.Sub(r.arrivedAt) > simWaitTimeout {
+		s.fail(r)
 		return
 	}
-	sim.after(quarantine.IsolationPollInterval, func() { sim.dispatch(r) })
+	s.after(quarantine.IsolationPollInterval, func() { s.dispatch(r) })
 }
 
 // choose returns the first engine that is up, for suspected work one that is not reserved.
-func (sim *simulation) choose(r *simRequest, isolated bool) *simEngine {
+func (s *simulation) choose(r *simRequest, isolated bool) *simEngine {
 	reserved := map[string]bool{}
-	for _, id := range r.entry.tracker.ReservedEndpoints(r.work, sim.now) {
+	for _, id := range r.entry.tracker.ReservedEndpoints(r.work, s.now) {
 		reserved[id] = true
 	}
-	_, unrestricted := r.entry.tracker.Status(r.work, sim.now).(quarantine.Unrestricted)
+	_, unrestricted := r.entry.tracker.Status(r.work, s.now).(quarantine.Unrestricted)
 	var fallback *simEngine
-	for _, e := range sim.engines {
+	for _, e := range s.engines {
 		if !e.up {
 			continue
 		}
@@ -194,43 +194,43 @@
 	return fallback
 }
 
-func (sim *simulation) start(r *simRequest, e *simEngine) {
+func (s *simulation) start(r *simRequest, e *simEngine) {
 	r.engine, r.firstEventAt = e, time.Time{}
 	r.attempts++
 	e.running = append(e.running, r)
-	switch r.entry.tracker.Status(r.work, sim.now).(type) {
+	switch r.entry.tracker.Status(r.work, s.now).(type) {
 	case quarantine.PreferIsolation, quarantine.RequireIsolation:
 		r.isolated = true
-		sim.broadcast(r, protocol.WorkIsolatedRun)
+		s.broadcast(r, protocol.WorkIsolatedRun)
 	}
 	incarnation, attempts := e.incarnation, r.attempts
 	running := func() bool { return r.engine == e && e.incarnation == incarnation && r.attempts == attempts }
 	if r.poison {
-		sim.after(sim.between(80*time.Millisecond, 250*time.Millisecond), func() {
+		s.after(s.between(80*time.Millisecond, 250*time.Millisecond), func() {
 			if running() {
-				sim.crashes++
-				sim.crash(e)
+				s.crashes++
+				s.crash(e)
 			}
 		})
 		return
 	}
-	sim.after(sim.between(80*time.Millisecond, 250*time.Millisecond), func() {
+	s.after(s.between(80*time.Millisecond, 250*time.Millisecond), func() {
 		if !running() {
 			return
 		}
-		r.firstEventAt = sim.now
-		sim.after(quarantine.SafeAfter, func() {
+		r.firstEventAt = s.now
+		s.after(quarantine.SafeAfter, func() {
 			if !running() {
 				return
 			}
-			sim.endIsolatedRun(r)
-			if _, unrestricted := r.entry.tracker.Status(r.work, sim.now).(quarantine.Unrestricted); !unrestricted {
-				sim.broadcast(r, protocol.WorkRan)
+			s.endIsolatedRun(r)
+			if _, unrestricted := r.entry.tracker.Status(r.work, s.now).(quarantine.Unrestricted); !unrestricted {
+				s.broadcast(r, protocol.WorkRan)
 			}
 		})
-		sim.after(simStreamDuration, func() {
+		s.after(simStreamDuration, func() {
 			if running() {
-				sim.served++
+				s.served++
 				e.running = slices.DeleteFunc(e.running, func(other *simRequest) bool { return other == r })
 			}
 		})
@@ -238,64 +238,64 @@
 }
 
 // crash crashes an engine with all its requests, and restarts it later.
-func (sim *simulation) crash(e *simEngine) {
+func (s *simulation) crash(e *simEngine) {
 	incarnation := e.incarnation
-	at := sim.now
+	at := s.now
 	e.up = false
-	for _, n := range sim.entries {
-		sim.after(sim.between(time.Millisecond, 15*time.Millisecond), func() { n.tracker.RecordCrash(e.id, incarnation, at) })
+	for _, n := range s.entries {
+		s.after(s.between(time.Millisecond, 15*time.Millisecond), func() { n.tracker.RecordCrash(e.id, incarnation, at) })
 	}
 	failed := e.running
 	e.running = nil
 	for _, r := range failed {
-		if r.firstEventAt.IsZero() || sim.now.Sub(r.firstEventAt) <= quarantine.SafeAfter {
-			sim.broadcast(r, protocol.WorkBroke)
+		if r.firstEventAt.IsZero() || s.now.Sub(r.firstEventAt) <= quarantine.SafeAfter {
+			s.broadcast(r, protocol.WorkBroke)
 		}
-		sim.endIsolatedRun(r)
-		r.engine, r.arrivedAt = nil, sim.now
+		s.endIsolatedRun(r)
+		r.engine, r.arrivedAt = nil, s.now
 		if r.attempts >= simMaxAttempts {
-			sim.fail(r)
+			s.fail(r)
 			continue
 		}
-		sim.after(sim.between(time.Millisecond, 5*time.Millisecond), func() { sim.dispatch(r) })
+		s.after(s.between(time.Millisecond, 5*time.Millisecond), func() { s.dispatch(r) })
 	}
-	sim.after(simRestartTime, func() { e.incarnation, e.up = incarnation+1, true })
+	s.after(simRestartTime, func() { e.incarnation, e.up = incarnation+1, true })
 }
 
-// fail ends a try; its caller may come again.
-func (sim *simulation) fail(r *simRequest) {
+// fail ends a request; its caller may retry.
+func (s *simulation) fail(r *simRequest) {
 	switch {
 	case r.poison:
 	case r.retries > 0:
-		sim.after(sim.between(200*time.Millisecond, 1500*time.Millisecond), func() {
-			sim.arrive(&simRequest{work: r.work, retries: r.retries - 1})
+		s.after(s.between(200*time.Millisecond, 1500*time.Millisecond), func() {
+			s.arrive(&simRequest{work: r.work, retries: r.retries - 1})
 		})
 	default:
-		sim.failed++
+		s.failed++
 	}
 }
 
-func (sim *simulation) endIsolatedRun(r *simRequest) {
+func (s *simulation) endIsolatedRun(r *simRequest) {
 	if r.isolated {
 		r.isolated = false
-		sim.broadcast(r, protocol.WorkIsolatedRunOver)
+		s.broadcast(r, protocol.WorkIsolatedRunOver)
 	}
 }
 
-func (sim *simulation) report(r *simRequest, observation protocol.WorkObservation) quarantine.Report {
+func (s *simulation) report(r *simRequest, observation protocol.WorkObservation) quarantine.Report {
 	return quarantine.NewReport(protocol.WorkReport{
 		Work: r.work, Endpoint: r.engine.id, Incarnation: r.engine.incarnation, Observer: r.entry.name, Observation: observation,
-	}, sim.now)
+	}, s.now)
 }
 
 // broadcast applies an observation at its entry and sends it to the others, which takes some
 // milliseconds.
-func (sim *simulation) broadcast(r *simRequest, observation protocol.WorkObservation) {
-	report := sim.report(r, observation)
-	r.entry.tracker.Apply(report, sim.now)
-	for _, n := range sim.entries {
+func (s *simulation) broadcast(r *simRequest, observation protocol.WorkObservation) {
+	report := s.report(r, observation)
+	r.entry.tracker.Apply(report, s.now)
+	for _, n := range s.entries {
 		if n != r.entry {
-			sim.after(sim.between(time.Millisecond, 20*time.Millisecond), func() { n.tracker.Apply(report, sim.now) })
+			s.after(s.between(time.Millisecond, 20*time.Millisecond), func() { n.tracker.Apply(report, s.now) })
 		}
 	}
 }
--- a/coordination/quarantine/tracker.go
+++ b/coordination/quarantine/tracker.go
@@ -11,11 +11,11 @@
 const (
 	// SafeAfter is the time after its first event from which work no longer counts as the cause of
 	// a crash. Requests that crashed an engine did so as they started to run, 0.01 to 0.11 s after
-	// that and before any event. Streams that have run for longer only happen to be there, and are
-	// most of what fails in a crash; other suspected work need not avoid them.
+	// that and before any event. Streams that have run for longer are most of what fails in a
+	// crash, but they do not cause it; other suspected work need not avoid them.
 	SafeAfter = 200 * time.Millisecond
-	// refusalThreshold is the number of crashes from which work is refused. One or two can be
-	// chance, because failed requests are sent again to the same few engines.
+	// refusalThreshold is the number of crashes from which work is refused. One or two may be a
+	// coincidence, because failed requests are sent again to the same few engines.
 	refusalThreshold = 3
 	// sharedRefusalThreshold is the number of crashes from which work is refused even if other work
 	// was involved in all of them too. Work runs in isolation from its second crash on, so it gets
@@ -53,8 +53,8 @@
 	// work.
 	refusalDuration     = 10 * time.Minute
 	maxRefusalDoublings = 7
-	// Retention is how long a crash counts that has not led to a refusal, and how long a refusal is
-	// remembered after it has expired.
+	// Retention is how long a crash counts if it has not led to a refusal, and how long a refusal
+	// is remembered after it has expired.
 	Retention = time.Hour
 	// maxWorks limits the work that is remembered, at some 1,000 bytes each. An outage of a data
 	// center crashes some hundred endpoints, each with a few new pieces of work.
@@ -124,7 +124,7 @@
 func (t *Tracker) recordFailure(r *Report, now time.Time) bool {
 	w := t.works[r.work]
 	if w != nil {
-		if _, fail := w.failures[r.crashID()]; fail || !r.at.After(w.clearedAt) {
+		if _, known := w.failures[r.crashID()]; known || !r.at.After(w.clearedAt) {
 			return false
 		}
 	}
@@ -182,7 +182,7 @@
 	w.storedUntil, w.reported = time.Time{}, false
 }
 
-// unlink removes work from a crash.
+// unlink removes work from the set of work that failed in a crash.
 func (t *Tracker) unlink(f protocol.Fingerprint, id crashID) {
 	delete(t.crashes[id], f)
 	if len(t.crashes[id]) == 0 {
--- a/coordination/quarantine/unresolved.go
+++ b/coordination/quarantine/unresolved.go
@@ -21,7 +21,7 @@
 
 // RecordAnswer records that an endpoint answered a probe that was sent at a time. If it is in the
 // same incarnation, earlier failures there had another cause. Otherwise it may be in the next
-// incarnation, whose record will show the crash; work need not wait for that.
+// incarnation, whose record will show the crash, and the work need not wait for that.
 func (t *Tracker) RecordAnswer(endpoint string, incarnation protocol.Incarnation, same bool, probedAt time.Time) {
 	id := crashID{endpoint: endpoint, incarnation: incarnation}
 	for f := range t.crashes[id] {
