--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -6,7 +6,7 @@
 // All entries rank each other in the same way. Each entry follows the first entry ranked before it
 // that it can reach, and prefers those of its own data center. An entry that reaches none asks the
 // platform itself. Correctness does not depend on a common ranking: entries that differ about it
-// cause more calls but break no guarantee. Entries never follow each other in a circle, since each
+// cause more calls but break no guarantee. Entries never follow each other in a cycle, since each
 // follows only entries ranked before it.
 //
 //	for _, r := range relay.Candidates(self, records) { ... } // entries to follow, in order
@@ -30,8 +30,8 @@
 const (
 	// MaxConfirmationAge is the largest age of a peer's confirmation that is trusted. Where every
 	// entry reaches the platform, a new routing table must be in force two seconds after it was
-	// accepted. An entry must find out within half of that time what a peer misses that is cut off
-	// from the platform.
+	// accepted. Within half of that time, an entry must learn of changes that its peer has missed
+	// because the peer is cut off from the platform.
 	MaxConfirmationAge = time.Second
 	// MinTrustExtension is how much longer an entry without followers trusts its peer at least. The
 	// extension is random for each entry. The peer itself asks after MaxConfirmationAge and passes
@@ -133,8 +133,8 @@
 // Query holds everything that the decision about a peer's answer depends on.
 type Query struct {
 	Now time.Time
-	// ConfirmedAt is a time at which the peer had all that the platform held. It is zero if the
-	// peer could not confirm.
+	// ConfirmedAt is a time at which the peer had every change that the platform held. It is zero
+	// if the peer could not confirm.
 	ConfirmedAt time.Time
 	// LastConfirmedAt is the last confirmation that this entry had from any source.
 	LastConfirmedAt time.Time
@@ -218,20 +218,20 @@
 }
 
 // nextSharedAskAt is nextAskAt for entries that share the calls. It spreads the first call of each
-// entry over one interval, beginning at the time when the entry lost touch with the platform.
+// entry over one interval, beginning at the time when the entry lost contact with the platform.
 func (q *Query) nextSharedAskAt() time.Time {
 	interval := AskBackoffInterval * time.Duration(q.FallbackCallers) / maxCallers
-	lostTouchAt := q.FollowedAt
+	lostContactAt := q.FollowedAt
 	for _, at := range []time.Time{q.ConfirmedAt, q.LastConfirmedAt} {
-		if at.After(lostTouchAt) {
-			lostTouchAt = at
+		if at.After(lostContactAt) {
+			lostContactAt = at
 		}
 	}
-	if q.AskedAt.After(lostTouchAt) {
+	if q.AskedAt.After(lostContactAt) {
 		return q.AskedAt.Add(interval)
 	}
 	maxDelay := min(interval, maxFirstAskDelay)
-	return lostTouchAt.Add(MaxConfirmationAge + time.Duration(q.Jitter*float64(maxDelay)))
+	return lostContactAt.Add(MaxConfirmationAge + time.Duration(q.Jitter*float64(maxDelay)))
 }
 
 // ShouldLeave reports whether to leave a peer that could not confirm, now that the platform has
--- a/coordination/relay/relay_test.go
+++ b/coordination/relay/relay_test.go
@@ -25,8 +25,8 @@
 	return all
 }
 
-// TestEntriesDontFollowInCircle draws entries that each know some of the others.
-func TestEntriesDontFollowInCircle(t *testing.T) {
+// TestEntriesDontFollowInCycle draws entries that each know some of the others.
+func TestEntriesDontFollowInCycle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := records(rapid.IntRange(1, 20).Draw(t, "entries"))
 		follows := map[string]string{}
@@ -50,7 +50,7 @@
 			for range len(all) {
 				at = follows[at]
 			}
-			require.Empty(t, at, "%s follows in a circle", m.Name)
+			require.Empty(t, at, "%s follows in a cycle", m.Name)
 		}
 	})
 }
