--- a/coordination/reroute/reroute.go
+++ b/coordination/reroute/reroute.go
@@ -28,7 +28,7 @@
 	// the new stages: a connection and an answer.
 	orderOverheadSeconds = 0.005
 	// resendOverheadSeconds is the cost of another attempt apart from its work. An attempt uses a
-	// budget that all requests share, and prompts that are read again completely delay other
+	// budget that all requests share, and complete prompts that are prefilled again delay other
 	// requests. Streams whose path was changed paused for 127 ms in the median, streams that were
 	// resent for 226 ms (64 and 450 streams in the logs of 36 entries over 42 s, with 98 engines of
 	// which a sixth was lost three times).
@@ -43,8 +43,8 @@
 type Query struct {
 	Path path.Path       // path that the request runs over
 	Lost []*fleet.Runner // lost runners of that path
-	// Tokens is how many tokens were read and generated so far, and RemainingTokens is how many are
-	// still expected to be generated.
+	// Tokens is how many tokens were prefilled and generated so far, and RemainingTokens is how
+	// many are still expected to be generated.
 	Tokens          int
 	RemainingTokens int
 	// Alternative is the path over which the request may be sent again, or nil.
@@ -79,10 +79,10 @@
 func (Resend) decision()  {}
 func (Wait) decision()    {}
 
-// Choose decides by the remaining work until the answer is complete: to read again the tokens read
-// and generated so far, at the new stages only or at all stages of another path, and to generate
-// the rest. It searches the models in order for runners of the lost layers. A path whose first
-// stage is lost can't be changed, because no engine is left that could be ordered to change it.
+// Choose decides by the remaining work until the answer is complete: to prefill again the tokens
+// processed so far, at the new stages only or at all stages of another path, and to generate the
+// rest. It searches the models in order for runners of the lost layers. A path whose first stage is
+// lost can't be changed, because no engine is left that could be ordered to change it.
 func Choose(models []*fleet.Model, q *Query) Decision {
 	change := &Change{}
 	if slices.Contains(q.Lost, q.Path.Runner(0)) || !replace(models, q, &change.path) {
@@ -136,8 +136,8 @@
 	return true
 }
 
-// prefillSeconds returns how long the stages of a path need to read the tokens so far. Stages that
-// are also in the path done, which has read the tokens already, need no time.
+// prefillSeconds returns how long the stages of a path need to prefill the tokens processed so far.
+// Stages that are also in the path done, which has processed these tokens already, need no time.
 func prefillSeconds(p *path.Path, q *Query, done *path.Path) float64 {
 	seconds := 0.0
 	for i := range p.Len() {
--- a/coordination/reroute/tracker.go
+++ b/coordination/reroute/tracker.go
@@ -12,8 +12,8 @@
 
 const (
 	// maxOrders is how often a change of the path of one attempt is ordered. Each change makes a
-	// stage read all tokens so far, and a caller that would wait for a third change is better
-	// served by another path.
+	// stage prefill all tokens processed so far, and a caller that would wait for a third change is
+	// better served by another path.
 	maxOrders = 2
 	// queryDelay is how long to wait for the effect of an unanswered order before the first engine
 	// is asked. An engine that took the order sends the next event within tens of milliseconds, and
