--- a/coordination/retry/retry.go
+++ b/coordination/retry/retry.go
@@ -23,8 +23,8 @@
 const (
 	// retryRatio is how many retries each first attempt adds to the credit.
 	retryRatio = 0.2
-	// maxCredit bounds the credit, so that a long time without failures can't pay for a burst
-	// of retries.
+	// maxCredit bounds the credit, so that a long time without failures does not allow a
+	// large burst of retries.
 	maxCredit = 100
 	// initialCredit is the credit of a new budget.
 	initialCredit = 20
@@ -35,9 +35,9 @@
 	maxBackoff = 200 * time.Millisecond
 )
 
-// Budget counts the retries that first attempts have paid for. The zero value is a new
-// budget. It is not safe for concurrent use. See WindowBudget for a bound that the platform
-// sets.
+// Budget counts the retries against the credit that first attempts have added. The zero
+// value is a new budget. It is not safe for concurrent use. See WindowBudget for a bound
+// that the platform sets.
 type Budget struct {
 	spent float64
 }
--- a/coordination/retry/window.go
+++ b/coordination/retry/window.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-// slotDuration is the time whose attempts are counted together: a fortieth of the ten
-// seconds over which the platform counts.
+// slotDuration is the length of a slot, in which attempts are counted together: a fortieth
+// of the ten seconds over which the platform counts.
 const slotDuration = 250 * time.Millisecond
 
 // WindowBudget is a retry budget under a platform that bounds the retries of any span of a
