--- a/coordination/slow/simulation_test.go
+++ b/coordination/slow/simulation_test.go
@@ -51,50 +51,50 @@
 	return sim
 }
 
-func (sim *simulation) slowdown(name string, at time.Time) float64 {
-	if sim.slow[name] && !at.Before(sim.slowFrom) && at.Before(sim.slowUntil) {
+func (s *simulation) slowdown(name string, at time.Time) float64 {
+	if s.slow[name] && !at.Before(s.slowFrom) && at.Before(s.slowUntil) {
 		return simSlowdown
 	}
 	return 1
 }
 
 // serve runs a request on a chosen path and returns how long it took.
-func (sim *simulation) serve(now time.Time, random *rand.Rand) time.Duration {
+func (s *simulation) serve(now time.Time, random *rand.Rand) time.Duration {
 	q := path.Query{Now: now, Positions: 1, OutputTokens: 100, Entries: 1, Rand: random}
 	var chosen path.Path
-	if path.ChooseSubspans(sim.view.Model("m"), &q, &chosen) >= 0 {
+	if path.ChooseSubspans(s.view.Model("m"), &q, &chosen) >= 0 {
 		panic("a layer has no runner")
 	}
 	done := now
 	for i := range chosen.Len() {
 		name := chosen.Runner(i).Name()
 		begin := done
-		if sim.idleAt[name].After(begin) {
-			begin = sim.idleAt[name]
+		if s.idleAt[name].After(begin) {
+			begin = s.idleAt[name]
 		}
-		done = begin.Add(time.Duration(float64(stageTime) * sim.slowdown(name, now)))
-		sim.idleAt[name] = done
+		done = begin.Add(time.Duration(float64(stageTime) * s.slowdown(name, now)))
+		s.idleAt[name] = done
 	}
-	if sim.detects && done.Sub(now) > 18*simStages*stageTime/10 {
-		sim.probePath(&chosen, now.Add(18*simStages*stageTime/10))
+	if s.detects && done.Sub(now) > 18*simStages*stageTime/10 {
+		s.probePath(&chosen, now.Add(18*simStages*stageTime/10))
 	}
 	return done.Sub(now)
 }
 
 // probePath probes the engines of a path on which a request is late.
-func (sim *simulation) probePath(late *path.Path, now time.Time) {
+func (s *simulation) probePath(late *path.Path, now time.Time) {
 	for i := range late.Len() {
-		sim.probe(late.Runner(i), now)
+		s.probe(late.Runner(i), now)
 	}
 }
 
-func (sim *simulation) probe(r *fleet.Runner, now time.Time) {
-	sim.probes++
-	sim.lastNumber++
+func (s *simulation) probe(r *fleet.Runner, now time.Time) {
+	s.probes++
+	s.lastNumber++
 	report := slow.NewReport(protocol.SlownessReport{
-		Endpoint: r.Name(), Observer: "one", Number: sim.lastNumber, Observation: protocol.SlowReported, Slowdown: sim.slowdown(r.Name(), now.Add(-reportDelay)),
+		Endpoint: r.Name(), Observer: "one", Number: s.lastNumber, Observation: protocol.SlowReported, Slowdown: s.slowdown(r.Name(), now.Add(-reportDelay)),
 	}, now.Add(-reportDelay))
-	switch change := sim.tracker.Apply(report, now).(type) {
+	switch change := s.tracker.Apply(report, now).(type) {
 	case slow.Slow:
 		r.MarkSlow(change.Slowdown(), change.Since(), change.Until())
 	case slow.Recovered:
@@ -103,25 +103,25 @@
 }
 
 // probeSlow probes the engines that are slow.
-func (sim *simulation) probeSlow(now time.Time) {
-	for _, r := range sim.view.Runners() {
+func (s *simulation) probeSlow(now time.Time) {
+	for _, r := range s.view.Runners() {
 		if r.IsSlow(now) {
-			sim.probe(r, now)
+			s.probe(r, now)
 		}
 	}
 }
 
 // lateShare simulates 40 calls a second for 14 s. It returns the share of late calls while engines
 // are slow, from a second after the slowness began, and the share after the slowness ended.
-func (sim *simulation) lateShare() (during, after float64) {
+func (s *simulation) lateShare() (during, after float64) {
 	random := rand.New(rand.NewPCG(1, 2))
 	var late, calls [2]float64
 	for ms := 0; ms < 14_000; ms += 25 {
 		now := at(ms)
 		if ms%500 == 0 {
-			sim.probeSlow(now)
+			s.probeSlow(now)
 		}
-		took := sim.serve(now, random)
+		took := s.serve(now, random)
 		phase := 0
 		switch {
 		case ms >= 12_000:
--- a/coordination/slow/slow.go
+++ b/coordination/slow/slow.go
@@ -30,7 +30,7 @@
 	// such reports may be lost before the first one expires.
 	renewInterval = time.Second
 	// minSlowTime is the least time for which an endpoint is slow. It limits how often all entries
-	// turn away from an endpoint and back at the same time.
+	// at once stop and resume using an endpoint.
 	minSlowTime = time.Second
 	// reportedSlowThreshold and reportedNormalThreshold are the slowdowns reported by the endpoint
 	// itself from which it becomes slow and below which it becomes normal. A slowdown between them
@@ -115,7 +115,7 @@
 	since, until time.Time
 }
 
-// Slowdown returns how many times longer than usual its work takes.
+// Slowdown returns how many times longer than typical its work takes.
 func (s Slow) Slowdown() float64 { return s.slowdown }
 
 // Since returns when the endpoint became slow.
--- a/coordination/slow/slow_test.go
+++ b/coordination/slow/slow_test.go
@@ -135,7 +135,7 @@
 }
 
 // TestSlownessLastsAtLeastMinimum applies random reports of several observers. An endpoint stays
-// slow for at least a second within one incarnation, so entries turn away from it and back at most
+// slow for at least a second within one incarnation, so entries stop and resume using it at most
 // once a second. An endpoint becomes slow only by a report that shows it.
 func TestSlownessLastsAtLeastMinimum(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
