--- a/coordination/stream/decision.go
+++ b/coordination/stream/decision.go
@@ -26,8 +26,8 @@
 // LayerPasses returns the number of layer passes in the step.
 func (d *Dispatch) LayerPasses() int64 { return int64(d.step.Count * d.step.Span.Layers()) }
 
-// Dispatches holds up to two steps: the next chunk of the stage that replied, and the passed-on
-// chunk for the stage after it.
+// Dispatches holds up to two steps: the next chunk for the stage that replied, and the chunk that
+// it passes on to the stage after it.
 type Dispatches struct {
 	count int
 	steps [2]Dispatch
@@ -65,7 +65,7 @@
 // Ignore means that the reply does not count.
 type Ignore struct{}
 
-// Restart means that the path failed and that the request must begin again on another one.
+// Restart means that the path failed and that the request must start over on another one.
 type Restart struct {
 	reason metric.Reason
 	runner *fleet.Runner
