--- a/state/addrowner/address_state.go
+++ b/state/addrowner/address_state.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// claim is a Claim with its evidence.
+// claim is a Claim with the evidence for it.
 type claim struct {
 	Claim
 
@@ -75,8 +75,9 @@
 	return nil
 }
 
-// owner returns the claim with the strongest evidence, whether or not it still has a record.
-// So a superseded record does not come back into use when the record of the owner goes.
+// owner returns the claim with the strongest evidence, whether or not it still has a
+// record. So a superseded record does not come back into use when the record of the owner
+// is removed.
 func (s *addressState) owner() *claim {
 	if len(s.claims) == 1 {
 		return s.claims[0]
--- a/state/addrowner/addrowner.go
+++ b/state/addrowner/addrowner.go
@@ -28,12 +28,12 @@
 	"pinerun.example/pinerun/protocol"
 )
 
-// Retention is how long a claim counts after its record has gone. A write that got no
+// Retention is how long a claim counts after its record was removed. A write that got no
 // response may take effect seconds later and bring the record back.
 const Retention = time.Minute
 
 // ProbeInterval is the least time between two probes of an address. It bounds how long a
-// running endpoint is left out because its record looked like that of an earlier process.
+// running endpoint is excluded because its record looked like that of an earlier process.
 const ProbeInterval = time.Second
 
 // Claim is the claim of a record to an address.
@@ -57,9 +57,9 @@
 // removedClaim is a claim without a record.
 type removedClaim struct{ endpoint, address string }
 
-// NextBatch begins a new list or change, whose records count as later than those before.
-// Records of one list belong to one batch, because the order in which they were written is
-// not known.
+// NextBatch begins a new list or change. Its records count as seen later than those of
+// earlier batches. Records of one list belong to one batch, because the order in which they
+// were written is not known.
 func (t *Tracker) NextBatch() { t.batch++ }
 
 // Record applies one record. A record without an address counts as the only one at an
@@ -92,7 +92,7 @@
 	t.addressOf[update.Endpoint] = update.Address
 }
 
-// RecordRemoved notes that a record is gone.
+// RecordRemoved notes that the record of an endpoint was removed.
 func (t *Tracker) RecordRemoved(endpoint string, now time.Time) {
 	if c := t.claimOf(endpoint); c != nil && c.recorded {
 		c.recorded = false
@@ -166,32 +166,32 @@
 	return 0
 }
 
-// ProbeDue reports whether to probe the address of an endpoint for its owner now, and notes
-// that it is probed. A probe is due if several records name the address and no process has
-// answered since the last of them came, or if none of the records is in use. For the
-// duration of patience, probing is left to other entries.
-func (t *Tracker) ProbeDue(endpoint string, patience time.Duration, now time.Time) bool {
+// ProbeDue reports whether to probe the address of an endpoint for its owner now. If so, it
+// notes that the address is probed. A probe is due if several records name the address and
+// no process has answered since the last of them appeared, or if none of the records is in
+// use. For the duration of grace, probing is left to other entries.
+func (t *Tracker) ProbeDue(endpoint string, grace time.Duration, now time.Time) bool {
 	s := t.addresses[t.addressOf[endpoint]]
-	if s == nil || !s.needsProbe(now) || now.Before(s.changedAt.Add(patience)) || now.Before(s.probedAt.Add(patience)) {
+	if s == nil || !s.needsProbe(now) || now.Before(s.changedAt.Add(grace)) || now.Before(s.probedAt.Add(grace)) {
 		return false
 	}
 	s.probedAt = now
 	return true
 }
 
-// MayProbe reports whether the address of an endpoint may be probed again, whatever is known
-// of it: the last probe was ProbeInterval ago, or patience if that is longer. It notes that
-// the address is probed.
-func (t *Tracker) MayProbe(endpoint string, patience time.Duration, now time.Time) bool {
+// MayProbe reports whether the address of an endpoint may be probed again, whatever is
+// known of it. It may be if the last probe was at least ProbeInterval ago, or grace if that
+// is longer. If so, MayProbe notes that the address is probed.
+func (t *Tracker) MayProbe(endpoint string, grace time.Duration, now time.Time) bool {
 	s := t.addresses[t.addressOf[endpoint]]
-	if s == nil || now.Before(s.probedAt.Add(max(ProbeInterval, patience))) {
+	if s == nil || now.Before(s.probedAt.Add(max(ProbeInterval, grace))) {
 		return false
 	}
 	s.probedAt = now
 	return true
 }
 
-// Sweep drops the claims whose records went more than Retention ago.
+// Sweep drops the claims whose records were removed more than Retention ago.
 func (t *Tracker) Sweep(now time.Time) {
 	for len(t.removed) > 0 {
 		oldest := t.removed[0]
--- a/state/addrowner/addrowner_test.go
+++ b/state/addrowner/addrowner_test.go
@@ -54,7 +54,7 @@
 			tr.RecordRemoved("old", at(1))
 			tr.record("old", 0, 2)
 		}, "old"},
-		{"not a superseded one, even after its successor has gone", func(tr *tracker) {
+		{"not a superseded one, even after the record of its successor was removed", func(tr *tracker) {
 			tr.record("old", 0, 0)
 			tr.record("new", 0, 1)
 			tr.RecordRemoved("new", at(2))
@@ -160,8 +160,8 @@
 	require.Equal(t, "old", tr.used())
 }
 
-// BenchmarkInUse calls InUse for each of 4,900 endpoints. It took 0.24 ms of the rebuild of a
-// registry of that size.
+// BenchmarkInUse calls InUse for each of 4,900 endpoints. These calls took 0.24 ms of the
+// rebuild of a registry of that size.
 func BenchmarkInUse(b *testing.B) {
 	var tr addrowner.Tracker
 	tr.NextBatch()
