--- a/state/config/config.go
+++ b/state/config/config.go
@@ -47,7 +47,7 @@
 		e.part.Kind, e.part.Name, e.cause)
 }
 
-// Unwrap returns the fault of the part.
+// Unwrap returns what is wrong with the part.
 func (e *InvalidPartError) Unwrap() error { return e.cause }
 
 var validate = validator.New(validator.WithRequiredStructEnabled())
@@ -226,8 +226,8 @@
 // Current returns the configuration in force, or nil before the first.
 func (s *Store) Current() *Config { return s.current.Load() }
 
-// NewFromModels builds a configuration of models and fleets only, for tests and
-// measurements without a platform.
+// NewFromModels builds a configuration of models and fleets only, for tests and benchmarks
+// without a platform.
 func NewFromModels(version uint64, models []protocol.Model, fleets ...protocol.Fleet) (*Config, error) {
 	m := protocol.Manifest{Version: version}
 	parts := map[string][]byte{}
