--- a/state/fleet/cost.go
+++ b/state/fleet/cost.go
@@ -53,7 +53,7 @@
 
 // RequestCost returns the expected seconds of a whole request with so many prompt and
 // output tokens: a fixed part, and a part for each layer. Sharers is the number of entries
-// that send to the runner; all are assumed to send equally much.
+// that send to the runner. All of them are assumed to send the same amount of work.
 func (r *Runner) RequestCost(now time.Time, promptTokens, outputTokens int, sharers float64) (fixed, perLayer float64) {
 	slowdown, _ := r.Slowdown(now)
 	fixed = slowdown * (r.QueueDelay(now) + minStepSeconds + linkSeconds[r.link])
--- a/state/fleet/ejection.go
+++ b/state/fleet/ejection.go
@@ -11,16 +11,18 @@
 	maxEjection          = 30 * time.Second
 	maxEjectionDoublings = 6
 	// refusalBackoff is how long a runner that refused a request gets no new work, and
-	// maxRefusalDoublings is how often that time doubles. A lack of memory is over within tens
-	// of milliseconds; a runner that leaves or unloads its layers does not accept work again.
+	// maxRefusalDoublings is how often that time doubles. A lack of memory lasts only tens
+	// of milliseconds, but a runner that leaves or unloads its layers does not accept work
+	// again.
 	refusalBackoff      = 150 * time.Millisecond
 	maxRefusalDoublings = 4
-	// lostAfterFailures is the number of failures in a row, with no sign of life between them,
-	// after which the runner is unlikely to come back.
+	// lostAfterFailures is the number of failures in a row, with nothing between them that
+	// shows that the runner works, after which the runner counts as lost. It is then
+	// unlikely to come back.
 	lostAfterFailures = 2
-	// inFlightGrace is how long after the loss of a runner was observed a message that it sent
-	// before may still arrive. Entries with a fifth of a core read late while all their streams
-	// break.
+	// inFlightGrace is how long after the loss of a runner was observed a message that it
+	// sent before may still arrive. Entries that run on a fifth of a core read messages
+	// late while all their streams break.
 	inFlightGrace = time.Second
 )
 
@@ -75,7 +77,7 @@
 }
 
 // MarkLost notes that entries found the runner lost, by observations made at a time. The
-// runner gets no new work until the observations expire, unless it is heard from again.
+// runner gets no new work until the observations expire, unless it sends a message before.
 func (r *Runner) MarkLost(at, until time.Time) {
 	r.lostAt.Store(at.UnixNano())
 	r.lostUntil.Store(until.UnixNano())
--- a/state/fleet/slowdown.go
+++ b/state/fleet/slowdown.go
@@ -27,8 +27,8 @@
 	return max(mean, r.ReportedSlowdown(now)), deviation
 }
 
-// MarkSlow notes that the runner's work has taken slowdown times its typical time since one
-// time, and that this holds until another.
+// MarkSlow notes that the runner's work takes slowdown times as long as typical, since the
+// time since, and that this holds until the time until.
 func (r *Runner) MarkSlow(slowdown float64, since, until time.Time) {
 	r.reportedSlowdown.Store(math.Float64bits(slowdown))
 	r.slowSince.Store(since.UnixNano())
