--- a/state/mirror/mirror.go
+++ b/state/mirror/mirror.go
@@ -29,8 +29,8 @@
 
 // Delta leads from a kind's state at revision After to its state at revision To. A delta
 // that was watched also applies to states between After and To. A ListDiff, the difference
-// between two lists, does not: it lacks objects that came and went between them. A Snapshot
-// holds all objects at To, and applies to any state.
+// between two lists, does not: it lacks objects that were created and deleted between them.
+// A Snapshot holds all objects at To, and applies to any state.
 type Delta struct {
 	After    uint64
 	To       uint64
--- a/state/mirror/mirror_test.go
+++ b/state/mirror/mirror_test.go
@@ -189,9 +189,9 @@
 	<-changed
 }
 
-// TestListDiffAppliesOnlyToItsBaseRevision guards against a stale object in a follower. An object
-// came and went between two lists of the source, and the follower had seen it come. The
-// difference of the two lists does not remove it. Rapid found this case.
+// TestListDiffAppliesOnlyToItsBaseRevision guards against a stale object in a follower. An
+// object was created and deleted between two lists of the source, and the follower had seen
+// its creation. The difference between the two lists does not remove it.
 func TestListDiffAppliesOnlyToItsBaseRevision(t *testing.T) {
 	var source, follower mirror.Mirror
 	source.ApplyList(kind, protocol.Listing{Revision: 1})
