--- a/state/registry/engine_state.go
+++ b/state/registry/engine_state.go
@@ -84,7 +84,8 @@
 	return after.Heartbeats < before.Heartbeats
 }
 
-// resetState drops everything known and measured of an endpoint's earlier incarnation.
+// resetState drops everything that is known about an endpoint's earlier incarnation,
+// including its measurements.
 func (r *Registry) resetState(id string, now time.Time) {
 	r.setState(id, engineState{restarts: r.engineStates[id].restarts + 1})
 	r.markRecordChanged(id, now)
--- a/state/registry/late_record.go
+++ b/state/registry/late_record.go
@@ -16,9 +16,10 @@
 	until    time.Time
 }
 
-// addLateRecord notes a record that seems to be of an earlier incarnation. A running process
-// overwrites such a record at its next heartbeat. If the record remains, either the clock of
-// the process was set back, or the later incarnation was reported of a different endpoint.
+// addLateRecord notes a record that seems to be of an earlier incarnation. A running
+// process overwrites such a record at its next heartbeat. If the record remains, either the
+// clock of the process was set back, or the later incarnation that was reported was not
+// that of this endpoint.
 func (r *Registry) addLateRecord(e protocol.Endpoint, now time.Time) {
 	if r.lateRecords == nil {
 		r.lateRecords = make(map[string]lateRecord)
--- a/state/registry/model_test.go
+++ b/state/registry/model_test.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// writeLate completes a write that was in flight for long, of any incarnation.
+// writeLate completes a write of any incarnation that was in flight for a long time.
 func (m *fleetModel) writeLate(*rapid.T) {
 	if len(m.written) > 0 {
 		m.put(rapid.SampledFrom(m.written).Draw(m.t, "late"))
@@ -341,9 +341,9 @@
 	}
 }
 
-// maxLeftOut bounds how long a running engine whose record remains may be left out or taken
-// for an earlier incarnation.
-const maxLeftOut = registry.ProbeGrace + addrowner.ProbeInterval
+// maxExclusion bounds how long a running engine whose record remains may be excluded or
+// mistaken for an earlier incarnation.
+const maxExclusion = registry.ProbeGrace + addrowner.ProbeInterval
 
 // TestOnlyRunningEnginesAreUsed is a model test. Engines start, crash and restart; records
 // arrive late, expire and come back; entries read parts of the changes and receive reports in
@@ -361,7 +361,7 @@
 		if m.clockSetBack {
 			m.settle(registry.ProbeGrace) // until late records that remain are accepted
 		}
-		m.settle(maxLeftOut)
+		m.settle(maxExclusion)
 		var running []string
 		for _, p := range m.running {
 			running = append(running, p.id)
--- a/state/registry/probe.go
+++ b/state/registry/probe.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// ProbeGrace is how long an entry leaves probing to the entry that probes for all others. It
-// does not wait longer, because that entry may have missed a report that this entry received.
-// Together with addrowner.ProbeInterval it bounds how long a running endpoint is left out. It
-// is also how long a late record is ignored.
+// ProbeGrace is how long an entry leaves probing to the entry that probes for all others.
+// It does not wait longer, because that entry may have missed a report that this entry
+// received. Together with addrowner.ProbeInterval it bounds how long a running endpoint is
+// excluded. It is also how long a late record is ignored.
 const ProbeGrace = 5 * time.Second
 
 // Probe is a request to the address of an endpoint's record for the ID of the endpoint there.
--- a/state/registry/registry.go
+++ b/state/registry/registry.go
@@ -49,7 +49,7 @@
 	mutex             sync.Mutex
 	endpoints         map[string]protocol.Endpoint
 	vanished          map[string]time.Time // endpoints gone from the list, and until when they are kept
-	outage            time.Time            // when the platform last failed to answer
+	outageAt          time.Time            // when the platform last failed to answer
 	services          []protocol.RoutedService
 	hasList           atomic.Bool
 	stale             atomic.Bool // the derived values do not include the latest changes
@@ -116,13 +116,13 @@
 func (r *Registry) MarkOutage(at time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if at.After(r.outage) {
-		r.outage = at
+	if at.After(r.outageAt) {
+		r.outageAt = at
 	}
 }
 
 // Count returns how many endpoints were usable at the last rebuild. It does not rebuild:
-// that takes 8 ms for 4,900 endpoints (measured in a benchmark), and reports come in bursts.
+// that takes 8 ms for 4,900 endpoints, and reports come in bursts.
 func (r *Registry) Count() int {
 	if l := r.list.Load(); l != nil {
 		return len(*l)
@@ -240,7 +240,7 @@
 
 // inOutageGrace reports whether the platform failed to answer within the last outageGrace.
 func (r *Registry) inOutageGrace(now time.Time) bool {
-	return !r.outage.IsZero() && now.Sub(r.outage) <= outageGrace
+	return !r.outageAt.IsZero() && now.Sub(r.outageAt) <= outageGrace
 }
 
 // markChanged marks the derived values as stale. Changes come in bursts, thousands of them
--- a/state/registry/registry_test.go
+++ b/state/registry/registry_test.go
@@ -157,7 +157,7 @@
 	r.Replace([]protocol.Endpoint{atX("x", 10, 9, 10)}, now)
 	require.Same(t, x, r.View().Runner("x"))
 	require.True(t, r.Remove("x", now))
-	require.Equal(t, registry.Stale, r.Update(atX("x", 10, 9, 10), now), "nor after the later record has gone")
+	require.Equal(t, registry.Stale, r.Update(atX("x", 10, 9, 10), now), "nor after the later record was removed")
 	require.Empty(t, r.Endpoints())
 	report := protocol.EngineReport{Incarnation: 10, LayersKnown: true}
 	r.Update(atX("x", 20, 1, 3), now)
@@ -166,10 +166,10 @@
 	require.Len(t, r.EngineDataCenters("llm"), 1)
 }
 
-// TestLateRecordThatRemainsIsAccepted guards against leaving out a running engine for good. A
-// running process overwrites a late write of its earlier incarnation. A process whose clock was
-// set back, or whose ID another process recorded with a later start, only looks like an earlier
-// incarnation, and its record remains.
+// TestLateRecordThatRemainsIsAccepted guards against excluding a running engine for good. A
+// running process overwrites a late write of its earlier incarnation. A process whose clock
+// was set back, or whose ID another process recorded with a later start, only looks like an
+// earlier incarnation, and its record remains.
 func TestLateRecordThatRemainsIsAccepted(t *testing.T) {
 	now := time.Unix(100, 0)
 	acceptedAt := now.Add(registry.ProbeGrace)
--- a/state/registry/runner.go
+++ b/state/registry/runner.go
@@ -56,30 +56,30 @@
 }
 
 // prefillSpeed returns the layer passes per second at which an engine processes a prompt.
-func prefillSpeed(facts *protocol.EngineSpec, accelerator string) float64 {
+func prefillSpeed(spec *protocol.EngineSpec, accelerator string) float64 {
 	factor := 1.0
-	if a, ok := facts.Accelerator(accelerator); ok && a.ReadFactor > 0 {
+	if a, ok := spec.Accelerator(accelerator); ok && a.ReadFactor > 0 {
 		factor = a.ReadFactor
 	}
-	return max(1, facts.PrefillPerSecond*float64(facts.Layers)/factor)
+	return max(1, spec.PrefillPerSecond*float64(spec.Layers)/factor)
 }
 
 // decodeSeconds returns the seconds that one output token takes in one layer.
-func decodeSeconds(facts *protocol.EngineSpec, accelerator string) float64 {
-	a, ok := facts.Accelerator(accelerator)
-	if !ok || facts.Layers <= 0 {
+func decodeSeconds(spec *protocol.EngineSpec, accelerator string) float64 {
+	a, ok := spec.Accelerator(accelerator)
+	if !ok || spec.Layers <= 0 {
 		return 0
 	}
-	return facts.StepMS / 1000 * a.StepFactor / float64(facts.Layers)
+	return spec.StepMS / 1000 * a.StepFactor / float64(spec.Layers)
 }
 
 // cacheCapacity returns how many tokens fit into an engine's KV cache beside the layers that
 // it holds.
-func cacheCapacity(facts *protocol.EngineSpec, e protocol.Endpoint) float64 {
-	a, ok := facts.Accelerator(e.Accelerator)
+func cacheCapacity(spec *protocol.EngineSpec, e protocol.Endpoint) float64 {
+	a, ok := spec.Accelerator(e.Accelerator)
 	layers := float64(e.Layers.Layers())
-	if !ok || facts.TokenLayerMB <= 0 {
+	if !ok || spec.TokenLayerMB <= 0 {
 		return 0
 	}
-	return max(0, (a.MemoryMB-layers*facts.LayerMB)/(layers*facts.TokenLayerMB))
+	return max(0, (a.MemoryMB-layers*spec.LayerMB)/(layers*spec.TokenLayerMB))
 }
--- a/state/registry/unrecorded.go
+++ b/state/registry/unrecorded.go
@@ -21,10 +21,11 @@
 	until    time.Time
 }
 
-// Unrecorded returns the endpoints that answered at the address of another endpoint's record
-// and have no record yet. They are assigned layers early, so that they hold them when their
-// records come, but they serve no requests before that. Their service, accelerator and other
-// properties are assumed to be those of the other record, and are checked before an order.
+// Unrecorded returns the endpoints that answered at the address of another endpoint's
+// record and have no record yet. They are assigned layers early, so that they hold these
+// layers by the time their records appear, but they serve no requests before that. Their
+// service, accelerator and other properties are assumed to be those of the other record,
+// and are checked before an order.
 func (r *Registry) Unrecorded(now time.Time) []protocol.Endpoint {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/state/registry/usable.go
+++ b/state/registry/usable.go
@@ -10,7 +10,7 @@
 )
 
 // UnusableEndpoint is an endpoint whose record is readable, but does not fit the known
-// services and data centers. It is left out as long as that is so.
+// services and data centers. It is excluded as long as that is so.
 type UnusableEndpoint struct {
 	endpoint protocol.Endpoint
 	fault    protocol.RecordFault
@@ -22,7 +22,8 @@
 // Fault returns what does not fit.
 func (u UnusableEndpoint) Fault() protocol.RecordFault { return u.fault }
 
-// Unusable returns the endpoints that are left out. The caller must not change the slice.
+// Unusable returns the endpoints that are excluded because their records do not fit. The
+// caller must not change the slice.
 func (r *Registry) Unusable() []UnusableEndpoint {
 	r.refresh()
 	if list := r.unusable.Load(); list != nil {
--- a/state/registry/usable_test.go
+++ b/state/registry/usable_test.go
@@ -14,9 +14,9 @@
 	"pinerun.example/pinerun/state/registry"
 )
 
-// TestUnusableEndpointsAreLeftOut has records that refer to services, data centers, layers and
-// accelerators that are not known.
-func TestUnusableEndpointsAreLeftOut(t *testing.T) {
+// TestUnusableEndpointsAreExcluded applies records that refer to unknown services, data
+// centers, layers and accelerators.
+func TestUnusableEndpointsAreExcluded(t *testing.T) {
 	r := newRegistry()
 	r.DataCenters = []string{"b", "c"}
 	plain := protocol.Endpoint{ID: "plain", Service: "plain", DataCenter: "b"}
@@ -25,25 +25,25 @@
 	nowhere := engine("nowhere", "z", 0, 10)
 	unknown := engine("unknown", "b", 0, 10)
 	unknown.Accelerator = "abacus"
-	unspecified := engine("untold", "b", 0, 10)
+	unspecified := engine("unspecified", "b", 0, 10)
 	unspecified.Accelerator = ""
-	otherService := protocol.Endpoint{ID: "stranger", Service: "another", DataCenter: "b"}
+	otherService := protocol.Endpoint{ID: "other-service", Service: "another", DataCenter: "b"}
 	plainWithLayers := protocol.Endpoint{ID: "layered", Service: "plain", DataCenter: "b", Layers: protocol.Span{From: 0, To: 1}}
-	home := engine("home", "a", 0, 10)
-	r.Replace([]protocol.Endpoint{plain, whole, outside, nowhere, unknown, unspecified, otherService, plainWithLayers, home}, time.Unix(100, 0))
-	require.Equal(t, []string{"home", "plain", "untold", "whole"}, ids(r.Endpoints()))
+	local := engine("local", "a", 0, 10)
+	r.Replace([]protocol.Endpoint{plain, whole, outside, nowhere, unknown, unspecified, otherService, plainWithLayers, local}, time.Unix(100, 0))
+	require.Equal(t, []string{"local", "plain", "unspecified", "whole"}, ids(r.Endpoints()))
 	faults := map[string]protocol.RecordFault{}
-	for _, m := range r.Unusable() {
-		faults[m.Endpoint().ID] = m.Fault()
+	for _, u := range r.Unusable() {
+		faults[u.Endpoint().ID] = u.Fault()
 	}
 	require.Equal(t, map[string]protocol.RecordFault{
 		"outside": protocol.RecordLayersOutside, "nowhere": protocol.RecordDataCenterUnknown,
-		"unknown": protocol.RecordAcceleratorUnknown, "stranger": protocol.RecordServiceUnknown,
+		"unknown": protocol.RecordAcceleratorUnknown, "other-service": protocol.RecordServiceUnknown,
 		"layered": protocol.RecordLayersOutside,
 	}, faults)
 	require.Nil(t, r.View().Runner("outside"))
 	r.SetServices(append(services, protocol.RoutedService{Name: "another"}))
-	require.Contains(t, ids(r.Endpoints()), "stranger", "a later table names the service")
+	require.Contains(t, ids(r.Endpoints()), "other-service", "a later table names the service")
 }
 
 // TestUsedEndpointsFit checks, for any records, that each endpoint in use has a known service and
