--- a/coordination/relay/relay_test.go
+++ b/coordination/relay/relay_test.go
@@ -140,8 +140,8 @@
 func TestPeerIsLeftOnlyIfPlatformIsHealthy(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := relay.Query{Now: now, FollowedAt: now.Add(-time.Minute)}
-	require.True(t, relay.ShouldLeave(q, now.Add(10*time.Millisecond)))
-	require.False(t, relay.ShouldLeave(q, now.Add(700*time.Millisecond)), "the platform is slow for both")
+	require.True(t, relay.ShouldStopFollowing(q, now.Add(10*time.Millisecond)))
+	require.False(t, relay.ShouldStopFollowing(q, now.Add(700*time.Millisecond)), "the platform is slow for both")
 	q.FollowedAt = now.Add(-100 * time.Millisecond)
-	require.False(t, relay.ShouldLeave(q, now.Add(10*time.Millisecond)), "the peer had no time to ask")
+	require.False(t, relay.ShouldStopFollowing(q, now.Add(10*time.Millisecond)), "the peer had no time to ask")
 }
--- a/transport/relay/read.go
+++ b/transport/relay/read.go
@@ -96,7 +96,7 @@
 		// The platform may reject only some entries: another peer may be fresher.
 		s.selector.backOff(peer.peer.Name, false, clock.Now())
 		s.selector.wake()
-	case relay.ShouldLeave(q, clock.Now()):
+	case relay.ShouldStopFollowing(q, clock.Now()):
 		s.selector.backOff(peer.peer.Name, false, clock.Now())
 		s.dropPeer(peer, "it could not confirm the platform's state")
 	}
