--- a/coordination/claim/log_test.go
+++ b/coordination/claim/log_test.go
@@ -100,14 +100,14 @@
 
 // step begins the next action of an entry or completes the one in flight.
 func (s *simulation) step(i int, a answer) {
-	e := s.writers[i]
-	if e.inFlight == nil {
-		e.inFlight = e.log.Next(epoch)
-		s.collect(e)
+	w := s.writers[i]
+	if w.inFlight == nil {
+		w.inFlight = w.log.Next(epoch)
+		s.collect(w)
 		return
 	}
-	action := e.inFlight
-	e.inFlight = nil
+	action := w.inFlight
+	w.inFlight = nil
 	switch action := action.(type) {
 	case claim.Load:
 		if a == answered {
@@ -115,29 +115,29 @@
 			for _, s := range s.slots {
 				all = append(all, s)
 			}
-			e.log.Loaded(all)
+			w.log.Loaded(all)
 		}
 	case claim.Read:
 		if a == answered {
 			s := s.slots[action.Slot()]
 			s.Slot = action.Slot()
-			e.log.SlotRead(s)
+			w.log.SlotRead(s)
 		}
 	case claim.Write:
-		s.endWrite(e, action, a)
+		s.endWrite(w, action, a)
 	}
-	s.collect(e)
+	s.collect(w)
 }
 
-func (s *simulation) endWrite(e *writer, write claim.Write, a answer) {
+func (s *simulation) endWrite(w *writer, write claim.Write, a answer) {
 	switch a {
 	case refused:
-		e.log.WriteFailed()
+		w.log.WriteFailed()
 	case answered:
 		if version, done := s.put(write); done {
-			e.log.WriteSucceeded(version)
+			w.log.WriteSucceeded(version)
 		} else {
-			e.log.WriteUncertain()
+			w.log.WriteUncertain()
 		}
 	case lostApplied, lostDelayed:
 		if a == lostApplied {
@@ -146,10 +146,10 @@
 			s.delayed = append(s.delayed, write)
 		}
 		if s.mutant == assumesSuccess {
-			e.log.WriteSucceeded(s.version + 1)
+			w.log.WriteSucceeded(s.version + 1)
 			return
 		}
-		e.log.WriteUncertain()
+		w.log.WriteUncertain()
 	}
 }
 
@@ -164,8 +164,8 @@
 }
 
 // collect counts the granted claims.
-func (s *simulation) collect(e *writer) {
-	for _, r := range e.log.Results() {
+func (s *simulation) collect(w *writer) {
+	for _, r := range w.log.Results() {
 		if r.Verdict() == claim.Granted && r.Record().Kind == protocol.ClaimTaken {
 			s.runs[r.Record().Key]++
 		}
@@ -299,27 +299,27 @@
 	s := newSimulation(correct, 2)
 	settle := func(i int) claim.Result {
 		for range 12 {
-			e := s.writers[i]
-			if e.inFlight == nil {
-				e.inFlight = e.log.Next(epoch)
+			w := s.writers[i]
+			if w.inFlight == nil {
+				w.inFlight = w.log.Next(epoch)
 			} else {
-				a := e.inFlight
-				e.inFlight = nil
+				a := w.inFlight
+				w.inFlight = nil
 				switch a := a.(type) {
 				case claim.Load:
 					var all []claim.StoredSlot
 					for _, s := range s.slots {
 						all = append(all, s)
 					}
-					e.log.Loaded(all)
+					w.log.Loaded(all)
 				case claim.Read:
 					s := s.slots[a.Slot()]
-					e.log.SlotRead(s)
+					w.log.SlotRead(s)
 				case claim.Write:
-					s.endWrite(e, a, answered)
+					s.endWrite(w, a, answered)
 				}
 			}
-			if got := e.log.Results(); len(got) > 0 {
+			if got := w.log.Results(); len(got) > 0 {
 				return got[0]
 			}
 		}
