--- a/coordination/placement/layout.go
+++ b/coordination/placement/layout.go
@@ -28,9 +28,9 @@
 	largest, fastest := p.withoutAssignments(false), p.withoutAssignments(true)
 	for _, capacity := range capacitySteps {
 		for _, empty := range []*pool{fastest, largest} {
-			t := empty.buildLayout(capacity)
-			if score := t.score(); score > highest {
-				layout, highest = t, score
+			candidate := empty.buildLayout(capacity)
+			if score := candidate.score(); score > highest {
+				layout, highest = candidate, score
 			}
 		}
 	}
@@ -39,28 +39,28 @@
 
 // withoutAssignments returns the pool as if no engine held anything, sorted by speed or by memory.
 func (p *pool) withoutAssignments(fastest bool) *pool {
-	t := &pool{spec: p.spec, layers: p.layers, fastestFirst: fastest, holders: make([]int, p.layers), servingHolders: p.servingHolders, evaluator: p.sharedEvaluator()}
-	t.engines = slices.Clone(p.engines)
-	t.sortEngines()
-	for i := range t.engines {
-		m := &t.engines[i]
+	empty := &pool{spec: p.spec, layers: p.layers, fastestFirst: fastest, holders: make([]int, p.layers), servingHolders: p.servingHolders, evaluator: p.sharedEvaluator()}
+	empty.engines = slices.Clone(p.engines)
+	empty.sortEngines()
+	for i := range empty.engines {
+		m := &empty.engines[i]
 		m.previous = m.span
 		m.span = protocol.Span{}
 	}
-	t.rebuildGroups()
-	return t
+	empty.rebuildGroups()
+	return empty
 }
 
 // buildLayout returns a layout of an empty pool in which each engine has that request capacity.
 func (p *pool) buildLayout(capacity int) *pool {
-	t := p.clone()
-	for i := range t.engines {
-		m := &t.engines[i]
+	layout := p.clone()
+	for i := range layout.engines {
+		m := &layout.engines[i]
 		m.capacity = p.layerCapacity(m.memoryMB, capacity)
 	}
-	t.assignFirstReplica()
-	t.addReplicas()
-	return t
+	layout.assignFirstReplica()
+	layout.addReplicas()
+	return layout
 }
 
 // assignFirstReplica assigns every layer to one engine.
@@ -122,11 +122,11 @@
 
 // clone returns a copy of the pool whose engines can be reassigned without a change to p.
 func (p *pool) clone() *pool {
-	t := *p
-	t.engines = slices.Clone(p.engines)
-	t.groups = slices.Clone(p.groups)
-	t.holders = slices.Clone(p.holders)
-	return &t
+	c := *p
+	c.engines = slices.Clone(p.engines)
+	c.groups = slices.Clone(p.groups)
+	c.holders = slices.Clone(p.holders)
+	return &c
 }
 
 // member returns the engine of the pool with an ID, or nil.
--- a/coordination/placement/repair.go
+++ b/coordination/placement/repair.go
@@ -45,9 +45,9 @@
 func (p *pool) fillGap(gap protocol.Span) []Reassignment {
 	best, highest := p.rebuild()
 	for parts := 1; parts <= min(maxGapParts, gap.Layers()); parts++ {
-		t := p.clone()
-		reassignments := t.fillParts(gap, parts)
-		if score := t.repairScore() - t.loadCost(p); len(reassignments) > 0 && score > highest {
+		candidate := p.clone()
+		reassignments := candidate.fillParts(gap, parts)
+		if score := candidate.repairScore() - candidate.loadCost(p); len(reassignments) > 0 && score > highest {
 			best, highest = reassignments, score
 		}
 	}
