--- a/coordination/pressure/pressure.go
+++ b/coordination/pressure/pressure.go
@@ -30,8 +30,8 @@
 	// DefaultLimit is the budget in bytes if the settings do not set one.
 	DefaultLimit = 64 << 20
 	// resumableShare and nonResumableShare are the shares of the free bytes that one stream may
-	// hold. A resumable stream only loses time when its engine is left. Any other stream loses its
-	// response, so it may hold more.
+	// hold. A resumable stream only loses time when its attempt is dropped. Any other stream loses
+	// its response, so it may hold more.
 	resumableShare, nonResumableShare = 0.125, 0.5
 	// maxResumableHeld is the most that a resumable stream holds, in bytes. This includes its
 	// socket buffers, and leaves enough for two responses of typical size. Anything beyond is work
--- a/coordination/pressure/pressure_test.go
+++ b/coordination/pressure/pressure_test.go
@@ -50,8 +50,8 @@
 	require.IsType(t, pressure.Continue{}, b.Decide(a, until))
 }
 
-// TestNonResumableResponseMayHoldMore: the engine of a response that cannot resume elsewhere is
-// never left, because the response would be lost.
+// TestNonResumableResponseMayHoldMore: the attempt of a response that cannot resume elsewhere is
+// never dropped, because the response would be lost.
 func TestNonResumableResponseMayHoldMore(t *testing.T) {
 	var b pressure.Budget
 	b.SetLimit(limit)
