--- a/coordination/quarantine/simulation_test.go
+++ b/coordination/quarantine/simulation_test.go
@@ -242,8 +242,8 @@
 	incarnation := e.incarnation
 	at := s.now
 	e.up = false
-	for _, n := range s.entries {
-		s.after(s.between(time.Millisecond, 15*time.Millisecond), func() { n.tracker.RecordCrash(e.id, incarnation, at) })
+	for _, entry := range s.entries {
+		s.after(s.between(time.Millisecond, 15*time.Millisecond), func() { entry.tracker.RecordCrash(e.id, incarnation, at) })
 	}
 	failed := e.running
 	e.running = nil
@@ -293,9 +293,9 @@
 func (s *simulation) broadcast(r *simRequest, observation protocol.WorkObservation) {
 	report := s.report(r, observation)
 	r.entry.tracker.Apply(report, s.now)
-	for _, n := range s.entries {
-		if n != r.entry {
-			s.after(s.between(time.Millisecond, 20*time.Millisecond), func() { n.tracker.Apply(report, s.now) })
+	for _, entry := range s.entries {
+		if entry != r.entry {
+			s.after(s.between(time.Millisecond, 20*time.Millisecond), func() { entry.tracker.Apply(report, s.now) })
 		}
 	}
 }
--- a/coordination/quarantine/tracker_test.go
+++ b/coordination/quarantine/tracker_test.go
@@ -283,11 +283,11 @@
 		apply := func(order []int) []quarantine.Status {
 			h := newHarness()
 			for _, i := range order {
-				n := reports[i]
-				if n.crashed {
-					h.tracker.RecordCrash(fmt.Sprint(n.endpoint), 1, h.now)
+				r := reports[i]
+				if r.crashed {
+					h.tracker.RecordCrash(fmt.Sprint(r.endpoint), 1, h.now)
 				} else {
-					h.report(protocol.WorkBroke, fingerprint(n.work), fmt.Sprint(n.endpoint), "entry")
+					h.report(protocol.WorkBroke, fingerprint(r.work), fmt.Sprint(r.endpoint), "entry")
 				}
 			}
 			h.now = h.now.Add(afterSettling)
