--- a/coordination/relay/relay.go
+++ b/coordination/relay/relay.go
@@ -234,10 +234,10 @@
 	return lostContactAt.Add(MaxConfirmationAge + time.Duration(q.Jitter*float64(maxDelay)))
 }
 
-// ShouldStopFollowing reports whether to leave a peer that could not confirm, now that the platform has
-// answered this entry. It does so only if the platform answered as fast as a healthy one does,
-// because only then the fault is with the peer. It does not do so in the first moments, in which
-// the peer may still be asking.
+// ShouldStopFollowing reports whether this entry should stop following a peer that could not
+// confirm, now that the platform has answered this entry. It does so only if the platform answered
+// as fast as a healthy one does, because only then the fault is with the peer. It does not do so in
+// the first moments, in which the peer may still be asking.
 func ShouldStopFollowing(q Query, answered time.Time) bool {
 	return answered.Sub(q.Now) <= MaxHealthyCall && q.Now.Sub(q.FollowedAt) > MaxConfirmationAge
 }
--- a/coordination/relay/relay_test.go
+++ b/coordination/relay/relay_test.go
@@ -45,12 +45,12 @@
 				require.False(t, r.DataCenter != entry.DataCenter && candidates[i+1].DataCenter == entry.DataCenter, "the own data center comes first")
 			}
 		}
-		for _, m := range all {
-			at := m.Name
+		for _, entry := range all {
+			at := entry.Name
 			for range len(all) {
 				at = follows[at]
 			}
-			require.Empty(t, at, "%s follows in a cycle", m.Name)
+			require.Empty(t, at, "%s follows in a cycle", entry.Name)
 		}
 	})
 }
@@ -72,14 +72,14 @@
 	}
 	require.Equal(t, 1, withoutCandidates)
 	across := map[string]int{}
-	for _, m := range all {
-		f, ok := followed[m.Name]
+	for _, entry := range all {
+		f, ok := followed[entry.Name]
 		if !ok {
 			continue
 		}
 		require.Equal(t, 100.0, f.MemoryMB, "a large VM is followed")
-		if f.DataCenter != m.DataCenter {
-			across[m.DataCenter]++
+		if f.DataCenter != entry.DataCenter {
+			across[entry.DataCenter]++
 			require.NotContains(t, followed, f.Name, "the one that asks the platform")
 			continue
 		}
@@ -98,8 +98,8 @@
 	for i := range all[1:] {
 		all[i+1].PeerAddress = ""
 	}
-	for _, m := range all[1:] {
-		require.LessOrEqual(t, len(relay.Candidates(m, all)), 1)
+	for _, entry := range all[1:] {
+		require.LessOrEqual(t, len(relay.Candidates(entry, all)), 1)
 	}
 	require.Empty(t, relay.Candidates(all[0], all))
 }
@@ -137,7 +137,7 @@
 	})
 }
 
-func TestPeerIsLeftOnlyIfPlatformIsHealthy(t *testing.T) {
+func TestEntryStopsFollowingOnlyIfPlatformIsHealthy(t *testing.T) {
 	now := time.Unix(1000, 0)
 	q := relay.Query{Now: now, FollowedAt: now.Add(-time.Minute)}
 	require.True(t, relay.ShouldStopFollowing(q, now.Add(10*time.Millisecond)))
