--- a/coordination/stream/stream_test.go
+++ b/coordination/stream/stream_test.go
@@ -142,9 +142,9 @@
 }
 
 func (n *network) deliver(index int) {
-	f := n.inFlight[index]
+	sent := n.inFlight[index]
 	n.inFlight = append(n.inFlight[:index:index], n.inFlight[index+1:]...)
-	switch d := n.machine.HandleReply(f.from, f.reply).(type) {
+	switch d := n.machine.HandleReply(sent.from, sent.reply).(type) {
 	case stream.Dispatches:
 		for _, s := range d.All() {
 			n.send(s)
