--- a/state/addrowner/addrowner_test.go
+++ b/state/addrowner/addrowner_test.go
@@ -115,9 +115,9 @@
 			tr.Answered("x", "old", 0, at(3))
 		}, "oldnew"},
 	} {
-		var l tracker
-		c.do(&l)
-		require.Equal(t, c.want, l.used(), c.name)
+		var tr tracker
+		c.do(&tr)
+		require.Equal(t, c.want, tr.used(), c.name)
 	}
 }
 
