--- a/state/registry/model_test.go
+++ b/state/registry/model_test.go
@@ -84,8 +84,8 @@
 		m.running[a].layers, m.running[a].orders = protocol.Span{From: 0, To: 5}, 1
 		m.put(m.running[a].record())
 	}
-	for _, r := range m.entries {
-		m.readAll(r)
+	for _, e := range m.entries {
+		m.readAll(e)
 	}
 	return m
 }
@@ -246,11 +246,11 @@
 
 // observe lets an entry apply what an answer showed, and sends the report to the other entries.
 func (m *fleetModel) observe(e *entry, endpoint, owner string) {
-	n := report{endpoint: endpoint, owner: owner, incarnation: e.registry.Incarnation(endpoint), at: m.now}
-	m.applyReport(e, n)
+	r := report{endpoint: endpoint, owner: owner, incarnation: e.registry.Incarnation(endpoint), at: m.now}
+	m.applyReport(e, r)
 	for _, o := range m.entries {
 		if o != e {
-			o.reports = append(o.reports, n)
+			o.reports = append(o.reports, r)
 		}
 	}
 }
@@ -258,22 +258,22 @@
 // request sends a request to an engine that an entry uses. If the answer disproves the
 // record, the entry no longer uses it.
 func (m *fleetModel) request(t *rapid.T) {
-	r := m.drawEntry()
-	if len(r.registry.Endpoints()) == 0 {
+	e := m.drawEntry()
+	if len(e.registry.Endpoints()) == 0 {
 		return
 	}
-	e := rapid.SampledFrom(r.registry.Endpoints()).Draw(t, "endpoint")
-	p := m.running[e.Address]
-	if p == nil || e.Layers.Layers() == 0 {
+	endpoint := rapid.SampledFrom(e.registry.Endpoints()).Draw(t, "endpoint")
+	p := m.running[endpoint.Address]
+	if p == nil || endpoint.Layers.Layers() == 0 {
 		return
 	}
 	switch {
-	case p.id != e.ID:
-		m.observe(r, e.ID, p.id)
-		require.NotContains(t, ids(r.registry.Endpoints()), e.ID)
-	case p.layers != e.Layers:
-		m.observe(r, e.ID, "")
-		require.NotContains(t, r.registry.Endpoints(), e)
+	case p.id != endpoint.ID:
+		m.observe(e, endpoint.ID, p.id)
+		require.NotContains(t, ids(e.registry.Endpoints()), endpoint.ID)
+	case p.layers != endpoint.Layers:
+		m.observe(e, endpoint.ID, "")
+		require.NotContains(t, e.registry.Endpoints(), endpoint)
 	}
 }
 
@@ -296,8 +296,8 @@
 }
 
 func (m *fleetModel) probe(*rapid.T) {
-	for i, r := range m.entries {
-		m.probeFrom(r, i > 0)
+	for i, e := range m.entries {
+		m.probeFrom(e, i > 0)
 	}
 }
 
@@ -307,11 +307,11 @@
 
 // check checks that no entry uses two engines of one address.
 func (m *fleetModel) check(t *rapid.T) {
-	for _, r := range m.entries {
+	for _, e := range m.entries {
 		owners := make(map[string]string)
-		for _, e := range r.registry.Endpoints() {
-			require.Empty(t, owners[e.Address], "%s and %s at %s", owners[e.Address], e.ID, e.Address)
-			owners[e.Address] = e.ID
+		for _, endpoint := range e.registry.Endpoints() {
+			require.Empty(t, owners[endpoint.Address], "%s and %s at %s", owners[endpoint.Address], endpoint.ID, endpoint.Address)
+			owners[endpoint.Address] = endpoint.ID
 		}
 	}
 }
@@ -327,16 +327,16 @@
 		for _, a := range slices.Sorted(maps.Keys(m.running)) {
 			m.put(m.running[a].record())
 		}
-		for _, r := range m.entries {
-			m.readAll(r)
-			for _, n := range r.reports {
-				m.applyReport(r, n)
+		for _, e := range m.entries {
+			m.readAll(e)
+			for _, report := range e.reports {
+				m.applyReport(e, report)
 			}
-			r.reports = nil
+			e.reports = nil
 		}
 		m.probe(m.t)
-		for _, r := range m.entries {
-			r.registry.Sweep(m.now)
+		for _, e := range m.entries {
+			e.registry.Sweep(m.now)
 		}
 	}
 }
@@ -367,10 +367,10 @@
 			running = append(running, p.id)
 		}
 		slices.Sort(running)
-		for _, r := range m.entries {
-			require.Equal(t, running, ids(r.registry.Endpoints()))
-			for _, e := range r.registry.Endpoints() {
-				require.Equal(t, m.running[e.Address].layers, e.Layers, e.ID)
+		for _, e := range m.entries {
+			require.Equal(t, running, ids(e.registry.Endpoints()))
+			for _, endpoint := range e.registry.Endpoints() {
+				require.Equal(t, m.running[endpoint.Address].layers, endpoint.Layers, endpoint.ID)
 			}
 		}
 	})
