--- a/transport/backlog/buffer.go
+++ b/transport/backlog/buffer.go
@@ -59,8 +59,8 @@
 	return true
 }
 
-// releaseSpare releases the part of the reservation that is no longer needed. The budget also
-// learns by it that the caller reads. The mutex is held.
+// releaseSpare releases the part of the reservation that is no longer needed. The release also
+// shows the budget that the caller reads. The mutex is held.
 func (c *Conn) releaseSpare() {
 	surplus := max(0, c.reserved-slowCallerCost-int64(len(c.pending)))
 	surplus -= surplus % reserveChunkBytes
@@ -170,7 +170,7 @@
 // abortTask aborts an evicted connection.
 type abortTask struct{ conn *Conn }
 
-func (e *abortTask) run() { e.conn.abort() }
+func (t *abortTask) run() { t.conn.abort() }
 
 // abort closes the connection and drops its pending bytes.
 func (c *Conn) abort() {
--- a/transport/backlog/conn_test.go
+++ b/transport/backlog/conn_test.go
@@ -130,8 +130,8 @@
 }
 
 // TestSlowestConnectionIsAbortedForCapacity fills the budget. The connection of the caller that
-// does not read is aborted, the write that needs the bytes succeeds, and a caller that has read
-// lately is spared.
+// does not read is aborted, the write that needs the bytes succeeds, and the connection of a caller
+// that has read recently stays open.
 func TestSlowestConnectionIsAbortedForCapacity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := &Budget{Counters: &metric.Set{}}
@@ -256,16 +256,16 @@
 // is never exceeded, and a caller that reads receives everything.
 func TestEventsArriveOnceAndInOrder(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		readIntervals := rapid.SliceOfN(rapid.SampledFrom([]time.Duration{0, time.Microsecond, 10 * time.Millisecond, 300 * time.Millisecond}), 1, 12).Draw(r, "paces")
+		readIntervals := rapid.SliceOfN(rapid.SampledFrom([]time.Duration{0, time.Microsecond, 10 * time.Millisecond, 300 * time.Millisecond}), 1, 12).Draw(r, "read intervals")
 		events := rapid.IntRange(1, 100).Draw(r, "events")
 		synctest.Test(t, func(t *testing.T) {
 			b := &Budget{}
 			b.SetLimit(streamLimit)
 			var streams []*stream
-			for _, p := range readIntervals {
+			for _, interval := range readIntervals {
 				entry, caller := pipePair(b)
 				entry.Assign(fmt.Sprint("team-", len(streams)%3), len(streams)%4, true)
-				s := &stream{budget: b, conn: entry, caller: caller, readInterval: p, events: events}
+				s := &stream{budget: b, conn: entry, caller: caller, readInterval: interval, events: events}
 				streams = append(streams, s)
 				go s.run()
 				go s.readLoop()
--- a/transport/backlog/listener.go
+++ b/transport/backlog/listener.go
@@ -26,8 +26,8 @@
 }
 
 // LimitEngineSocket bounds the receive buffer for an engine's response. Use it as the Control of a
-// dialer: the size must be set before the connection is made, since the other side learns a larger
-// one then.
+// dialer: the size must be set before the connection is made, since the connection handshake
+// announces the size to the other side.
 func LimitEngineSocket(_, _ string, raw syscall.RawConn) error {
 	return setSocketBuffers(raw, 0, engineReceiveBytes)
 }
