--- a/transport/claims/remote.go
+++ b/transport/claims/remote.go
@@ -101,8 +101,8 @@
 	for _, a := range f.ClaimAnswers {
 		st.calls.deliver(a)
 	}
-	for _, a := range f.ClaimRequests {
-		go (&remoteRequest{store: st, from: from, request: a}).run()
+	for _, r := range f.ClaimRequests {
+		go (&remoteRequest{store: st, from: from, request: r}).run()
 	}
 }
 
--- a/transport/claims/shard.go
+++ b/transport/claims/shard.go
@@ -40,10 +40,10 @@
 	return waiterKey{claimant: r.Claimant, kind: r.Kind}
 }
 
-func newShard(k *Store, number int) *shard {
+func newShard(st *Store, number int) *shard {
 	return &shard{
-		store: k, number: number, wake: make(chan struct{}, 1),
-		log: claim.Log{RetainUntil: k.RetainUntil}, waiters: map[waiterKey][]chan claim.Result{},
+		store: st, number: number, wake: make(chan struct{}, 1),
+		log: claim.Log{RetainUntil: st.RetainUntil}, waiters: map[waiterKey][]chan claim.Result{},
 	}
 }
 
@@ -205,7 +205,7 @@
 	}
 }
 
-// signalDrained tells flush that no record is pending.
+// signalDrained signals flush that no record is pending.
 func (s *shard) signalDrained() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/transport/claims/store_test.go
+++ b/transport/claims/store_test.go
@@ -244,9 +244,9 @@
 
 // TestAwaitReportsHeldWhenPlatformGoesSilent guards against a repeat that reports "not run"
 // although the first request may have run: the repeat saw the first request's claim, polled again,
-// and its deadline passed while the platform did not answer. This was seen once in six runs of all
-// tests beside a load of 25: the repeat returned "context deadline exceeded" instead of the held
-// claim. Here the platform stops answering after the first poll.
+// and its deadline passed while the platform did not answer. It happened in one of six runs of all
+// tests on a machine under a load of 25: the repeat returned "context deadline exceeded"
+// instead of the held claim. Here the platform stops answering after the first poll.
 func TestAwaitReportsHeldWhenPlatformGoesSilent(t *testing.T) {
 	var p standin.Platform
 	second := newStoreWithHeldClaim(t, &p)
