--- a/transport/crashcheck/crashcheck.go
+++ b/transport/crashcheck/crashcheck.go
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package crashcheck finds out whether an incarnation of an endpoint has crashed after a response
-// of it broke off, by probing the endpoint repeatedly. A port that accepts connections does not
-// prove that the endpoint is running: another process may have the port, or the host may hold it
-// while the process restarts.
+// Package crashcheck finds out whether an incarnation of an endpoint has crashed after one of its
+// responses was aborted, by probing the endpoint repeatedly. A port that accepts connections does
+// not prove that the endpoint is running: another process may have the port, or the host may hold
+// it while the process restarts.
 //
 //	checker.Begin(&crashcheck.Suspect{Endpoint: name, Incarnation: incarnation, Prober: prober, Recorder: recorder}, now)
 package crashcheck
@@ -106,7 +106,7 @@
 	checker    *Checker
 	suspect    Suspect
 	deadline   time.Time // guarded by the mutex of checker, as probeAgain is
-	probeAgain bool      // another response broke off since the last probe
+	probeAgain bool      // another response was aborted since the last probe
 }
 
 func (k *check) run() {
