--- a/transport/director/director.go
+++ b/transport/director/director.go
@@ -30,8 +30,8 @@
 
 const (
 	// checkInterval is the time between two checks whether anything has changed. recheckInterval is
-	// the time after which urgent reassignments are computed even if nothing has: an engine may
-	// have been found lost.
+	// the time after which urgent reassignments are computed even if nothing has changed: an engine
+	// may have been found lost.
 	checkInterval   = 100 * time.Millisecond
 	recheckInterval = 500 * time.Millisecond
 	// improveInterval is the least time between two computations of improvements while the fleet
@@ -228,8 +228,9 @@
 func (d *Director) following() bool { return d.Following != nil && d.Following() }
 
 // ordersLast reports whether this entry attempts to give orders after all others: it follows a
-// peer, and no entry follows it. Such an entry plans no more often than its turn can come. While
-// engines come and go, every check computes a plan, and 295 of 300 entries did so in vain.
+// peer, and no entry follows it. Such an entry plans no more often than it could give orders: while
+// engines come and go, every check computes a plan, and 295 of 300 entries computed theirs without
+// ever using it.
 func (d *Director) ordersLast() bool {
 	return d.following() && (d.HasFollowers == nil || !d.HasFollowers())
 }
--- a/transport/director/director_test.go
+++ b/transport/director/director_test.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// TestPlanSkipsUnansweringEmptyEngine has a gap that either of two empty engines could fill. The
-// first one by name is dead.
+// TestPlanSkipsUnansweringEmptyEngine has uncovered layers that either of two empty engines could
+// load. The first one by name is dead.
 func TestPlanSkipsUnansweringEmptyEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture(3)
@@ -102,8 +102,8 @@
 	require.Equal(t, 3, f.engines["e0"].orders[3].PriorOrders, "the director reads the count from the engine's report")
 }
 
-// TestIncompleteListAfterStartMovesNoLayers starts an entry when the platform is just back from an
-// outage. One engine's record expired during the outage and returns after 1.5 s.
+// TestIncompleteListAfterStartMovesNoLayers starts an entry just after an outage of the platform.
+// One engine's record expired during the outage and returns after 1.5 s.
 func TestIncompleteListAfterStartMovesNoLayers(t *testing.T) {
 	for _, missing := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -153,7 +153,7 @@
 	}
 }
 
-// TestUnfollowedFollowerSeldomPlans changes an engine every 100 ms. An entry that follows nobody
+// TestUnfollowedFollowerSeldomPlans changes an engine every 100 ms. An entry that follows no peer
 // plans for each change. A follower without followers plans once every two seconds.
 func TestUnfollowedFollowerSeldomPlans(t *testing.T) {
 	plans := map[bool]int64{}
@@ -162,14 +162,14 @@
 			f := newFixture(3)
 			d := f.director(t, "one")
 			d.Following = func() bool { return following }
-			whole := protocol.Span{From: 0, To: 5}
-			d.Registry.Add(record("e0", whole))
+			initial := protocol.Span{From: 0, To: 5}
+			d.Registry.Add(record("e0", initial))
 			d.Registry.Add(record("e1", protocol.Span{From: 5, To: 10}))
 			d.Start()
 			time.Sleep(50 * time.Millisecond) // changes come between checks
 			for i := range 100 {
 				time.Sleep(100 * time.Millisecond)
-				span := whole
+				span := initial
 				span.To += i % 2
 				d.Registry.Add(record("e2", span))
 			}
@@ -235,7 +235,7 @@
 		d.Registry.Add(record("e0", protocol.Span{From: 0, To: 5}))
 		d.Registry.Add(record("e1", protocol.Span{}))
 		d.Start()
-		time.Sleep(4 * time.Second) // the list of engines is whole by then
+		time.Sleep(4 * time.Second) // the list of engines is complete by then
 		require.Equal(t, 1, f.orders())
 		f.mutex.Lock()
 		f.engines["e1"].orders = nil
@@ -260,7 +260,7 @@
 		{accelerator: "t4", orders: 1},
 		{accelerator: "l4"},
 		{accelerator: ""},
-		{accelerator: "t4", layers: protocol.Span{From: 0, To: 5}}, // others may know its record and use it
+		{accelerator: "t4", layers: protocol.Span{From: 0, To: 5}}, // other entries may have its record and use it
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture(2)
@@ -270,7 +270,7 @@
 			d.Registry.Add(record("e0", protocol.Span{From: 0, To: 5}))
 			d.Registry.Add(record("e1", protocol.Span{From: 5, To: 10}))
 			d.Start()
-			time.Sleep(4 * time.Second) // the list of engines is whole by then
+			time.Sleep(4 * time.Second) // the list of engines is complete by then
 			require.Zero(t, f.orders())
 			d.Registry.OwnerAnswered("e1", "next", 0, time.Now())
 			time.Sleep(time.Second)
--- a/transport/director/lease_record.go
+++ b/transport/director/lease_record.go
@@ -38,8 +38,8 @@
 	at      time.Time
 }
 
-// ObserveLease takes a reported change of the lease, with version 0 if it was deleted. An entry
-// that is told of each change does not read the lease from the platform.
+// ObserveLease stores a reported change of the lease for the next check, with version 0 if the
+// lease was deleted. An entry that receives every change does not read the lease from the platform.
 func (d *Director) ObserveLease(version uint64, value []byte, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/transport/director/lease_test.go
+++ b/transport/director/lease_test.go
@@ -53,8 +53,9 @@
 	require.NotZero(t, f.calls)
 }
 
-// TestFewLeaseCallsDuringOutage has work that never ends, because an engine does not answer, while
-// the platform is down. It counts the calls of the lease holder and of the other entries.
+// TestFewLeaseCallsDuringOutage has directors with work that never ends, because an engine does not
+// answer, while the platform is down. It counts the calls of the lease holder and of the other
+// entries.
 func TestFewLeaseCallsDuringOutage(t *testing.T) {
 	for _, confirming := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -76,7 +77,7 @@
 			if confirming {
 				require.LessOrEqual(t, during, 15, "entries whose confirmation is too old stop calling")
 			} else {
-				require.LessOrEqual(t, during, 3*12, "each calls less and less often")
+				require.LessOrEqual(t, during, 3*12, "the interval between calls grows")
 			}
 			require.NotZero(t, during)
 			for _, d := range all {
@@ -135,8 +136,8 @@
 	require.Less(t, 2*calls[true], calls[false])
 }
 
-// TestPendingOrdersOfEarlierHolderAreRespected has a gap, and an order in the lease's record that
-// loads an engine to fill it. The engine's own record does not show the order.
+// TestPendingOrdersOfEarlierHolderAreRespected has uncovered layers, and an order in the lease's
+// record that makes an engine load them. The engine's own record does not show the order.
 func TestPendingOrdersOfEarlierHolderAreRespected(t *testing.T) {
 	for _, recorded := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
--- a/transport/director/reassignments.go
+++ b/transport/director/reassignments.go
@@ -14,8 +14,8 @@
 
 const (
 	// startupQuiet is how long no engine must have joined an empty fleet before the first layers
-	// are ordered, so that one replica is spread over all engines. Engines start within about a
-	// heartbeat of each other. startupMaxWait bounds the wait.
+	// are ordered, so that one replica is spread over all engines. Engines start within about one
+	// heartbeat interval of each other. startupMaxWait bounds the wait.
 	startupQuiet   = 900 * time.Millisecond
 	startupMaxWait = 4 * time.Second
 	// listGrace is how long after the first list of endpoints a live engine may still be missing
