--- a/transport/engine/client_test.go
+++ b/transport/engine/client_test.go
@@ -48,15 +48,15 @@
 // TestMalformedFrameClosesConnection has an engine send bytes that are no frame: the client closes
 // the connection, counts the frame, and reports the loss to the pending request.
 func TestMalformedFrameClosesConnection(t *testing.T) {
-	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		socket, err := websocket.Accept(w, q, nil)
+	engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		socket, err := websocket.Accept(w, r, nil)
 		if err != nil {
 			return
 		}
 		defer socket.CloseNow()
-		if _, _, err := socket.Read(q.Context()); err == nil {
-			_ = socket.Write(q.Context(), websocket.MessageBinary, []byte("no frame"))
-			_, _, _ = socket.Read(q.Context()) // until the client closes the connection
+		if _, _, err := socket.Read(r.Context()); err == nil {
+			_ = socket.Write(r.Context(), websocket.MessageBinary, []byte("no frame"))
+			_, _, _ = socket.Read(r.Context()) // until the client closes the connection
 		}
 	}))
 	defer engine.Close()
