--- a/transport/entry/claimed.go
+++ b/transport/entry/claimed.go
@@ -21,7 +21,7 @@
 	// maxStoredResponse is the size of the largest response body that is stored for
 	// repeated calls.
 	maxStoredResponse = 4 << 10
-	// maxIssuedSkew is how far a caller's clock may be ahead.
+	// maxIssuedSkew is how far a caller's clock may be ahead of this entry's.
 	maxIssuedSkew = 30 * time.Second
 	// sendMargin is the minimum time left before the deadline for a claimed call
 	// to be sent.
--- a/transport/entry/crash_test.go
+++ b/transport/entry/crash_test.go
@@ -51,11 +51,12 @@
 // TestRequestThatCrashesRunnersIsRefused repeats a request that crashes each runner of the first stage,
 // alternately at two entries, while other callers send requests.
 //
-// It guards against one request that crashes runner after runner: up to eight per attempt, at each entry and
-// with each repeat, together with all requests that ran beside it. This happened because an entry forgot the
-// crashes when the attempt ended, and did not report them to other entries.
-// Before the fix, ten requests at two entries crashed the two runners of the first stage 25 times, in each of
-// two runs, and four runners 48 to 51 times. Since then, four runners crashed 3 or 4 times in each of 64 runs.
+// It guards against one request that crashes runner after runner: up to eight per attempt, at each
+// entry and with each repeat, together with all requests that ran beside it. This happened because
+// an entry forgot the crashes when the attempt ended, and did not report them to other entries: ten
+// requests at two entries crashed the two runners of the first stage 25 times, in each of two runs,
+// and four runners 48 to 51 times. With retained reports, four runners crashed 3 or 4 times in each
+// of 64 runs.
 func TestRequestThatCrashesRunnersIsRefused(t *testing.T) {
 	d := startDeploymentOf(t, fast, 4)
 	entries := startLinked(t, d)
--- a/transport/entry/deadlines.go
+++ b/transport/entry/deadlines.go
@@ -47,7 +47,7 @@
 func (d *deadlineTracker) run() {
 	t := time.NewTicker(suspensionCheckInterval)
 	defer t.Stop()
-	slept := clock.Suspended()
+	suspended := clock.Suspended()
 	for {
 		select {
 		case <-t.C:
@@ -55,8 +55,8 @@
 		case <-d.done.Done():
 			return
 		}
-		if now := clock.Suspended(); now > slept {
-			slept = now
+		if now := clock.Suspended(); now > suspended {
+			suspended = now
 			d.cancelExpired(clock.Now())
 		}
 	}
