--- a/transport/forward/attempt.go
+++ b/transport/forward/attempt.go
@@ -63,7 +63,7 @@
 	head             *http.Response       // head of the stream, nil until received; exchange only
 
 	connReturned bool // the connection went back to the pool, which owns its buffer; run only
-	cancelled    context.Context
+	ctx          context.Context
 	cancel       context.CancelFunc
 	mutex        sync.Mutex
 	conn         *conn
@@ -71,7 +71,7 @@
 
 func (a *attempt) run() {
 	defer a.stop()
-	c, err := a.pool.get(a.cancelled, a.endpoint.Name(), a.endpoint.Spec().Address, a.newConn)
+	c, err := a.pool.get(a.ctx, a.endpoint.Name(), a.endpoint.Spec().Address, a.newConn)
 	if err != nil {
 		a.post(attemptEnded{attempt: a, cause: err, unsent: true})
 		return
@@ -109,7 +109,7 @@
 func (a *attempt) attachConn(c *conn) bool {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if a.cancelled.Err() != nil {
+	if a.ctx.Err() != nil {
 		_ = c.Close()
 		return false
 	}
@@ -170,7 +170,7 @@
 func (a *attempt) post(m message) {
 	select {
 	case a.messages <- m:
-	case <-a.cancelled.Done():
+	case <-a.ctx.Done():
 	}
 }
 
@@ -239,7 +239,7 @@
 			a.post(attemptEnded{attempt: a, cause: err})
 			return
 		}
-		if n := len(e.content); n > smallBytes && !a.reservation.reserveWait(int64(n), a.cancelled.Done()) {
+		if n := len(e.content); n > smallBytes && !a.reservation.reserveWait(int64(n), a.ctx.Done()) {
 			return
 		}
 		a.post(eventReceived{attempt: a, event: e})
@@ -267,7 +267,7 @@
 	}
 	body, ok := a.newBody(head.ContentLength)
 	if !ok {
-		return nil, a.cancelled.Err()
+		return nil, a.ctx.Err()
 	}
 	for {
 		n, err := head.Body.Read(body[len(body):cap(body)])
@@ -282,8 +282,8 @@
 		case len(body) < cap(body):
 			continue
 		}
-		if !a.reservation.reserveWait(int64(cap(body)), a.cancelled.Done()) {
-			return nil, a.cancelled.Err()
+		if !a.reservation.reserveWait(int64(cap(body)), a.ctx.Done()) {
+			return nil, a.ctx.Err()
 		}
 		body = append(make([]byte, 0, 2*cap(body)), body...)
 	}
@@ -297,7 +297,7 @@
 	if length < smallBytes || length > maxBodyBytes {
 		return newBodyBuffer(length), true
 	}
-	if !a.reservation.reserveWait(length, a.cancelled.Done()) {
+	if !a.reservation.reserveWait(length, a.ctx.Done()) {
 		return nil, false
 	}
 	return make([]byte, 0, length+1), true // one more byte to read the end
@@ -317,7 +317,7 @@
 	return nil
 }
 
-// recordHeard records that every runner of the attempt's path that is certainly in use works.
+// recordHeard records as working every runner that the attempt certainly uses.
 func (x *exchange) recordHeard(a *attempt, now time.Time) {
 	for i := range a.path.Len() {
 		if a.provesStage(i) {
@@ -326,7 +326,7 @@
 	}
 }
 
-// markAccepted records that every runner of the path runs the request.
+// markAccepted records that every runner of the path has accepted the request.
 func (a *attempt) markAccepted() {
 	for i := range a.path.Len() {
 		a.path.Runner(i).Accepted()
--- a/transport/forward/baseline.go
+++ b/transport/forward/baseline.go
@@ -20,9 +20,10 @@
 	slowCallRatio = 3
 )
 
-// reportOpenCall reports, once for each call and before it ends, that a plain service takes too
-// long to respond. Waiting for the response would be too late: at 20 calls a second that usually
-// take 30 ms, a slow endpoint gets its next call long before it has answered the last.
+// reportOpenCall reports, at most once for each call, that a plain service takes too long to
+// respond, while the call is still open. Waiting for the response would be too late: at 20 calls a
+// second that usually take 30 ms, a slow endpoint gets its next call long before it has answered
+// the last.
 func (x *exchange) reportOpenCall(a *attempt, now time.Time) {
 	if x.service.Engine != nil || a.reportedSlow || a.sentAt.Before(x.resumedAt) {
 		return
@@ -64,7 +65,7 @@
 
 // baseline returns how long a response on a route to a plain service usually takes. Baselines are
 // kept by route because routes to one service ask for different work: an entry that has had a few
-// quick responses on one route would take those of another as slow.
+// quick responses on one route would consider those of another slow.
 func (m *slowdownMonitor) baseline(route string, initial time.Duration) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/transport/forward/baseline_test.go
+++ b/transport/forward/baseline_test.go
@@ -123,7 +123,7 @@
 			x.route.Name = "quick"
 			took := time.Millisecond
 			if i >= 6 {
-				x.route.Name, took = "usual", 20*time.Millisecond
+				x.route.Name, took = "normal", 20*time.Millisecond
 			}
 			p, found := x.pickPath(time.Now())
 			require.True(t, found)
--- a/transport/forward/budget.go
+++ b/transport/forward/budget.go
@@ -36,7 +36,8 @@
 	windows  map[string]*retry.WindowBudget
 }
 
-// start starts the budget of one of that many entries.
+// start initializes the budget of an entry that shares the limit with the given number of entries,
+// itself included.
 func (b *serviceBudgets) start(r RetryBudget, entries int, now time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -93,7 +94,8 @@
 	return w
 }
 
-// InitRetryBudget starts the retry budget of one of that many entries.
+// InitRetryBudget initializes the retry budget of an entry that shares the limit with the given
+// number of entries, itself included.
 func (f *Forwarder) InitRetryBudget(r RetryBudget, entries int, now time.Time) {
 	f.entryCount.Store(int64(entries))
 	f.retryBudgets.start(r, entries, now)
--- a/transport/forward/conn.go
+++ b/transport/forward/conn.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// usable reports whether an idle connection has received neither bytes nor its end.
+// usable reports whether an idle connection has received neither bytes nor a close.
 func (c *conn) usable() bool {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/transport/forward/crash_probe.go
+++ b/transport/forward/crash_probe.go
@@ -20,7 +20,7 @@
 // accepted it: a port that is only reserved for a process resets connections at once.
 const portProbeTime = 20 * time.Millisecond
 
-// startCrashProbe starts querying an attempt's endpoint after its work was aborted there.
+// startCrashProbe starts probing an attempt's endpoint after the attempt's work was aborted there.
 func (f *Forwarder) startCrashProbe(a *attempt, engine bool, now time.Time) {
 	f.Quarantine.RecordUnresolved(a.endpoint.Name(), a.incarnation, now)
 	f.crashProbes.Begin(&crashcheck.Suspect{
--- a/transport/forward/dispatch.go
+++ b/transport/forward/dispatch.go
@@ -40,7 +40,7 @@
 		a.passesPerLayer = 1
 	}
 	x.markIsolated(a, a.sentAt)
-	a.cancelled, a.cancel = context.WithCancel(context.Background())
+	a.ctx, a.cancel = context.WithCancel(context.Background())
 	a.request = x.encode(a)
 	for i := range a.path.Len() {
 		a.path.Runner(i).Sent(a.layerPasses(a.path.Span(i)))
--- a/transport/forward/encode.go
+++ b/transport/forward/encode.go
@@ -51,17 +51,17 @@
 }
 
 func (x *exchange) attemptTerms(a *attempt) *protocol.AttemptTerms {
-	s := &protocol.AttemptTerms{EndpointID: a.endpoint.Name(), Deadline: x.deadline, LastEvent: x.lastEvent}
+	terms := &protocol.AttemptTerms{EndpointID: a.endpoint.Name(), Deadline: x.deadline, LastEvent: x.lastEvent}
 	if x.team != nil {
-		s.Team = x.team.Name
+		terms.Team = x.team.Name
 	}
 	if x.service.Engine == nil {
-		return s
+		return terms
 	}
-	s.HasPriority = true
-	s.Priority = x.urgency()
-	s.Path = stagesOf(&a.path)
-	return s
+	terms.HasPriority = true
+	terms.Priority = x.urgency()
+	terms.Path = stagesOf(&a.path)
+	return terms
 }
 
 // stagesOf converts a path to the form that engines receive.
--- a/transport/forward/failure.go
+++ b/transport/forward/failure.go
@@ -52,7 +52,7 @@
 }
 
 // recordWorking records that something was received from a runner, and reports that to the other
-// entries if the runner was taken as lost.
+// entries if the runner was considered lost.
 func (f *Forwarder) recordWorking(r *fleet.Runner, now time.Time) {
 	f.lastHeard.Store(now.UnixNano())
 	r.Heard(now)
@@ -68,8 +68,8 @@
 	}
 }
 
-// ApplyLossReport applies what a failure or address owner report changes, and reports whether
-// that may matter to the director.
+// ApplyLossReport applies the change that a loss report or an address owner report makes, and
+// reports whether the director may need to act on it.
 func (f *Forwarder) ApplyLossReport(report loss.Report, change loss.Change) bool {
 	if _, ok := change.(loss.AddressOwnerObserved); ok {
 		return f.applyOwner(&report)
--- a/transport/forward/failure_test.go
+++ b/transport/forward/failure_test.go
@@ -39,8 +39,8 @@
 	observation protocol.LossObservation
 }
 
-// newForwarder returns a forwarder with n engines that hold the whole model each, and an exchange
-// of a stream with an attempt at the first engine chosen.
+// newForwarder returns a forwarder with n engines, each of which holds the whole model, and an
+// exchange of a stream with an open attempt at one of them.
 func newForwarder(t *testing.T, n int, reports *[]reportedFailure) (*Forwarder, *exchange) {
 	s := protocol.RoutedService{Name: "llm", Engine: &protocol.EngineSpec{
 		Layers: 10, LayerMB: 100, TokenLayerMB: 0.1, TypicalPrompt: 10, TypicalAnswer: 10, StepMS: 1, PrefillPerSecond: 1e6,
@@ -135,7 +135,7 @@
 }
 
 // TestReportErrorObservations checks which errors are reported: a refused connection is certain, a
-// timeout counts only while this entry hears other endpoints and not that one.
+// timeout counts only while this entry receives data from other endpoints and not from that one.
 func TestReportErrorObservations(t *testing.T) {
 	var reports []reportedFailure
 	f, x := newForwarder(t, 2, &reports)
@@ -146,7 +146,7 @@
 
 	reports = nil
 	f.reportError(endpoint, context.DeadlineExceeded, begun, begun.Add(time.Second))
-	require.Empty(t, reports, "this entry hears no endpoint")
+	require.Empty(t, reports, "this entry receives data from no endpoint")
 	var other *fleet.Runner
 	for _, o := range f.Registry.View().Runners() {
 		if o != endpoint {
@@ -154,7 +154,7 @@
 		}
 	}
 	f.recordWorking(other, begun.Add(time.Millisecond))
-	f.reportError(endpoint, errors.New("spoilt"), begun, begun.Add(time.Second))
+	f.reportError(endpoint, errors.New("malformed"), begun, begun.Add(time.Second))
 	require.Empty(t, reports, "the error says nothing about the endpoint")
 	f.reportError(endpoint, context.DeadlineExceeded, begun, begun.Add(time.Second))
 	require.Equal(t, []reportedFailure{{endpoint.Name(), protocol.LossSilent}}, reports)
--- a/transport/forward/fault_locator.go
+++ b/transport/forward/fault_locator.go
@@ -39,7 +39,7 @@
 
 // silentRunners handles an attempt on which nothing was received since a time. It returns the
 // runners of the path that were not heard on any other stream either, which get no new work for a
-// moment. A path whose runners were all heard lately is busy, not dead.
+// moment. A path whose runners were all heard recently is busy, not dead.
 func (l *faultLocator) silentRunners(a *attempt, since, now time.Time) []*fleet.Runner {
 	var silent []*fleet.Runner
 	for i := range a.path.Len() {
@@ -111,7 +111,7 @@
 
 // probe queries an engine that others wait for. If it does not reply either, it is likely to be
 // dead, which is then known within one query timeout instead of after the next request. If it
-// replies, it is ejected for a moment but not taken as lost.
+// replies, it is ejected for a moment but not considered lost.
 type probe struct {
 	forwarder *Forwarder
 	runner    *fleet.Runner
--- a/transport/forward/forwarder.go
+++ b/transport/forward/forwarder.go
@@ -24,7 +24,7 @@
 // HeaderCodec translates between HTTP headers and the terms that they carry.
 type HeaderCodec interface {
 	ParseRequest(h http.Header, now time.Time) protocol.RequestTerms
-	SetAttemptHeaders(h http.Header, s *protocol.AttemptTerms, now time.Time)
+	SetAttemptHeaders(h http.Header, terms *protocol.AttemptTerms, now time.Time)
 	ParseResponse(status int, h http.Header) protocol.AnswerTerms
 }
 
--- a/transport/forward/idle_test.go
+++ b/transport/forward/idle_test.go
@@ -25,9 +25,9 @@
 func TestIdleEntryDerivesNoView(t *testing.T) {
 	derived := func(busy bool) (n uint64) {
 		synctest.Test(t, func(t *testing.T) {
-			home := fleet.Entry{Name: "one", DataCenter: "a"}
-			endpoints := &registry.Registry{Entry: home}
-			f := &Forwarder{Entry: home, Registry: endpoints, Routing: &routing.Store{}, Headers: plainHeaders{}, Counters: &metric.Set{}}
+			local := fleet.Entry{Name: "one", DataCenter: "a"}
+			endpoints := &registry.Registry{Entry: local}
+			f := &Forwarder{Entry: local, Registry: endpoints, Routing: &routing.Store{}, Headers: plainHeaders{}, Counters: &metric.Set{}}
 			table, err := routing.Build(protocol.Routing{Version: 1, Services: []protocol.RoutedService{{Name: "llm", Engine: &protocol.EngineSpec{Layers: 10}}}})
 			require.NoError(t, err)
 			require.True(t, f.Routing.Offer(table))
--- a/transport/forward/misdirected.go
+++ b/transport/forward/misdirected.go
@@ -17,8 +17,8 @@
 // another process has the address of a runner of its path, or that runner does not hold its layers.
 // Unlike a refusal for lack of capacity this state lasts, so the entry reports it to all others.
 // When each entry had to find out for itself, 15 of 98 engines that had crashed and restarted
-// caused 344 such responses at twelve entries in 34 s. With reports, all 36 entries got 7 (their
-// logs, one run each).
+// caused 344 such responses at twelve entries in 34 s. With reports, all 36 entries together got 7
+// (one run each).
 func (x *exchange) handleMisdirected(m *responseReceived, now time.Time) {
 	f, a, terms := x.forwarder, m.attempt, &m.terms
 	x.avoidRefusing(m, now)
--- a/transport/forward/poll.go
+++ b/transport/forward/poll.go
@@ -111,7 +111,7 @@
 		return
 	}
 	if !report.CapacityKnown {
-		return // an engine of unknown capacity is never taken as full
+		return // an engine of unknown capacity never counts as full
 	}
 	p.runner.ReportUtilization(report.CapacityUsed, clock.Now())
 }
--- a/transport/forward/queue.go
+++ b/transport/forward/queue.go
@@ -43,7 +43,7 @@
 }
 
 // enqueue adds a request to the queue and returns its ticket and the channel of its dispatch
-// offers. If the queue refuses it, again is when the caller should retry.
+// offers. If the queue refuses the request, retryAt is when the caller should retry.
 func (q *waitQueue) enqueue(w admit.Waiter, now time.Time) (t admit.Ticket, offers chan int, retryAt time.Time, ok bool) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
--- a/transport/forward/reroute.go
+++ b/transport/forward/reroute.go
@@ -61,9 +61,9 @@
 	order     protocol.PathChangeOrder
 }
 
-func (c *pathOrder) run() {
-	answer := c.forwarder.PathChanger.ChangePath(c.attempt.cancelled, c.order)
-	c.attempt.post(pathAnswered{attempt: c.attempt, answer: answer})
+func (o *pathOrder) run() {
+	answer := o.forwarder.PathChanger.ChangePath(o.attempt.ctx, o.order)
+	o.attempt.post(pathAnswered{attempt: o.attempt, answer: answer})
 }
 
 // stallCheck asks an attempt's first engine whether the request still waits.
--- a/transport/forward/reroute_answer.go
+++ b/transport/forward/reroute_answer.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// layerPasses returns how many layer passes the attempt asks of a stage.
+// layerPasses returns how many layer passes the attempt needs at a stage.
 func (a *attempt) layerPasses(span protocol.Span) int64 {
 	return a.passesPerLayer * int64(span.Layers())
 }
--- a/transport/forward/reroute_harness_test.go
+++ b/transport/forward/reroute_harness_test.go
@@ -22,7 +22,7 @@
 	"pinerun.example/pinerun/state/routing"
 )
 
-// firstEngine stands for the first engine of every path: an order to change a path waits for an
+// firstEngine simulates the first engine of every path: an order to change a path waits for an
 // answer from the test, and a report says what the test sets.
 type firstEngine struct {
 	orders  chan protocol.PathChangeOrder
@@ -80,9 +80,9 @@
 		Layers: 9, LayerMB: 100, TokenLayerMB: 0.1, TypicalPrompt: 10, TypicalAnswer: 10, StepMS: 1, PrefillPerSecond: 1e6,
 		Accelerators: []protocol.AcceleratorSpec{{Name: "t4", MemoryMB: 2000, StepFactor: 1, ReadFactor: 1}},
 	}}
-	home := fleet.Entry{Name: "one", DataCenter: "a"}
-	s := &pathChangeHarness{t: t, engine: &firstEngine{orders: make(chan protocol.PathChangeOrder, 10), answers: make(chan protocol.PathAnswer, 10)}}
-	f := &Forwarder{Entry: home, Registry: &registry.Registry{Entry: home}, Headers: plainHeaders{}, Counters: &metric.Set{}, PathChanger: s.engine, Reporter: s.engine}
+	local := fleet.Entry{Name: "one", DataCenter: "a"}
+	h := &pathChangeHarness{t: t, engine: &firstEngine{orders: make(chan protocol.PathChangeOrder, 10), answers: make(chan protocol.PathAnswer, 10)}}
+	f := &Forwarder{Entry: local, Registry: &registry.Registry{Entry: local}, Headers: plainHeaders{}, Counters: &metric.Set{}, PathChanger: h.engine, Reporter: h.engine}
 	f.faultLocator.forwarder, f.poller.forwarder, f.slowdowns.forwarder = f, f, f // as Start does
 	f.InitRetryBudget(RetryBudget{Share: 0.2, Slack: 1000, WindowEnd: func(at time.Time) time.Time { return at.Add(10 * time.Second) }}, 1, time.Now())
 	f.Registry.SetServices([]protocol.RoutedService{service})
@@ -106,83 +106,84 @@
 	p, found := x.pickPath(time.Now())
 	require.True(t, found)
 	x.startAttempt(&p)
-	s.forwarder, s.exchange = f, x
-	return s
+	h.forwarder, h.exchange = f, x
+	return h
 }
 
 // lose marks a stage of the oldest open attempt as lost.
-func (s *pathChangeHarness) lose(stage int) {
-	x := s.exchange
+func (h *pathChangeHarness) lose(stage int) {
+	x := h.exchange
 	if len(x.open) > 0 {
 		now := time.Now()
 		x.open[0].path.Runner(stage).MarkLost(now, now.Add(time.Minute))
 		x.handleLosses(now)
 	}
-	s.recordOrder()
+	h.recordOrder()
 }
 
 // recordOrder records the order that an action caused, if any, and checks it.
-func (s *pathChangeHarness) recordOrder() {
-	if n := int(s.forwarder.Counters.Value(string(metric.PathOrders))); n > s.changes {
-		require.Equal(s.t, s.changes+1, n, "two orders at once")
-		require.False(s.t, s.ordered)
-		s.changes, s.ordered = n, true
-		o := <-s.engine.orders
-		require.Equal(s.t, "r-1", o.RequestID)
+func (h *pathChangeHarness) recordOrder() {
+	if n := int(h.forwarder.Counters.Value(string(metric.PathOrders))); n > h.changes {
+		require.Equal(h.t, h.changes+1, n, "two orders at once")
+		require.False(h.t, h.ordered)
+		h.changes, h.ordered = n, true
+		o := <-h.engine.orders
+		require.Equal(h.t, "r-1", o.RequestID)
 		at := 0
 		for _, stage := range o.Path {
-			require.Equal(s.t, at, stage.Layers.From)
+			require.Equal(h.t, at, stage.Layers.From)
 			at = stage.Layers.To
 		}
-		require.Equal(s.t, 9, at)
+		require.Equal(h.t, 9, at)
 	}
 }
 
 // answer answers the order and handles the result.
-func (s *pathChangeHarness) answer(a protocol.PathAnswer) {
-	if !s.ordered {
+func (h *pathChangeHarness) answer(a protocol.PathAnswer) {
+	if !h.ordered {
 		return
 	}
-	s.ordered = false
-	if len(s.exchange.open) == 0 {
+	h.ordered = false
+	if len(h.exchange.open) == 0 {
 		return // the order ended with its attempt
 	}
 	_, noAnswer := a.(protocol.PathUnanswered)
-	s.unresolved = s.unresolved || noAnswer
-	s.engine.answers <- a
+	h.unresolved = h.unresolved || noAnswer
+	h.engine.answers <- a
 	for {
-		m := <-s.exchange.messages
+		m := <-h.exchange.messages
 		if _, ok := m.(pathAnswered); ok {
-			s.exchange.handleMessage(m)
-			s.recordOrder()
+			h.exchange.handleMessage(m)
+			h.recordOrder()
 			return
 		}
 	}
 }
 
-// event delivers an event on the oldest open attempt.
-func (s *pathChangeHarness) event() {
-	if x := s.exchange; len(x.open) > 0 {
+// deliverEvent delivers an event on the oldest open attempt.
+func (h *pathChangeHarness) deliverEvent() {
+	if x := h.exchange; len(x.open) > 0 {
 		a := x.open[0]
 		a.head = &http.Response{StatusCode: http.StatusOK, Header: http.Header{}}
 		x.handleMessage(eventReceived{attempt: a, event: streamEvent{content: []byte("data\n\n")}})
 	}
 }
 
-// look checks the request as if a second had passed, when an unresolved order is queried.
-func (s *pathChangeHarness) look(stalled bool) {
-	x := s.exchange
-	if len(x.open) == 0 || !x.open[0].pathChange.Pending() || s.ordered {
+// checkUnresolved checks the request as if a second had passed, after which the first engine is
+// queried about an unresolved order.
+func (h *pathChangeHarness) checkUnresolved(stalled bool) {
+	x := h.exchange
+	if len(x.open) == 0 || !x.open[0].pathChange.Pending() || h.ordered {
 		return
 	}
-	s.engine.stalled = stalled
+	h.engine.stalled = stalled
 	now := time.Now().Add(time.Second)
 	x.recoverAttempt(x.open[0], lostRunners(x.open[0], now), now)
 	for {
 		m := <-x.messages
 		if _, ok := m.(stallReported); ok {
 			x.handleMessage(m)
-			s.recordOrder()
+			h.recordOrder()
 			return
 		}
 	}
@@ -190,11 +191,11 @@
 
 // check compares the load that counts at the runners with the open attempts, and checks that no
 // second attempt is open while the path of one may change.
-func (s *pathChangeHarness) check() {
-	x := s.exchange
+func (h *pathChangeHarness) check() {
+	x := h.exchange
 	if len(x.open) > 1 {
 		for _, a := range x.open {
-			require.False(s.t, a.pathChange.Pending() || a.pathChange.MayApplyLate(), "the path of one may change while another is open")
+			require.False(h.t, a.pathChange.Pending() || a.pathChange.MayApplyLate(), "the path of one may change while another is open")
 		}
 	}
 	work := map[*fleet.Runner]int64{}
@@ -210,15 +211,15 @@
 			}
 		}
 	}
-	for _, r := range s.forwarder.Registry.View().Runners() {
-		require.Equal(s.t, work[r], r.Outstanding(), r.Name())
+	for _, r := range h.forwarder.Registry.View().Runners() {
+		require.Equal(h.t, work[r], r.Outstanding(), r.Name())
 	}
 }
 
-func (s *pathChangeHarness) end() {
-	s.exchange.closeAttempts()
-	for _, r := range s.forwarder.Registry.View().Runners() {
-		require.Zero(s.t, r.Outstanding(), r.Name())
+func (h *pathChangeHarness) end() {
+	h.exchange.closeAttempts()
+	for _, r := range h.forwarder.Registry.View().Runners() {
+		require.Zero(h.t, r.Outstanding(), r.Name())
 	}
 }
 
--- a/transport/forward/reroute_test.go
+++ b/transport/forward/reroute_test.go
@@ -13,9 +13,9 @@
 	"pinerun.example/pinerun/state/fleet"
 )
 
-// TestWorkFollowsThePath draws losses, replies to orders, lost replies, reports, events and callers
-// that leave. It checks that load counts exactly where the request may run, and that a request
-// never runs on two paths.
+// TestWorkFollowsThePath generates random losses, replies to orders, lost replies, reports, events
+// and callers that leave. It checks that load counts exactly where the request may run, and that a
+// request never runs on two paths.
 func TestWorkFollowsThePath(t *testing.T) {
 	addresses := silentEngines(t)
 	rapid.Check(t, func(t *rapid.T) {
@@ -33,8 +33,8 @@
 					protocol.PathUnanswered{Cause: errNoAnswer},
 				}).Draw(t, "answer"))
 			},
-			"event": func(*rapid.T) { s.event() },
-			"look":  func(t *rapid.T) { s.look(rapid.Bool().Draw(t, "stalled")) },
+			"event": func(*rapid.T) { s.deliverEvent() },
+			"look":  func(t *rapid.T) { s.checkUnresolved(rapid.Bool().Draw(t, "stalled")) },
 			"leave": func(t *rapid.T) {
 				if rapid.IntRange(0, 9).Draw(t, "leaves") == 0 {
 					s.exchange.closeAttempts()
@@ -55,7 +55,7 @@
 	s.lose(1)
 	require.True(t, s.ordered)
 	require.Equal(t, 1, s.exchange.attempts)
-	s.event() // sent before the loss
+	s.deliverEvent() // sent before the loss
 	require.False(t, before.Runner(1).HeardAt().After(s.exchange.begun), "an event proves nothing about a stage that is being replaced")
 	require.True(t, before.Runner(2).HeardAt().After(s.exchange.begun))
 	s.answer(protocol.PathAccepted{})
@@ -64,7 +64,7 @@
 	require.NotEqual(t, before.Runner(1), a.path.Runner(1))
 	require.Equal(t, before.Runner(2), a.path.Runner(2))
 	require.Zero(t, before.Runner(1).Outstanding())
-	s.event()
+	s.deliverEvent()
 	require.WithinDuration(t, time.Now(), a.path.Runner(1).HeardAt(), time.Minute)
 }
 
@@ -131,13 +131,13 @@
 	s.lose(2)
 	s.answer(protocol.PathUnanswered{Cause: errNoAnswer})
 	require.Equal(t, 1, s.exchange.attempts)
-	s.look(false)
+	s.checkUnresolved(false)
 	require.Equal(t, 1, s.exchange.attempts, "not listed as stalled: its path may have changed")
-	s.look(true)
+	s.checkUnresolved(true)
 	require.Equal(t, 2, s.exchange.attempts)
 	require.Len(t, s.exchange.open, 1)
 	require.NotEqual(t, first, s.exchange.open[0])
-	require.Error(t, first.cancelled.Err(), "the engine sees its connection close")
+	require.Error(t, first.ctx.Err(), "the engine sees its connection close")
 }
 
 // TestSilentStageIsReplacedWithoutAlternative checks that a silent stage is replaced only if the
--- a/transport/forward/reservation.go
+++ b/transport/forward/reservation.go
@@ -43,7 +43,7 @@
 	return true
 }
 
-// reserveWait waits until n more bytes can be reserved. It reports false if end is closed first.
+// reserveWait waits until n more bytes can be reserved. It reports false if done is closed first.
 func (r *reservation) reserveWait(n int64, done <-chan struct{}) bool {
 	if r.reserve(n) {
 		return true
--- a/transport/forward/silence.go
+++ b/transport/forward/silence.go
@@ -92,8 +92,8 @@
 	x.recoverAttempt(silent, x.forwarder.faultLocator.silentRunners(silent, x.timing.lastEvent, now), now)
 }
 
-// handleLosses handles a change in the set of lost runners. An attempt whose path leads over a lost
-// runner won't receive what it waits for, so it need not fall silent first.
+// handleLosses handles a change in the set of lost runners. An attempt whose path includes a lost
+// runner will receive no further event, so it is handled without waiting for it to fall silent.
 func (x *exchange) handleLosses(now time.Time) {
 	x.reportLostEndpoints(now)
 	for _, a := range x.open {
--- a/transport/forward/slow_path.go
+++ b/transport/forward/slow_path.go
@@ -24,8 +24,8 @@
 	// 50 ms on engines with free capacity.
 	typicalFirstEvent = 100 * time.Millisecond
 	// minSpeedup is the factor by which another path must be faster for the request to be sent
-	// there, since its prompt is prefilled again. A path that is slower than usual by less falls
-	// silent for another reason.
+	// there, since its prompt is prefilled again. If a path is slowed down by less than this
+	// factor, its silence has another cause.
 	minSpeedup = 1.5
 )
 
--- a/transport/forward/slowdown.go
+++ b/transport/forward/slowdown.go
@@ -138,8 +138,8 @@
 	return time.Duration(longest * float64(time.Millisecond))
 }
 
-// ApplySlownessReport applies what a slowness report changes, and reports whether that may matter
-// to the director.
+// ApplySlownessReport applies the change that a slowness report makes, and reports whether the
+// director may need to act on it.
 func (f *Forwarder) ApplySlownessReport(report slow.Report, change slow.Change) bool {
 	r := f.Registry.View().Runner(report.Endpoint())
 	if r == nil {
@@ -161,7 +161,7 @@
 	case slow.Recovered:
 		since := r.SlowSince(now)
 		if since.IsZero() {
-			return false // it was not taken as slow
+			return false // it was not considered slow
 		}
 		r.ClearSlow()
 		f.slowdowns.untrack(r.Name())
@@ -202,7 +202,7 @@
 	m.untrackLocked(endpoint)
 }
 
-// untrackLocked is untrack for a caller that holds the mutex.
+// untrackLocked does the work of untrack. The caller holds the mutex.
 func (m *slowdownMonitor) untrackLocked(endpoint string) {
 	if _, known := m.slowUntil[endpoint]; known {
 		m.forwarder.Counters.Add(metric.EndpointsSlow, -1)
--- a/transport/forward/slowdown_harness_test.go
+++ b/transport/forward/slowdown_harness_test.go
@@ -52,12 +52,12 @@
 	return n
 }
 
-// localRelay classifies the reports of a forwarder and returns the changes to it, as the relay
-// does between entries.
+// localRelay applies the reports of a forwarder to a tracker and passes the changes back to the
+// forwarder, as the relay does between entries.
 type localRelay struct {
-	mutex      sync.Mutex
-	classifier slow.Tracker
-	number     uint64
+	mutex   sync.Mutex
+	tracker slow.Tracker
+	number  uint64
 }
 
 func (l *localRelay) deliver(f *Forwarder, report protocol.SlownessReport, at time.Time) {
@@ -67,7 +67,7 @@
 		report.Observer, report.Number = f.Entry.Name, l.number
 	}
 	r := slow.NewReport(report, at)
-	v := l.classifier.Apply(r, time.Now())
+	v := l.tracker.Apply(r, time.Now())
 	l.mutex.Unlock()
 	if _, unchanged := v.(slow.NoChange); !unchanged {
 		f.ApplySlownessReport(r, v)
--- a/transport/forward/startup.go
+++ b/transport/forward/startup.go
@@ -11,10 +11,10 @@
 )
 
 // startupTimeout is how long after an entry's start requests wait for the first routing table and
-// list of endpoints. Those arrive after 0.13 s in the median of 73 entries that start at once,
-// 0.21 s at the slowest. Most callers in that time were cut off when the previous processes of the
-// entries ended, and a refusal uses up their only retry: 391 were refused in a test run that ends
-// with all entries killed.
+// list of endpoints. Those arrive after 0.13 s in the median of 73 entries that start at once, 0.21
+// s at the slowest. Most callers in that time were cut off when the previous processes of the
+// entries ended, and a refusal uses up their only retry: without the wait, 391 were refused in a
+// test run that killed all entries at its end.
 const startupTimeout = 500 * time.Millisecond
 
 // startupGate holds requests that arrive right after the start. The zero value holds none.
--- a/transport/forward/startup_test.go
+++ b/transport/forward/startup_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestStartupGateWaits checks how long callers wait that return while an entry starts: until the
+// TestStartupGateWaits checks how long callers wait that connect while an entry starts: until the
 // entry is ready, until the gate's deadline if it does not get ready, or until the caller leaves.
 // Afterwards no caller waits.
 func TestStartupGateWaits(t *testing.T) {
--- a/transport/forward/suspension.go
+++ b/transport/forward/suspension.go
@@ -8,8 +8,8 @@
 	"pinerun.example/pinerun/internal/clock"
 )
 
-// checkSuspension notifies open requests and OnResume after the VM was suspended: their timers
-// stood still with it.
+// checkSuspension notifies open requests and OnResume after the VM was suspended, because timers do
+// not advance during a suspension.
 func (f *Forwarder) checkSuspension(now time.Time) {
 	suspended := clock.Suspended()
 	if suspended == f.suspended {
