--- a/transport/front/address_probe.go
+++ b/transport/front/address_probe.go
@@ -22,12 +22,12 @@
 // whose owner is unclear. The entry that follows no other probes at once and usually reports the
 // result to the others before they probe.
 func (f *Front) checkRecords(now time.Time) {
-	for _, n := range f.endpoints.TakeUseChanges() {
-		if !n.Used() {
+	for _, change := range f.endpoints.TakeUseChanges() {
+		if !change.Used() {
 			f.Counters.Add(metric.RecordsSuperseded, 1)
 		}
-		event.RecordSuperseded.Log(f.Logger, slog.String("endpoint", n.Endpoint()), slog.String("address", n.Address()),
-			slog.String("occupant", n.Owner()), slog.Bool("used", n.Used()))
+		event.RecordSuperseded.Log(f.Logger, slog.String("endpoint", change.Endpoint()), slog.String("address", change.Address()),
+			slog.String("occupant", change.Owner()), slog.Bool("used", change.Used()))
 	}
 	for _, e := range f.endpoints.TakeRestarted() {
 		f.recordRestart(e, 0)
@@ -53,7 +53,7 @@
 	}
 }
 
-// handleMisdirected handles that another process received an order for an endpoint. If the response
+// handleMisdirected handles an order for an endpoint that another process received. If the response
 // does not name that process, the address is probed.
 func (f *Front) handleMisdirected(endpoint string, by *director.Misdirected) {
 	if by.Owner != "" {
@@ -65,8 +65,8 @@
 	}
 }
 
-// recordRestart notes that an endpoint restarted under its ID. The revision is that of the record
-// that shows it, 0 if the endpoint's report or a list does.
+// recordRestart records that an endpoint restarted under the same ID. The revision is that of the
+// record that shows the restart, 0 if the endpoint's report or a list shows it.
 func (f *Front) recordRestart(e protocol.Endpoint, revision uint64) {
 	f.director.RecordRestart(e.ID)
 	if e.Incarnation.Known() {
--- a/transport/front/callers.go
+++ b/transport/front/callers.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// idleSlack is added to the idle limit of a caller's connection: a request that crosses the
-	// close would have to be sent again.
+	// idleSlack is added to the idle limit of a caller's connection: a request that arrives while
+	// the connection is being closed would have to be sent again.
 	idleSlack = 500 * time.Millisecond
 	// maxHeaderTimeout bounds how long a request's header may take, whatever the limit in force is.
 	maxHeaderTimeout = 30 * time.Second
--- a/transport/front/fleet.go
+++ b/transport/front/fleet.go
@@ -23,13 +23,13 @@
 	}
 	for _, u := range f.endpoints.Unusable() {
 		e := u.Endpoint()
-		d := statusFromRecord(&e)
-		d.State, d.Reason = protocol.EndpointUnusable, u.Fault()
-		s.Endpoints = append(s.Endpoints, d)
+		status := statusFromRecord(&e)
+		status.State, status.Reason = protocol.EndpointUnusable, u.Fault()
+		s.Endpoints = append(s.Endpoints, status)
 	}
-	for _, n := range f.endpoints.SupersededRecords() {
+	for _, record := range f.endpoints.SupersededRecords() {
 		s.Endpoints = append(s.Endpoints, protocol.EndpointStatus{
-			ID: n.Endpoint(), Address: n.Address(), AddressOwner: n.Owner(), State: protocol.EndpointSuperseded,
+			ID: record.Endpoint(), Address: record.Address(), AddressOwner: record.Owner(), State: protocol.EndpointSuperseded,
 		})
 	}
 	s.Waiting = f.forwarder.QueueStatus(now)
--- a/transport/front/front.go
+++ b/transport/front/front.go
@@ -38,7 +38,7 @@
 	// sweepInterval is how often the records of endpoints that vanished are checked.
 	sweepInterval = 250 * time.Millisecond
 	// recordCheckInterval is how often records are checked against the table in force. A check
-	// needs the view that is derived from the changes of the endpoints.
+	// derives a new view of the fleet if endpoints have changed, so checks are rare.
 	recordCheckInterval = time.Second
 )
 
@@ -302,10 +302,10 @@
 }
 
 // endStartupWaitIfReady lets requests be served once the table, the endpoints, the refusals and the
-// confirmation of the keys are there. Without the refusals, an entry that had just started ran work
-// that crashes endpoints. A table arrives some milliseconds before its confirmation: in between,
-// 535 callers of 83 entries that started at once were refused because their keys could not be
-// confirmed (logs of 54 s).
+// confirmation of the keys are available. Without the refusals, an entry that had just started ran
+// work that crashes endpoints. A table arrives some milliseconds before its confirmation: in
+// between, 535 callers of 83 entries that started at once were refused because their keys could not
+// be confirmed (logs of 54 s).
 func (f *Front) endStartupWaitIfReady() {
 	t := f.routing.Current()
 	if t == nil || !f.endpoints.HasList() || !f.refusals.areLoaded() || t.RequiresKey() && f.routing.ConfirmedAt().IsZero() {
@@ -314,9 +314,10 @@
 	f.forwarder.EndStartupWait()
 }
 
-// watchFailed notes that the platform did not answer a watcher or a confirmer, whichever kind it
-// asked for. Endpoint records lapse meanwhile, and the watch of endpoints may pause for longer than
-// the records count afterwards.
+// watchFailed records that the platform did not answer a watcher or a confirmer. The registry is
+// notified whatever kind of object was requested: endpoint records expire during the outage, and
+// the watch of endpoints may pause for longer after the outage than the registry keeps expired
+// records.
 func (f *Front) watchFailed(what string, err error, now time.Time) {
 	f.endpoints.MarkOutage(now)
 	f.platformFailed(what, err)
--- a/transport/front/gauges.go
+++ b/transport/front/gauges.go
@@ -20,7 +20,7 @@
 type endpointGroup struct {
 	key            groupKey
 	states         []stateCount
-	open           int64   // layer passes of this entry's requests under way there
+	open           int64   // outstanding layer passes of this entry's requests there
 	utilizationSum float64 // summed over the endpoints that new work goes to
 	serving        int     // number of endpoints that new work goes to
 }
--- a/transport/front/records_test.go
+++ b/transport/front/records_test.go
@@ -104,7 +104,7 @@
 // which is a thousand a second for a minute, and then more under ever new names.
 func TestManyUnusableRecordsAreLoggedOnceEach(t *testing.T) {
 	f := newRecordFixture(t)
-	f.list(map[string]string{"sound": "plain"})
+	f.list(map[string]string{"valid": "plain"})
 	before := f.front.endpoints.Revision()
 	for i := range 60_000 {
 		f.change(fmt.Sprint("bad-", i%100), "!layers")
@@ -119,8 +119,8 @@
 	require.Len(t, f.front.records.decodeFaults, maxRecordFaults)
 	require.Equal(t, maxRecordFaults, f.eventCount("record unusable"))
 	require.EqualValues(t, 100+2*maxRecordFaults, f.front.Counters.Value("records_unusable.layers"))
-	require.Equal(t, []string{"sound"}, f.used())
-	f.list(map[string]string{"sound": "plain"})
+	require.Equal(t, []string{"valid"}, f.used())
+	f.list(map[string]string{"valid": "plain"})
 	require.Empty(t, f.front.records.decodeFaults, "the faults of records that the list lacks are removed")
 }
 
--- a/transport/front/refusals.go
+++ b/transport/front/refusals.go
@@ -58,7 +58,7 @@
 // storedRefusal is a refusal as the platform holds it.
 type storedRefusal struct {
 	version   uint64
-	wasActive bool // it had evidence and had not lapsed when it was applied
+	wasActive bool // it had evidence and had not expired when it was applied
 }
 
 // pendingWrite is a refusal that has to be written.
@@ -247,8 +247,8 @@
 	}
 }
 
-// applyRemoval applies that an operator released some work, or that an entry removed a lapsed
-// refusal.
+// applyRemoval applies the removal of a refusal: an operator released the work, or an entry removed
+// a refusal that had expired.
 func (r *refusals) applyRemoval(work protocol.Fingerprint, now time.Time) {
 	r.mutex.Lock()
 	delete(r.stored, work)
@@ -271,8 +271,8 @@
 }
 
 // removeOneInactive removes one refusal that is no longer active, because the work has run well
-// since or was not tried for long after the refusal lapsed. Only an entry that follows no other
-// does so, and for one refusal at a time, since each removal is a call.
+// since or was not requested for a long time after the refusal expired. Only an entry that follows
+// no other does so, and for one refusal at a time, since each removal is a call.
 func (r *refusals) removeOneInactive() {
 	r.mutex.Lock()
 	// Reading the active refusals before taking the mutex missed a refusal that arrived in between.
--- a/transport/front/refusals_test.go
+++ b/transport/front/refusals_test.go
@@ -52,9 +52,9 @@
 // TestNewRefusalIsNotRemovedAsInactive delivers refusals while inactive ones are being removed. The
 // entry that all others follow read which refusals are active just before a new one arrived, then
 // found the new one among the stored refusals, took it for inactive and removed it from the
-// platform. Every entry let the work run again, which crashed three more endpoints. Seen in one of
-// 168 runs beside a load of 48: all three entries logged "work released" 0.13 s after the work was
-// refused and the platform had come back.
+// platform. Every entry let the work run again, which crashed three more endpoints. It happened in
+// one of 168 runs on a machine under a load of 48: all three entries logged "work released"
+// 0.13 s after the work was refused and the platform had come back.
 func TestNewRefusalIsNotRemovedAsInactive(t *testing.T) {
 	store := &deletionCounter{}
 	f := &Front{Counters: &metric.Set{}, Dependencies: Dependencies{Objects: store}}
--- a/transport/front/registration_test.go
+++ b/transport/front/registration_test.go
@@ -18,7 +18,7 @@
 	"pinerun.example/pinerun/transport/platform"
 )
 
-// lateStore is a store whose calls may take effect after the caller gave up on them.
+// lateStore is a store whose calls may take effect after they have timed out for the caller.
 type lateStore struct {
 	objects     map[string]protocol.Object
 	revision    uint64
@@ -168,8 +168,8 @@
 	require.EqualValues(t, 2, store.heartbeatOf(t, "me"))
 }
 
-// TestLateRemovalKeepsRenewedRecord has an entry remove a record that it has seen unchanged for
-// long. The removal takes effect after the owner of the record has renewed it.
+// TestLateRemovalKeepsRenewedRecord has an entry remove a record that has not changed for a long
+// time. The removal takes effect after the owner of the record has renewed it.
 func TestLateRemovalKeepsRenewedRecord(t *testing.T) {
 	store := newLateStore()
 	owner := newRegistration(store, "owner")
@@ -189,7 +189,7 @@
 	require.EqualValues(t, 3, store.heartbeatOf(t, "owner"))
 }
 
-// TestRenewalRecreatesRemovedRecord removes a record while a write of it is under way: the
+// TestRenewalRecreatesRemovedRecord removes a record while a write of it is in progress: the
 // condition of the write fails, and the next renewal creates the record again.
 func TestRenewalRecreatesRemovedRecord(t *testing.T) {
 	store := newLateStore()
@@ -209,7 +209,7 @@
 // entries' records, and in place of the own record.
 func TestMalformedEntryRecordsDoNotAffectOthers(t *testing.T) {
 	store := newLateStore()
-	require.NoError(t, newRegistration(store, "sound").renew(t.Context()))
+	require.NoError(t, newRegistration(store, "valid").renew(t.Context()))
 	for name, value := range map[string]string{"foreign": `"x"`, "typed": `{"beat":"seven"}`, "me": "\xff"} {
 		_, err := store.Put(t.Context(), entryKind, name, 0, []byte(value))
 		require.NoError(t, err)
@@ -222,5 +222,5 @@
 	require.True(t, r.started)
 	require.NotZero(t, store.heartbeatOf(t, "me"), "the own record is written again")
 	require.EqualValues(t, 1, r.dataCenters.Load())
-	require.Equal(t, 4, r.census.Count(time.Now()), "unreadable records count too, so that each entry's share of the limits is rather too small")
+	require.Equal(t, 4, r.census.Count(time.Now()), "unreadable records count too, so that each entry's share of the limits is too small rather than too large")
 }
--- a/transport/front/resume.go
+++ b/transport/front/resume.go
@@ -10,9 +10,9 @@
 	"pinerun.example/pinerun/internal/event"
 )
 
-// handleResume handles that the VM was suspended. As in an outage of the platform, the entry
-// received no endpoint records meanwhile, so endpoints whose records lapsed get the time to come
-// back. What was confirmed may have lapsed and is confirmed again.
+// handleResume is called after the VM was suspended. As in an outage of the platform, the entry
+// received no endpoint records meanwhile, so endpoints whose records expired are kept for a while.
+// Confirmations may have expired too, so the confirmer reads at once.
 func (f *Front) handleResume(now time.Time) {
 	event.VMSuspended.Log(f.Logger, slog.Int64("suspended_ms", clock.Suspended().Milliseconds()))
 	f.endpoints.MarkOutage(now)
--- a/transport/front/search.go
+++ b/transport/front/search.go
@@ -25,7 +25,8 @@
 }
 
 // run reads pages until one has enough entries to follow. It returns all records read since the
-// search began, and whether they are all records. A further run continues after them.
+// search began, and whether the search has covered all records. Otherwise, a further run continues
+// after the last one.
 func (s *peerSearch) run(ctx context.Context, objects Objects, self protocol.EntryRecord) (protocol.Listing, bool, error) {
 	start := justBefore(self.Name)
 	if !s.started {
--- a/transport/front/search_test.go
+++ b/transport/front/search_test.go
@@ -60,7 +60,7 @@
 	slices.SortFunc(s.records, func(a, b protocol.Object) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// TestSearchReadsEachRecordOnce draws the records, the size of a page and the searching entry, and
+// TestSearchReadsEachRecordOnce generates random records, a page size and a searching entry, and
 // runs the search until it has read all records: no record may be missing or read twice, whatever
 // each run returns.
 func TestSearchReadsEachRecordOnce(t *testing.T) {
@@ -87,8 +87,8 @@
 	})
 }
 
-// TestSearchStartsWithOwnRecord checks that the first record is the own one: an entry that restarts
-// needs it in any case.
+// TestSearchStartsWithOwnRecord checks that the first record is that of the searching entry, which
+// an entry needs after a restart.
 func TestSearchStartsWithOwnRecord(t *testing.T) {
 	s := &pagedStore{size: 5}
 	for i := range 200 {
--- a/transport/front/seed_entries.go
+++ b/transport/front/seed_entries.go
@@ -38,7 +38,7 @@
 func (r *registration) writeSeedEntries(ctx context.Context, entries []protocol.EntryRecord) {
 	var content protocol.SeedEntries
 	for _, e := range entries {
-		e.Heartbeat = 0 // changes with each renewal and does not matter here
+		e.Heartbeat = 0 // changes with each renewal, which must not cause a write here
 		content.Entries = append(content.Entries, protocol.NamedEntry{Name: e.Name, Record: e})
 	}
 	value, err := json.Marshal(content)
--- a/transport/front/sinks_test.go
+++ b/transport/front/sinks_test.go
@@ -25,8 +25,8 @@
 	return protocol.Endpoint{ID: o.Name, Service: "plain", Address: o.Name}, nil
 }
 
-// TestTableInForceHasEndpoints checks that the endpoints of a table's services are there at the
-// first moment at which the table is in force.
+// TestTableInForceHasEndpoints checks that the endpoints of a table's services are available from
+// the moment at which the table is in force.
 func TestTableInForceHasEndpoints(t *testing.T) {
 	f := &Front{
 		Counters: &metric.Set{},
@@ -57,11 +57,11 @@
 	endpoints := &endpointSink{front: f}
 	tables := &routingSink{front: f}
 	began := time.Now()
-	endpoints.Listed([]protocol.Object{{Name: "lives", Version: 1}}, began)
+	endpoints.Listed([]protocol.Object{{Name: "e1", Version: 1}}, began)
 	endpoints.Failed(errors.New("down"), began.Add(time.Second))
 	tables.Failed(errors.New("down"), began.Add(3*time.Second))
 	endpoints.Listed(nil, began.Add(3500*time.Millisecond))
-	require.Len(t, f.endpoints.Endpoints(), 1, "its record lapsed during the outage")
+	require.Len(t, f.endpoints.Endpoints(), 1, "its record expired during the outage")
 }
 
 // incarnationDecoder decodes the length of an object's value as the endpoint's incarnation.
--- a/transport/front/startup.go
+++ b/transport/front/startup.go
@@ -30,9 +30,9 @@
 )
 
 // start looks for other entries and for the record of an earlier incarnation of this entry, writes
-// its own record, and returns when to go on. A record that needs no change is renewed later,
-// because many entries start at a time. Once the entry follows a peer, the peer reports all
-// records.
+// its own record, and returns when to run the next step. A record that needs no change is renewed
+// later, because many entries start at the same time. Once the entry follows a peer, the peer
+// reports all records.
 func (r *registration) start(ctx context.Context, now time.Time) time.Time {
 	switch {
 	case !r.renewAt.IsZero() && r.front.source.Following():
@@ -96,8 +96,8 @@
 	r.applyList(ctx, list)
 }
 
-// readPeers returns records to find peers in, and whether they are all records. It reads only as
-// many pages as that takes. If the first reads found no peer, it returns an uncached list of all
+// readPeers returns records to find peers in, and whether these include every record. It reads only
+// as many pages as that takes. If the first reads found no peer, it returns an uncached list of all
 // records.
 func (r *registration) readPeers(ctx context.Context) (protocol.Listing, bool, error) {
 	objects := r.front.Dependencies.Objects
--- a/transport/front/startup_test.go
+++ b/transport/front/startup_test.go
@@ -73,8 +73,8 @@
 
 // TestStartupWaitsForRefusals delivers everything else before the refusals. An entry that had just
 // started was ready before it had read which work is refused; it ran a request that crashes
-// endpoints, and the endpoint crashed. Seen once under load, in a test that stops all entries and
-// starts them again: the caller got 502 instead of a refusal.
+// endpoints, and the endpoint crashed. In a test under load that stops all entries and starts them
+// again, the caller got 502 instead of a refusal.
 func TestStartupWaitsForRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &Front{Counters: &metric.Set{}, Dependencies: Dependencies{RoutingName: "main", Decoder: fixedDecoder{table: protocol.Routing{Version: 1}}}}
@@ -99,7 +99,7 @@
 
 // TestListBeforeStartIsApplied delivers the platform's list of refusals before anything else has
 // started. An entry could crash at startup because the list arrived before refusals.front was set.
-// Seen only in tests: the race detector reported it in 2 of 72 runs beside a load of 20.
+// The race detector reported it in 2 of 72 test runs on a machine under a load of 20.
 func TestListBeforeStartIsApplied(t *testing.T) {
 	f := &Front{Counters: &metric.Set{}}
 	f.assemble()
