--- a/transport/peer/connect.go
+++ b/transport/peer/connect.go
@@ -11,13 +11,13 @@
 )
 
 // ServeHTTP accepts a connection from a peer.
-func (m *Mesh) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (m *Mesh) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	expected := keyPrefix + m.Key
-	if subtle.ConstantTimeCompare([]byte(q.Header.Get(keyHeader)), []byte(expected)) != 1 {
+	if subtle.ConstantTimeCompare([]byte(r.Header.Get(keyHeader)), []byte(expected)) != 1 {
 		http.Error(w, "not a peer of this entry; set the same peer_key at all entries", http.StatusUnauthorized)
 		return
 	}
-	socket, err := websocket.Accept(w, q, nil)
+	socket, err := websocket.Accept(w, r, nil)
 	if err != nil {
 		return
 	}
--- a/transport/peer/members.go
+++ b/transport/peer/members.go
@@ -61,15 +61,16 @@
 	return m.table.RelayCount(time.Now())
 }
 
-// Owner returns the name of the entry that owns a piece of work: this entry if it knows no other.
+// Owner returns the name of the entry that owns a piece of work, which is this entry if it knows no
+// other.
 func (m *Mesh) Owner(work string) string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	first, ok := m.table.Owner(work, time.Now())
+	owner, ok := m.table.Owner(work, time.Now())
 	if !ok {
 		return m.Self.Name
 	}
-	return first.Name
+	return owner.Name
 }
 
 // ConfigVersion is the configuration version that a linked peer reported last.
--- a/transport/peer/mesh.go
+++ b/transport/peer/mesh.go
@@ -33,8 +33,8 @@
 	// requestedLinkTTL is how long a link that was opened for Send stays without being used.
 	requestedLinkTTL = time.Minute
 	dialTimeout      = time.Second
-	// discoveryTime is how long after its start an entry knows all others: the time for the
-	// platform's list and two heartbeats.
+	// discoveryTime is how long after its start an entry is assumed to know all others: long enough
+	// for the platform's list and two heartbeats.
 	discoveryTime = 3 * time.Second
 	// Path is the URL path at which a Mesh is served.
 	Path      = "/peer"
@@ -99,8 +99,8 @@
 	}
 }
 
-// Leave tells the peers that this entry takes no new work, so that other entries take over the work
-// that it owns.
+// Leave announces to the peers that this entry takes no new work, so that other entries take over
+// the work that it owns.
 func (m *Mesh) Leave() {
 	m.mutex.Lock()
 	m.leaving = true
@@ -178,9 +178,9 @@
 // dialMissing opens the links that are missing. The mutex is held.
 func (m *Mesh) dialMissing(now time.Time) {
 	peers := m.table.Peers(m.Self, now)
-	for _, k := range m.table.Alive(now) {
-		if now.Before(m.requested[k.Name]) && k.Name != m.Self.Name {
-			peers = append(peers, k)
+	for _, known := range m.table.Alive(now) {
+		if now.Before(m.requested[known.Name]) && known.Name != m.Self.Name {
+			peers = append(peers, known)
 		}
 	}
 	for _, p := range peers {
