--- a/transport/relay/bench_test.go
+++ b/transport/relay/bench_test.go
@@ -47,7 +47,7 @@
 	for _, e := range all {
 		e.confirmer.Close()
 	}
-	time.Sleep(time.Second) // until its last question is answered
+	time.Sleep(time.Second) // until its last request is answered
 	b.ReportAllocs()
 	for b.Loop() {
 		for _, e := range all {
--- a/transport/relay/codec.go
+++ b/transport/relay/codec.go
@@ -56,8 +56,8 @@
 }
 
 // encode returns a delta in wire form, compressed if it is long.
-func (e *deltaEncoder) encode(kind string, r mirror.Delta) (protocol.RelayDelta, error) {
-	encoded, bytes := uncompressed(kind, r)
+func (e *deltaEncoder) encode(kind string, d mirror.Delta) (protocol.RelayDelta, error) {
+	encoded, bytes := uncompressed(kind, d)
 	if bytes < minCompressSize {
 		return encoded, nil
 	}
@@ -66,9 +66,9 @@
 
 // uncompressed returns a delta in wire form without compression, and the total length of its
 // values.
-func uncompressed(kind string, r mirror.Delta) (encoded protocol.RelayDelta, bytes int) {
-	encoded = protocol.RelayDelta{Kind: kind, After: r.After, Revision: r.To, ListDiff: r.ListDiff, Snapshot: r.Snapshot}
-	for _, c := range r.Changes {
+func uncompressed(kind string, d mirror.Delta) (encoded protocol.RelayDelta, bytes int) {
+	encoded = protocol.RelayDelta{Kind: kind, After: d.After, Revision: d.To, ListDiff: d.ListDiff, Snapshot: d.Snapshot}
+	for _, c := range d.Changes {
 		change := protocol.RelayChange{Name: c.Object.Name, Version: c.Object.Version, Deleted: c.Deleted}
 		if !c.Deleted {
 			change.Value = c.Object.Value
@@ -81,32 +81,32 @@
 
 // compressCached returns a delta with its changes compressed. It reuses the result if the last
 // delta of the kind was the same.
-func (e *deltaEncoder) compressCached(r protocol.RelayDelta) (protocol.RelayDelta, error) {
+func (e *deltaEncoder) compressCached(d protocol.RelayDelta) (protocol.RelayDelta, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if latest, ok := e.compressed[r.Kind]; ok && latest.After == r.After && latest.Revision == r.Revision && latest.ListDiff == r.ListDiff && latest.Snapshot == r.Snapshot {
+	if latest, ok := e.compressed[d.Kind]; ok && latest.After == d.After && latest.Revision == d.Revision && latest.ListDiff == d.ListDiff && latest.Snapshot == d.Snapshot {
 		return latest, nil
 	}
-	if err := e.compress(&r); err != nil {
-		return r, err
+	if err := e.compress(&d); err != nil {
+		return d, err
 	}
 	if e.compressed == nil {
 		e.compressed = make(map[string]protocol.RelayDelta)
 	}
-	e.compressed[r.Kind] = r
-	return r, nil
+	e.compressed[d.Kind] = d
+	return d, nil
 }
 
 // compress replaces the changes of a delta by their compressed form. The caller holds the mutex.
-func (e *deltaEncoder) compress(r *protocol.RelayDelta) error {
-	changes, err := protocol.EncodeRelay(r.Changes)
+func (e *deltaEncoder) compress(d *protocol.RelayDelta) error {
+	changes, err := protocol.EncodeRelay(d.Changes)
 	if err != nil {
 		return err
 	}
-	if r.Packed, err = e.deflate(changes); err != nil {
+	if d.Packed, err = e.deflate(changes); err != nil {
 		return err
 	}
-	r.Changes = nil
+	d.Changes = nil
 	return nil
 }
 
@@ -130,10 +130,10 @@
 }
 
 // valueBytes returns about how many bytes a delta takes in a frame.
-func valueBytes(r *protocol.RelayDelta) int {
-	n := len(r.Packed)
-	for i := range r.Changes {
-		n += len(r.Changes[i].Value)
+func valueBytes(d *protocol.RelayDelta) int {
+	n := len(d.Packed)
+	for i := range d.Changes {
+		n += len(d.Changes[i].Value)
 	}
 	return n
 }
@@ -142,18 +142,18 @@
 var errTooLarge = errors.New("compressed delta exceeds the size limit after decompression")
 
 // decode returns the delta that a peer sent.
-func decode(r *protocol.RelayDelta) (mirror.Delta, error) {
-	delta := mirror.Delta{After: r.After, To: r.Revision, ListDiff: r.ListDiff, Snapshot: r.Snapshot}
-	changes := r.Changes
-	if len(r.Packed) > 0 {
-		decompressed, err := decompress(r.Packed)
+func decode(encoded *protocol.RelayDelta) (mirror.Delta, error) {
+	delta := mirror.Delta{After: encoded.After, To: encoded.Revision, ListDiff: encoded.ListDiff, Snapshot: encoded.Snapshot}
+	changes := encoded.Changes
+	if len(encoded.Packed) > 0 {
+		decompressed, err := decompress(encoded.Packed)
 		if err != nil {
 			return delta, err
 		}
 		changes = decompressed
 	}
 	for _, c := range changes {
-		object := protocol.Object{Kind: r.Kind, Name: c.Name, Version: c.Version, Value: c.Value}
+		object := protocol.Object{Kind: encoded.Kind, Name: c.Name, Version: c.Version, Value: c.Value}
 		delta.Changes = append(delta.Changes, protocol.Change{Object: object, Deleted: c.Deleted})
 	}
 	return delta, nil
--- a/transport/relay/codec_test.go
+++ b/transport/relay/codec_test.go
@@ -14,10 +14,10 @@
 	"pinerun.example/pinerun/state/mirror"
 )
 
-// TestDeltaRoundTrip draws deltas, both short ones and compressed ones.
+// TestDeltaRoundTrip encodes and decodes random deltas, both short ones and compressed ones.
 func TestDeltaRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		delta := mirror.Delta{After: 3, To: 9, ListDiff: rapid.Bool().Draw(t, "difference"), Snapshot: rapid.Bool().Draw(t, "whole")}
+		delta := mirror.Delta{After: 3, To: 9, ListDiff: rapid.Bool().Draw(t, "list diff"), Snapshot: rapid.Bool().Draw(t, "snapshot")}
 		for i := range rapid.IntRange(0, 5).Draw(t, "changes") {
 			o := protocol.Object{Kind: "k", Name: fmt.Sprint("o", i), Version: uint64(i + 4)}
 			gone := rapid.Bool().Draw(t, "gone")
--- a/transport/relay/confirmation.go
+++ b/transport/relay/confirmation.go
@@ -17,8 +17,8 @@
 	object protocol.Object
 }
 
-// platformStatus is what this entry tells its followers about the platform, besides changes: the
-// last confirmation, and when a call last failed.
+// platformStatus is what this entry reports to its followers about the platform, besides changes:
+// the last confirmation, and when a call last failed.
 type platformStatus struct {
 	confirmed confirmation
 	failedAt  time.Time
--- a/transport/relay/follower.go
+++ b/transport/relay/follower.go
@@ -17,17 +17,17 @@
 
 // follower is the connection of one entry that follows this one.
 type follower struct {
-	source    *Source
-	name      string
-	encoder   *deltaEncoder
-	socket    *websocket.Conn
-	known     []protocol.KindRevision // revisions that were sent
-	questions chan protocol.RelayRequest
-	readErr   chan error // receives the error that ended the reading
-
-	question         *protocol.RelayRequest // not answered yet, nil for none
+	source   *Source
+	name     string
+	encoder  *deltaEncoder
+	socket   *websocket.Conn
+	known    []protocol.KindRevision // revisions that were sent
+	requests chan protocol.RelayRequest
+	readErr  chan error // receives the error that ended the reading
+
+	request          *protocol.RelayRequest // not answered yet, nil for none
 	askedAt          time.Time
-	holdUntil        time.Time // when the question is answered at the latest
+	holdUntil        time.Time // when the request is answered at the latest
 	sentConfirmation time.Time // time of the last confirmation that was sent
 	lossesSent       uint64    // number of the last loss report that was sent
 	slownessSent     uint64    // number of the last slowness report that was sent
@@ -35,7 +35,7 @@
 	aheadVersion     uint64    // version of the confirmed object that was last sent in an answer
 }
 
-// readLoop reads the follower's questions and reports.
+// readLoop reads the follower's requests and reports.
 func (f *follower) readLoop(ctx context.Context) {
 	for {
 		_, b, err := f.socket.Read(ctx)
@@ -43,19 +43,19 @@
 			f.readErr <- err
 			return
 		}
-		a, err := protocol.DecodeRelayRequest(b)
+		request, err := protocol.DecodeRelayRequest(b)
 		if err != nil {
 			f.readErr <- err
 			return
 		}
-		f.source.receiveLosses(a.Losses, f.name)
-		f.source.receiveSlowness(a.Slow, f.name)
-		f.source.receiveWork(a.Work, f.name)
-		if a.Number == 0 {
+		f.source.receiveLosses(request.Losses, f.name)
+		f.source.receiveSlowness(request.Slow, f.name)
+		f.source.receiveWork(request.Work, f.name)
+		if request.Number == 0 {
 			continue // the message had reports only
 		}
 		select {
-		case f.questions <- a:
+		case f.requests <- request:
 		case <-ctx.Done():
 			f.readErr <- ctx.Err()
 			return
@@ -75,7 +75,7 @@
 }
 
 // serve writes changes as they come, and answers. It writes the first frame even if it is empty, to
-// tell the follower that it was accepted.
+// signal to the follower that it was accepted.
 func (f *follower) serve(ctx context.Context) error {
 	holdTimer := newHoldTimer()
 	defer holdTimer.Stop()
@@ -102,9 +102,9 @@
 		case <-slowness:
 		case <-work:
 		case <-holdTimer.C:
-		case a := <-f.questions:
+		case a := <-f.requests:
 			now := clock.Now()
-			f.question, f.askedAt = &a, now
+			f.request, f.askedAt = &a, now
 			f.holdUntil = now.Add(time.Duration(min(a.HoldMS, maxHoldMS) * float64(time.Millisecond)))
 			holdTimer.Reset(clock.Until(f.holdUntil))
 		case err := <-f.readErr:
@@ -171,10 +171,10 @@
 	}
 }
 
-// dueAnswer returns the answer to the open question once there is a newer confirmation than the
-// follower knows, or holdUntil has passed. It returns nil before that and without a question.
+// dueAnswer returns the answer to the open request once there is a newer confirmation than the
+// follower knows, or holdUntil has passed. It returns nil before that and without a request.
 func (f *follower) dueAnswer(now time.Time) *protocol.RelayAnswer {
-	if f.question == nil {
+	if f.request == nil {
 		return nil
 	}
 	c := f.source.platformStatus().confirmed
@@ -182,12 +182,12 @@
 		return nil
 	}
 	a := &protocol.RelayAnswer{
-		Number: f.question.Number, ConfirmedMS: -1, Version: c.object.Version, HeldMS: milliseconds(now.Sub(f.askedAt)),
+		Number: f.request.Number, ConfirmedMS: -1, Version: c.object.Version, HeldMS: milliseconds(now.Sub(f.askedAt)),
 	}
 	if !c.at.IsZero() {
 		a.ConfirmedMS = milliseconds(now.Sub(c.at))
 	}
-	f.question = nil
+	f.request = nil
 	f.sentConfirmation = c.at
 	return a
 }
--- a/transport/relay/follower_test.go
+++ b/transport/relay/follower_test.go
@@ -19,9 +19,9 @@
 	s := &Source{ConfirmedKind: "k", ConfirmedName: "n"}
 	f := &follower{source: s}
 	ask := func(number uint64, at time.Time) {
-		f.question, f.askedAt, f.holdUntil = &protocol.RelayRequest{Number: number}, at, at.Add(300*time.Millisecond)
+		f.request, f.askedAt, f.holdUntil = &protocol.RelayRequest{Number: number}, at, at.Add(300*time.Millisecond)
 	}
-	require.Nil(t, f.dueAnswer(asked), "no question is open")
+	require.Nil(t, f.dueAnswer(asked), "no request is open")
 
 	s.recordConfirmation(protocol.Object{}, asked.Add(-200*time.Millisecond))
 	ask(1, asked)
@@ -35,7 +35,7 @@
 
 	ask(3, asked)
 	require.Equal(t, 300.0, f.dueAnswer(asked.Add(300*time.Millisecond)).HeldMS, "the hold time has ended")
-	require.Nil(t, f.dueAnswer(asked.Add(time.Second)), "a question is answered once")
+	require.Nil(t, f.dueAnswer(asked.Add(time.Second)), "a request is answered once")
 }
 
 // TestConfirmationTimeNeverDecreases records an older confirmation after a newer one, as a slower
@@ -73,7 +73,7 @@
 // of 48 processes of these tests crashed under a load of 60, some with the stack of such a
 // follower. A program of just 40 goroutines with due timers in virtual time crashed in 3 of 3 runs
 // with the detector, in none of 3 without it and in none of 3 on one processor. With a due timer,
-// so does this test.
+// this test crashes too.
 func TestSimultaneousHoldTimersDoNotCrash(t *testing.T) {
 	synctest.Test(t, func(*testing.T) {
 		wake := make(chan struct{})
--- a/transport/relay/link.go
+++ b/transport/relay/link.go
@@ -30,7 +30,7 @@
 	// bounds the wait for an answer, which itself takes a millisecond.
 	maxHoldMS     = 500
 	answerTimeout = (maxHoldMS + 300) * time.Millisecond
-	// maxUnanswered is how many questions in a row a peer may leave unanswered. A healthy peer
+	// maxUnanswered is how many requests in a row a peer may leave unanswered. A healthy peer
 	// answers even when it knows nothing, so the connection of one that does not is dead.
 	maxUnanswered = 2
 	// connectTimeout bounds the TCP connect to a peer. A VM that is gone or unreachable does not
@@ -54,10 +54,10 @@
 
 	jitter float64 // see relay.Query
 
-	mutex        sync.Mutex
-	lastQuestion uint64 // number of the last question
-	unanswered   int    // questions in a row without an answer
-	answers      chan protocol.RelayAnswer
+	mutex       sync.Mutex
+	lastRequest uint64 // number of the last request
+	unanswered  int    // requests in a row without an answer
+	answers     chan protocol.RelayAnswer
 }
 
 // dial connects to a peer and sends a hello, which reports the known revisions and whether the peer
@@ -196,12 +196,12 @@
 }
 
 // applyDelta applies the changes of one kind.
-func (l *link) applyDelta(r *protocol.RelayDelta) error {
-	delta, err := decode(r)
+func (l *link) applyDelta(encoded *protocol.RelayDelta) error {
+	delta, err := decode(encoded)
 	if err != nil {
 		return err
 	}
-	if !l.source.mirror.Apply(r.Kind, delta) {
+	if !l.source.mirror.Apply(encoded.Kind, delta) {
 		return errGap
 	}
 	return nil
@@ -212,12 +212,12 @@
 // least its version. The peer may delay its answer for a newer confirmation until trustedUntil.
 //
 // The answer contains the age of the confirmation. That age is subtracted from the time of the
-// question plus the time for which the peer delayed the answer, not from the time of arrival,
+// request plus the time for which the peer delayed the answer, not from the time of arrival,
 // because the answer may have been in transit for long.
 func (l *link) ask(ctx context.Context, trustedUntil time.Time) confirmation {
 	ctx, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
-	number := l.nextQuestion()
+	number := l.nextRequestNumber()
 	askedAt := clock.Now()
 	hold := milliseconds(max(minHold, trustedUntil.Sub(askedAt)))
 	if err := write(ctx, l.socket, protocol.RelayRequest{Number: number, HoldMS: hold}); err != nil {
@@ -228,7 +228,7 @@
 		select {
 		case a := <-l.answers:
 			if a.Number != number {
-				continue // answer to an earlier question
+				continue // answer to an earlier request
 			}
 			l.unanswered = 0
 			c := confirmation{object: l.confirmedObject(&a)}
@@ -260,7 +260,7 @@
 	return delta.Changes[0].Object
 }
 
-// recordUnanswered counts an unanswered question, and drops the peer after maxUnanswered in a row.
+// recordUnanswered counts an unanswered request, and drops the peer after maxUnanswered in a row.
 func (l *link) recordUnanswered() {
 	l.unanswered++
 	if l.unanswered >= maxUnanswered {
@@ -269,11 +269,11 @@
 	}
 }
 
-func (l *link) nextQuestion() uint64 {
+func (l *link) nextRequestNumber() uint64 {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.lastQuestion++
-	return l.lastQuestion
+	l.lastRequest++
+	return l.lastRequest
 }
 
 // deliverAnswer passes the latest answer to the caller of ask, replacing one that nobody took.
--- a/transport/relay/losses.go
+++ b/transport/relay/losses.go
@@ -74,23 +74,23 @@
 }
 
 // apply applies a report, and keeps it to be passed on if it changes something.
-func (n *lossReports) apply(r loss.Report, from string, endpoints int, now time.Time) loss.Change {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	change := n.tracker.Apply(r, endpoints, now)
+func (l *lossReports) apply(r loss.Report, from string, endpoints int, now time.Time) loss.Change {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	change := l.tracker.Apply(r, endpoints, now)
 	if _, nothing := change.(loss.NoChange); nothing {
 		return change
 	}
-	n.log.add(r, from, now.Add(-loss.ReportTTL), 0)
+	l.log.add(r, from, now.Add(-loss.ReportTTL), 0)
 	return change
 }
 
 // since returns the reports after a number that must be sent to a peer, and the number of the last
 // report.
-func (n *lossReports) since(number uint64, peer string, now time.Time) ([]protocol.LossReport, uint64) {
-	n.mutex.Lock()
-	defer n.mutex.Unlock()
-	reports, last := n.log.since(number, peer, now.Add(-loss.ReportTTL))
+func (l *lossReports) since(number uint64, peer string, now time.Time) ([]protocol.LossReport, uint64) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	reports, last := l.log.since(number, peer, now.Add(-loss.ReportTTL))
 	var messages []protocol.LossReport
 	for _, logged := range reports {
 		r := logged.(loss.Report)
--- a/transport/relay/outage_test.go
+++ b/transport/relay/outage_test.go
@@ -17,10 +17,10 @@
 //
 // In an outage, callers were sent to engines that other entries knew to be lost, and a request that
 // crashes engines ran again and again. An entry without a peer found none until the end of the
-// outage: no peer accepted it, since the state of all was old by then. In the run that showed this,
-// six engines crashed where five are allowed, and both other entries rejected the third one from
-// the first second of the outage on. The entries' own reports do not depend on how fresh the
-// platform's objects are, so an entry is accepted for reports alone.
+// outage: no peer accepted it, since the state of all was old by then. In one run, six engines
+// crashed where five are allowed, and both other entries rejected the third one from the first
+// second of the outage on. The entries' own reports do not depend on how fresh the platform's
+// objects are, so an entry is accepted for reports alone.
 func TestFollowersReconnectForReportsInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
@@ -50,7 +50,7 @@
 }
 
 // TestNewEntryIsNotAcceptedInOutage starts an entry during an outage of the platform. If it were
-// accepted, it would take old state as current, and could not serve with it.
+// accepted, it would treat old state as current, and could not serve with it.
 func TestNewEntryIsNotAcceptedInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
--- a/transport/relay/quarantine.go
+++ b/transport/relay/quarantine.go
@@ -24,8 +24,8 @@
 const maxPendingReports = 256
 
 // Quarantine holds the reports of work that may crash its endpoint, which this entry made or
-// received, and passes them on along the relay tree as losses are. Get one from a Source, or set
-// Self before use and send what ReportsSince returns to the peers.
+// received, and passes them on along the relay tree as lossReports does. Get one from a Source, or
+// set Self before use and send what ReportsSince returns to the peers.
 type Quarantine struct {
 	Self string // name of this entry
 
@@ -38,8 +38,8 @@
 }
 
 // Report records an observation of this entry and fills in the observer. It passes the report on as
-// soon as the endpoint is confirmed to have crashed: answers break off for other reasons all the
-// time, and each report goes to every entry.
+// soon as the endpoint is confirmed to have crashed: responses are often aborted for other reasons,
+// and each report goes to every entry.
 func (q *Quarantine) Report(message protocol.WorkReport, at time.Time) {
 	message.Observer = q.Self
 	r := quarantine.NewReport(message, at)
--- a/transport/relay/quarantine_test.go
+++ b/transport/relay/quarantine_test.go
@@ -61,8 +61,8 @@
 	})
 }
 
-// TestUnconfirmedReportsAreNotSent guards against reports of every broken answer: answers break off
-// for other reasons all the time.
+// TestUnconfirmedReportsAreNotSent guards against a report of every aborted response: responses are
+// often aborted for other reasons.
 func TestUnconfirmedReportsAreNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
--- a/transport/relay/read.go
+++ b/transport/relay/read.go
@@ -23,7 +23,7 @@
 	// relay.MaxConfirmationAge. One entry of the fleet reads this often, and the others learn the
 	// result a few ms later.
 	confirmIntervalFollowed = 450 * time.Millisecond
-	// minAskInterval is the least time between two questions to a peer, which delays its answer
+	// minAskInterval is the least time between two requests to a peer, which delays its answer
 	// until it has a newer confirmation.
 	minAskInterval = 50 * time.Millisecond
 	// initialRetryDelay is when to read again after a failed call. An entry without followers
--- a/transport/relay/relay_test.go
+++ b/transport/relay/relay_test.go
@@ -400,7 +400,7 @@
 }
 
 // TestMoveToBetterPeerDoesNotCallPlatform has an entry learn of a peer that ranks before its own
-// while a question to its own peer is open.
+// while a request to its own peer is open.
 func TestMoveToBetterPeerDoesNotCallPlatform(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
--- a/transport/relay/server.go
+++ b/transport/relay/server.go
@@ -19,8 +19,8 @@
 const (
 	// helloTimeout bounds the wait for a follower's first frame.
 	helloTimeout = time.Second
-	// maxQueuedQuestions bounds the unread questions of a follower, which asks one at a time.
-	maxQueuedQuestions = 4
+	// maxQueuedRequests bounds the unread requests of a follower, which asks one at a time.
+	maxQueuedRequests = 4
 )
 
 // Server passes the state of a Source on to the entries that follow it. A follower must present the
@@ -42,16 +42,16 @@
 )
 
 // ServeHTTP serves one follower until its connection ends.
-func (s *Server) ServeHTTP(w http.ResponseWriter, q *http.Request) {
-	s.Source.selector.awaitStart(q.Context()) // the key that was used before a restart may become known
-	want := keyPrefix + s.Source.key()
-	if subtle.ConstantTimeCompare([]byte(q.Header.Get(keyHeader)), []byte(want)) != 1 {
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	s.Source.selector.awaitStart(r.Context()) // the key that was used before a restart may become known
+	expected := keyPrefix + s.Source.key()
+	if subtle.ConstantTimeCompare([]byte(r.Header.Get(keyHeader)), []byte(expected)) != 1 {
 		http.Error(w, "not the key of this entry's record; read the record anew", http.StatusUnauthorized)
 		return
 	}
-	socket, err := websocket.Accept(w, q, nil)
+	socket, err := websocket.Accept(w, r, nil)
 	if err != nil {
-		event.FrameBroken.Log(s.Source.Logger, slog.String("peer", q.RemoteAddr), slog.String("cause", err.Error()))
+		event.FrameBroken.Log(s.Source.Logger, slog.String("peer", r.RemoteAddr), slog.String("cause", err.Error()))
 		return
 	}
 	defer socket.CloseNow()
@@ -62,7 +62,7 @@
 		case errors.Is(err, errStale):
 			_ = socket.Close(closeStale, err.Error())
 		}
-		event.FollowerGone.Log(s.Source.Logger, slog.String("peer", q.RemoteAddr), slog.String("cause", err.Error()))
+		event.FollowerGone.Log(s.Source.Logger, slog.String("peer", r.RemoteAddr), slog.String("cause", err.Error()))
 	}
 }
 
@@ -82,7 +82,7 @@
 	defer source.followers.Add(-1)
 	f := &follower{
 		source: source, name: hello.Name, encoder: &s.encoder, socket: socket, known: hello.Known,
-		questions: make(chan protocol.RelayRequest, maxQueuedQuestions), readErr: make(chan error, 1),
+		requests: make(chan protocol.RelayRequest, maxQueuedRequests), readErr: make(chan error, 1),
 	}
 	go f.readLoop(ctx)
 	return f.serve(ctx)
--- a/transport/relay/slowness.go
+++ b/transport/relay/slowness.go
@@ -53,31 +53,31 @@
 
 // nextNumber returns the number of this entry's next report. It is at least the current time in
 // nanoseconds, so that the reports of a restarted entry have higher numbers than those before.
-func (p *slownessReports) nextNumber() uint64 {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.lastNumber = max(p.lastNumber+1, uint64(time.Now().UnixNano()))
-	return p.lastNumber
+func (s *slownessReports) nextNumber() uint64 {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.lastNumber = max(s.lastNumber+1, uint64(time.Now().UnixNano()))
+	return s.lastNumber
 }
 
 // apply applies a report, and keeps it to be passed on if it changes something.
-func (p *slownessReports) apply(r slow.Report, from string, now time.Time) slow.Change {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	change := p.tracker.Apply(r, now)
+func (s *slownessReports) apply(r slow.Report, from string, now time.Time) slow.Change {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	change := s.tracker.Apply(r, now)
 	if _, nothing := change.(slow.NoChange); nothing {
 		return change
 	}
-	p.log.add(r, from, now.Add(-slow.ReportTTL), maxSlownessReports)
+	s.log.add(r, from, now.Add(-slow.ReportTTL), maxSlownessReports)
 	return change
 }
 
 // since returns the reports after a number that must be sent to a peer, and the number of the last
 // report.
-func (p *slownessReports) since(number uint64, peer string, now time.Time) ([]protocol.SlownessReport, uint64) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	reports, last := p.log.since(number, peer, now.Add(-slow.ReportTTL))
+func (s *slownessReports) since(number uint64, peer string, now time.Time) ([]protocol.SlownessReport, uint64) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	reports, last := s.log.since(number, peer, now.Add(-slow.ReportTTL))
 	var messages []protocol.SlownessReport
 	for _, r := range reports {
 		messages = append(messages, r.(slow.Report).Message(now))
--- a/transport/relay/source.go
+++ b/transport/relay/source.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Package relay lets entries learn the state of the platform's objects from one another, so that
-// only one of them calls the platform all the time.
+// only one of them calls the platform continuously.
 //
 // A Source stands between the watchers and the platform. While it follows a peer, it answers lists
 // and watches with what the peer sends, and a read that confirms an object asks the peer how fresh
@@ -54,8 +54,8 @@
 	ConfirmedName string
 	Counters      *metric.Set
 	Logger        *slog.Logger
-	// OnPlatformFailure is called when the followed peer says that the platform did not answer it,
-	// with the time of that failure.
+	// OnPlatformFailure is called with the time of the failure when the followed peer reports that
+	// the platform did not answer it.
 	OnPlatformFailure func(at time.Time)
 	// EndpointCount returns how many endpoints are known; nil means none. OnLossChange is called
 	// with what a report of a lost endpoint changes; nil for no call.
@@ -119,7 +119,7 @@
 // Revision returns the revision up to which a kind is known, 0 for none.
 func (s *Source) Revision(kind string) uint64 { return s.mirror.Revision(kind) }
 
-// ApplyList takes a list of a kind that has no watcher, to be passed on.
+// ApplyList stores a list of a kind that has no watcher, so that it is passed on to followers.
 func (s *Source) ApplyList(kind string, l protocol.Listing) { s.mirror.ApplyList(kind, l) }
 
 // SetKey sets the key that this entry's record had before a restart.
--- a/transport/relay/start.go
+++ b/transport/relay/start.go
@@ -49,7 +49,7 @@
 
 // stillStarting reports whether the start period continues after a search, and ends it otherwise.
 // Only a search of all records shows that there is no peer to follow: records that arrived after it
-// had begun were not tried. An entry that wrongly takes itself to be alone lists for itself (4
+// had begun were not tried. An entry that wrongly concludes that it is alone lists for itself (4
 // lists instead of 2 by four entries, in 15 of 32 starts with up to 30 ms between search and
 // decision).
 func (s *peerSelector) stillStarting(result searchResult, now time.Time) bool {
--- a/transport/relay/start_test.go
+++ b/transport/relay/start_test.go
@@ -16,7 +16,7 @@
 // TestStartPeriodLastsUntilAllRecordsAreTried gives an entry the records of all others just after
 // its first search, which had no records.
 //
-// It guards against needless lists: of four entries that started at once, two listed each kind
+// It guards against unnecessary lists: of four entries that started at once, two listed each kind
 // where one lists for all. The second had no records when it searched, got all of them a moment
 // later, and concluded that it could reach none of them. A fleet of four made 4 lists instead of 2
 // in one of some 150 starts, 2.9 s after the start. With a pause of up to 30 ms between search and
--- a/transport/relay/store_test.go
+++ b/transport/relay/store_test.go
@@ -97,30 +97,30 @@
 var errCut = platform.NewUnavailable(errors.New("cut off"))
 
 // cutOff makes every call of the entry fail from now on.
-func (o *platformClient) cutOff() {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	o.cut = true
+func (p *platformClient) cutOff() {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.cut = true
 }
 
-func (o *platformClient) call() error {
-	o.mutex.Lock()
-	cut := o.cut
-	o.mutex.Unlock()
-	o.store.mutex.Lock()
-	defer o.store.mutex.Unlock()
-	o.store.calls[o.name]++
-	if cut || o.store.down {
+func (p *platformClient) call() error {
+	p.mutex.Lock()
+	cut := p.cut
+	p.mutex.Unlock()
+	p.store.mutex.Lock()
+	defer p.store.mutex.Unlock()
+	p.store.calls[p.name]++
+	if cut || p.store.down {
 		return errCut
 	}
 	return nil
 }
 
-func (o *platformClient) List(context.Context, string) (protocol.Listing, error) {
-	if err := o.call(); err != nil {
+func (p *platformClient) List(context.Context, string) (protocol.Listing, error) {
+	if err := p.call(); err != nil {
 		return protocol.Listing{}, err
 	}
-	s := o.store
+	s := p.store
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	l := protocol.Listing{Revision: s.revision}
@@ -130,13 +130,13 @@
 	return l, nil
 }
 
-func (o *platformClient) Watch(ctx context.Context, _ string, after uint64, wait time.Duration) (protocol.Changes, error) {
-	if err := o.call(); err != nil {
+func (p *platformClient) Watch(ctx context.Context, _ string, after uint64, wait time.Duration) (protocol.Changes, error) {
+	if err := p.call(); err != nil {
 		return protocol.Changes{}, err
 	}
 	t := time.NewTimer(wait)
 	defer t.Stop()
-	s := o.store
+	s := p.store
 	for {
 		s.mutex.Lock()
 		c := protocol.Changes{Revision: s.revision}
@@ -166,13 +166,13 @@
 	}
 }
 
-func (o *platformClient) Get(_ context.Context, _, name string) (protocol.Object, error) {
-	if err := o.call(); err != nil {
+func (p *platformClient) Get(_ context.Context, _, name string) (protocol.Object, error) {
+	if err := p.call(); err != nil {
 		return protocol.Object{}, err
 	}
-	o.store.mutex.Lock()
-	defer o.store.mutex.Unlock()
-	object, ok := o.store.objects[name]
+	p.store.mutex.Lock()
+	defer p.store.mutex.Unlock()
+	object, ok := p.store.objects[name]
 	if !ok {
 		return protocol.Object{}, platform.NewNotFound(kind, name)
 	}
