--- a/transport/watch/confirm.go
+++ b/transport/watch/confirm.go
@@ -35,7 +35,7 @@
 	Relinked() <-chan struct{}
 }
 
-// Confirmer reads one object again and again, at the times that its Source gives, because a watch
+// Confirmer reads one object repeatedly, at the times that its Source gives, because a watch
 // without changes can't tell how fresh its state is. When a read fails, and when reads succeed
 // again, it restarts the Watchers, since their calls may hang on a broken connection. It does not
 // restart them while they receive their changes from a peer.
@@ -54,8 +54,8 @@
 // Start begins to read.
 func (c *Confirmer) Start() { go c.run() }
 
-// Wake makes the Confirmer read at once. It is for a VM that was suspended: the timer stood still,
-// and the last confirmation may have expired.
+// Wake makes the Confirmer read at once. It is called after the VM was suspended: the timer did not
+// advance, and the last confirmation may have expired.
 func (c *Confirmer) Wake() { c.wakeSignal.Broadcast() }
 
 // Close stops the Confirmer.
--- a/transport/watch/watch.go
+++ b/transport/watch/watch.go
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
-// Package watch keeps up with the objects of one kind in the platform, and reads one of them again
-// and again to know how fresh that state is.
+// Package watch follows the objects of one kind in the platform, and reads one of them repeatedly
+// to know how fresh that state is.
 //
 // A Watcher lists the objects, then waits for changes from that revision on. It lists again when
 // the platform's history no longer reaches back to its revision, and when the platform did not
@@ -38,7 +38,7 @@
 	minBatchDelay      = 80 * time.Millisecond
 	maxBatchDelay      = 500 * time.Millisecond
 	// startPeriod is how long after its start a watcher waits startDelayFactor times as long after
-	// a change, since the whole fleet may be starting with it.
+	// a change, since the whole fleet may be starting at the same time.
 	startPeriod      = 8 * time.Second
 	startDelayFactor = 4
 	// initialRetryDelay and maxRetryDelay bound the wait after a failed call. A Confirmer ends that
@@ -67,7 +67,7 @@
 	Source Source
 	Kind   string
 	Sink   Sink
-	// EntryCount returns how many entries call the platform alike; nil counts as one.
+	// EntryCount returns how many entries call the platform in the same way; nil counts as one.
 	EntryCount func() int
 
 	done       lifecycle.Done
