--- a/explain/summary.go
+++ b/explain/summary.go
@@ -29,17 +29,17 @@
 
 // Interval holds the counts of one time interval.
 type Interval struct {
-	From     time.Time
-	Sent     int // attempts
-	NotRun   int // attempts that engines reported as not run
-	Held     int // requests that waited for capacity in vain
-	Answered int
-	Refused  int
-	Cut      int // aborted streams
-	Left     int // callers that closed the connection first
-	Calls    int // to the platform
-	Failed   int // calls that were refused or not answered
-	WaitMS   int64
+	From            time.Time
+	Sent            int // attempts
+	NotRun          int // attempts that engines reported as not run
+	WaitFailed      int // requests that waited for capacity in vain
+	Answered        int
+	Refused         int
+	Cut             int // aborted streams
+	Left            int // callers that closed the connection first
+	Calls           int // to the platform
+	Failed          int // calls that were refused or not answered
+	MaxFirstEventMS int64
 }
 
 // Tally is a name and how often it occurred.
@@ -118,10 +118,10 @@
 	case event.AttemptNotRun.Number():
 		p.NotRun++
 	case event.QueueWaitFailed.Number():
-		p.Held++
+		p.WaitFailed++
 	case event.RequestAnswered.Number():
 		p.Answered++
-		p.WaitMS = max(p.WaitMS, l.FirstMS)
+		p.MaxFirstEventMS = max(p.MaxFirstEventMS, l.FirstMS)
 	case event.RequestRefused.Number():
 		p.Refused++
 	case event.StreamCut.Number():
@@ -166,7 +166,7 @@
 	for i := range s.intervals {
 		p := &s.intervals[i]
 		fmt.Fprintf(&b, "%-12s %6d %8d %8d %9d %8d %5d %6d %9d %6d %7d\n", p.From.UTC().Format("15:04:05.0"),
-			p.Sent, p.NotRun, p.Held, p.Answered, p.Refused, p.Cut, p.Left, p.WaitMS, p.Calls, p.Failed)
+			p.Sent, p.NotRun, p.WaitFailed, p.Answered, p.Refused, p.Cut, p.Left, p.MaxFirstEventMS, p.Calls, p.Failed)
 	}
 	writeTallies(&b, "how requests failed", s.causes)
 	writeTallies(&b, "engines that did not run requests", s.faults[:min(maxListed, len(s.faults))])
--- a/explain/summary_test.go
+++ b/explain/summary_test.go
@@ -51,8 +51,8 @@
 	require.Equal(t, 2, first.Sent)
 	require.Equal(t, 1, first.NotRun)
 	require.Zero(t, first.Answered)
-	require.Equal(t, [5]int{1, 1, 1, 1, 1}, [5]int{second.Answered, second.Refused, second.Held, second.Left, second.Cut})
-	require.EqualValues(t, 1400, second.WaitMS)
+	require.Equal(t, [5]int{1, 1, 1, 1, 1}, [5]int{second.Answered, second.Refused, second.WaitFailed, second.Left, second.Cut})
+	require.EqualValues(t, 1400, second.MaxFirstEventMS)
 	require.Equal(t, []explain.Tally{{Name: "10.0.0.2:80", Count: 1}}, s.Faults())
 	require.Equal(t, []explain.Tally{
 		{Name: "caller left before the first event", Count: 1}, {Name: "refused: queue_full", Count: 1}, {Name: "stream cut: stage_failed", Count: 1},
