--- a/explain/broken_work.go
+++ b/explain/broken_work.go
@@ -25,8 +25,8 @@
 }
 
 // tallies returns the fingerprints whose attempts broke at several endpoints, in descending
-// order of their number. One that broke at a single endpoint is left out: many requests are at
-// an endpoint when it crashes.
+// order of the number of endpoints. It excludes those that broke at a single endpoint: many
+// requests run at an endpoint when it crashes.
 func (b *brokenWork) tallies() []Tally {
 	counts := make(map[string]int)
 	for f, at := range b.endpoints {
