--- a/protocol/config.go
+++ b/protocol/config.go
@@ -79,8 +79,8 @@
 	return time.Duration(m.TokenIntervalMS) * time.Millisecond
 }
 
-// Service is an HTTP service that is not a model engine. Repeatable reports whether
-// its calls may be retried when the caller does not say.
+// Service is an HTTP service that is not a model engine. Repeatable is whether its
+// calls may be retried if the caller does not specify it.
 type Service struct {
 	Name       string            `json:"name" validate:"required"`
 	Repeatable bool              `json:"repeatable"`
--- a/protocol/loss.go
+++ b/protocol/loss.go
@@ -8,7 +8,7 @@
 // The observations of a loss.
 const (
 	LossRefused  LossObservation = iota + 1 // its port refused a connection, so the process is gone
-	LossSilent                              // it did not answer a probe that takes a few ms
+	LossSilent                              // it did not answer a probe, which normally takes a few milliseconds
 	LossAnswered                            // it answered after all
 	LossMismatch                            // another process answers at its address, or it holds other layers than its record says
 )
--- a/protocol/work.go
+++ b/protocol/work.go
@@ -9,9 +9,9 @@
 
 // The observations of work.
 const (
-	WorkBroke             WorkObservation = iota + 1 // its answer broke off or went silent soon after it began to run there
+	WorkBroke             WorkObservation = iota + 1 // its answer was aborted or went silent soon after it began to run there
 	WorkRan                                          // it ran there and the endpoint survived
-	WorkIsolatedRun                                  // the entry runs it there alone to find out whether it crashes the endpoint
+	WorkIsolatedRun                                  // the entry runs it there without other work, to find out whether it crashes the endpoint
 	WorkIsolatedRunOver                              // the isolated run is over
 	WorkBrokeAtLaterStage                            // it waited for that endpoint, a later stage of its path, when the endpoint was lost
 )
