--- a/capacity/capacity.go
+++ b/capacity/capacity.go
@@ -103,8 +103,8 @@
 type PointsError struct{ problem string }
 
 // Error returns the problem and its remedy.
-func (b *PointsError) Error() string {
-	return "points: " + b.problem + "; give lines of slope,x,y with every slope of 'pinerun capacity'"
+func (e *PointsError) Error() string {
+	return "points: " + e.problem + "; give lines of slope,x,y with every slope of 'pinerun capacity'"
 }
 
 // Read reads a CSV file of points with the columns slope, x and y. It returns the points by
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -72,7 +72,7 @@
 func Suspended() time.Duration { return time.Duration(suspended.Load()).Truncate(suspensionUnit) }
 
 // Refresh asks the kernel how long the VM was suspended. Now calls it when the wall clock has
-// moved; it needs an explicit call on a VM whose wall clock is set by hand.
+// moved; call it explicitly on a VM whose wall clock is set manually.
 func Refresh() { raiseSuspended(int64(bootOffset() - startOffset)) }
 
 // raiseSuspended records the total suspended time. The recorded value never decreases.
--- a/internal/metric/text.go
+++ b/internal/metric/text.go
@@ -37,18 +37,18 @@
 }
 
 // writeText writes the percentiles and the count of the histogram, in seconds.
-func (t *Histogram) writeText(w io.Writer, name string) error {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if t.histogram == nil {
+func (h *Histogram) writeText(w io.Writer, name string) error {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	if h.histogram == nil {
 		return nil
 	}
 	for _, q := range quantiles {
-		seconds := float64(t.histogram.ValueAtQuantile(q)) / 1e6
+		seconds := float64(h.histogram.ValueAtQuantile(q)) / 1e6
 		if _, err := fmt.Fprintf(w, "%s%s_seconds{quantile=\"%g\"} %g\n", prefix, name, q/100, seconds); err != nil {
 			return err
 		}
 	}
-	_, err := fmt.Fprintf(w, "%s%s_seconds_count %d\n", prefix, name, t.histogram.TotalCount())
+	_, err := fmt.Fprintf(w, "%s%s_seconds_count %d\n", prefix, name, h.histogram.TotalCount())
 	return err
 }
--- a/internal/metric/times.go
+++ b/internal/metric/times.go
@@ -22,13 +22,13 @@
 }
 
 // Record adds a duration, with microsecond resolution.
-func (t *Histogram) Record(d time.Duration) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if t.histogram == nil {
-		t.histogram = hdrhistogram.New(1, maxMicroseconds, significantDigits)
+func (h *Histogram) Record(d time.Duration) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	if h.histogram == nil {
+		h.histogram = hdrhistogram.New(1, maxMicroseconds, significantDigits)
 	}
-	_ = t.histogram.RecordValue(min(max(1, d.Microseconds()), maxMicroseconds))
+	_ = h.histogram.RecordValue(min(max(1, d.Microseconds()), maxMicroseconds))
 }
 
 // AddTo merges the recorded durations into a histogram of microseconds.
@@ -72,15 +72,15 @@
 }
 
 // Summary returns the current summary.
-func (t *Histogram) Summary() Summary {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if t.histogram == nil {
+func (h *Histogram) Summary() Summary {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	if h.histogram == nil {
 		return Summary{}
 	}
 	return Summary{
-		Count: t.histogram.TotalCount(),
-		P50:   float64(t.histogram.ValueAtQuantile(50)) / 1000,
-		P95:   float64(t.histogram.ValueAtQuantile(95)) / 1000,
+		Count: h.histogram.TotalCount(),
+		P50:   float64(h.histogram.ValueAtQuantile(50)) / 1000,
+		P95:   float64(h.histogram.ValueAtQuantile(95)) / 1000,
 	}
 }
