--- a/slow_callers_test.go
+++ b/slow_callers_test.go
@@ -44,10 +44,10 @@
 // team must be complete. Once the slow callers are identified, the data that waits for them,
 // sockets included, must be within its limit.
 //
-// The test guards against unaccounted socket buffers. Writers without room in the budget blocked
-// in their socket's write for as long as the caller did not read, and no account included what
-// their sockets held: 75 MB in 1,500 sockets stayed there during the 4 s of the observation, where
-// 46 MB are allowed for all held data.
+// The test guards against unaccounted socket buffers. Once the budget was used up, writers blocked
+// in the write to their socket for as long as the caller did not read, and the budget did not include
+// the data in their sockets: 1,500 sockets held 75 MB for the 4 s of the observation, where 46 MB are
+// allowed for all buffered data.
 func TestTwoThousandSlowCallersStayWithinMemory(t *testing.T) {
 	store := platformtest.NewStore(t)
 	table := platformtest.RoutingTable(1, "key")
