--- a/standin/platform.go
+++ b/standin/platform.go
@@ -229,8 +229,8 @@
 func (p *Platform) put(k objectKey, want uint64, value []byte) (uint64, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if held := p.objects[k].Version; held != want {
-		return held, false
+	if current := p.objects[k].Version; current != want {
+		return current, false
 	}
 	if p.objects == nil {
 		p.objects = map[objectKey]protocol.Object{}
@@ -270,7 +270,7 @@
 	want, ok := expectedVersion(q)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if held := p.objects[keyOf(q)].Version; !ok || held != want {
+	if current := p.objects[keyOf(q)].Version; !ok || current != want {
 		http.Error(w, "the version is another", http.StatusPreconditionFailed)
 		return
 	}
--- a/standin/runner_batch.go
+++ b/standin/runner_batch.go
@@ -91,14 +91,14 @@
 	}
 	replies := map[*runnerConn][]protocol.Reply{}
 	r.mutex.Lock()
-	mangle := r.replyFaults
+	faults := r.replyFaults
 	for i := range batch {
 		reply := r.step(&batch[i].step)
 		replies[batch[i].conn] = append(replies[batch[i].conn], reply)
 	}
 	r.mutex.Unlock()
 	for c, rs := range replies {
-		c.send(rs, mangle)
+		c.send(rs, faults)
 	}
 }
 
