--- a/soak/callers_test.go
+++ b/soak/callers_test.go
@@ -20,7 +20,7 @@
 // deadline is the deadline of a request, after which its caller gives up.
 const deadline = 6 * time.Second
 
-// The kinds of calls, named after the routes of platformtest.Table: calls that must not
+// The kinds of calls, named after the routes of platformtest.RoutingTable: calls that must not
 // run twice, calls that may, and calls with a streamed answer.
 const (
 	nonIdempotent = "once"
--- a/soak/crash_work_test.go
+++ b/soak/crash_work_test.go
@@ -90,22 +90,22 @@
 
 // checkCrashWork sends crashWork to every entry until all refuse it. After that it must not run
 // again.
-func (rec *recovery) checkCrashWork() {
-	tb := rec.testbed
+func (r *recovery) checkCrashWork() {
+	tb := r.testbed
 	before := tb.crashWorkRuns()
 	refused := func() bool {
 		all := true
 		for _, e := range tb.entries {
-			q := rec.sendWork(e, stream, permanentKey, crashWork)
+			q := r.sendWork(e, stream, permanentKey, crashWork)
 			all = all && strings.Contains(q.body, crashRefusal)
 		}
 		return all
 	}
-	if !rec.within(recoveryBound, "every entry refuses work that crashes engines", refused) {
+	if !r.within(recoveryBound, "every entry refuses work that crashes engines", refused) {
 		return
 	}
 	ran := tb.crashWorkRuns()
-	rec.crashWorkRuns = ran - before
+	r.crashWorkRuns = ran - before
 	if ran > before+maxCrashWorkRuns+len(tb.entries) {
 		tb.reportProblem("work that crashes engines ran %d times after the fault injection", ran-before)
 	}
@@ -117,7 +117,7 @@
 	if repeated := tb.crashWorkRuns(); repeated != ran {
 		tb.reportProblem("refused work ran %d more times", repeated-ran)
 	}
-	rec.within(recoveryBound, "every entry serves again after the last crash", rec.allServe)
+	r.within(recoveryBound, "every entry serves again after the last crash", r.allServe)
 }
 
 // checkOtherWork checks that no other work was refused for crashing engines.
--- a/soak/recovery_test.go
+++ b/soak/recovery_test.go
@@ -25,50 +25,50 @@
 	crashWorkRuns int // how often crashWork ran during recovery
 }
 
-func (rec *recovery) run() {
-	tb := rec.testbed
-	if !rec.within(recoveryBound, "every entry serves again", rec.allServe) {
+func (r *recovery) run() {
+	tb := r.testbed
+	if !r.within(recoveryBound, "every entry serves again", r.allServe) {
 		return
 	}
 	time.Sleep(settleTime)
-	rec.checkTable()
-	rec.checkDrain()
-	rec.checkCrashWork()
-	rec.checkStop()
-	tb.checkAnswers(rec.calls)
+	r.checkTable()
+	r.checkDrain()
+	r.checkCrashWork()
+	r.checkStop()
+	tb.checkAnswers(r.calls)
 }
 
 // within waits for a condition and reports a problem if it isn't met within a bound.
-func (rec *recovery) within(bound time.Duration, what string, met func() bool) bool {
+func (r *recovery) within(bound time.Duration, what string, met func() bool) bool {
 	for end := time.Now().Add(bound + schedulingSlack); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		if met() {
 			return true
 		}
 	}
-	rec.testbed.reportProblem("not within %v: %s", bound, what)
+	r.testbed.reportProblem("not within %v: %s", bound, what)
 	return false
 }
 
-func (rec *recovery) sendRequest(e *entry, kind, key string) *call {
-	return rec.sendWork(e, kind, key, "")
+func (r *recovery) sendRequest(e *entry, kind, key string) *call {
+	return r.sendWork(e, kind, key, "")
 }
 
 // sendWork sends a request for shared work, or for work unique to it if work is "".
-func (rec *recovery) sendWork(e *entry, kind, key, work string) *call {
-	rec.seq++
-	q := &call{id: fmt.Sprint("calm-", rec.seq), work: work, kind: kind, key: key, entry: e, sent: time.Now()}
+func (r *recovery) sendWork(e *entry, kind, key, work string) *call {
+	r.seq++
+	q := &call{id: fmt.Sprint("calm-", r.seq), work: work, kind: kind, key: key, entry: e, sent: time.Now()}
 	t := &http.Transport{DisableKeepAlives: true}
 	do(&http.Client{Transport: t}, q, deadline)
-	rec.calls = append(rec.calls, q)
+	r.calls = append(r.calls, q)
 	return q
 }
 
 func answered(q *call) bool { return q.status == http.StatusOK && q.err == nil }
 
-func (rec *recovery) allServe() bool {
-	for _, e := range rec.testbed.entries {
+func (r *recovery) allServe() bool {
+	for _, e := range r.testbed.entries {
 		for _, kind := range kinds {
-			if !e.isReady() || !answered(rec.sendRequest(e, kind, permanentKey)) {
+			if !e.isReady() || !answered(r.sendRequest(e, kind, permanentKey)) {
 				return false
 			}
 		}
@@ -78,26 +78,26 @@
 
 // checkTable changes the table and waits until every entry applies it. After that no entry may
 // apply an older one.
-func (rec *recovery) checkTable() {
+func (r *recovery) checkTable() {
 	allReturn := func(status int) func() bool {
 		return func() bool {
-			for _, e := range rec.testbed.entries {
-				if rec.sendRequest(e, idempotent, spareKey).status != status {
+			for _, e := range r.testbed.entries {
+				if r.sendRequest(e, idempotent, spareKey).status != status {
 					return false
 				}
 			}
 			return true
 		}
 	}
-	rec.testbed.changeTable(permanentKey, spareKey)
-	rec.within(configBound, "every entry accepts a granted key", allReturn(http.StatusOK))
-	rec.testbed.changeTable(permanentKey)
-	if !rec.within(configBound, "every entry refuses a revoked key", allReturn(http.StatusUnauthorized)) {
+	r.testbed.changeTable(permanentKey, spareKey)
+	r.within(configBound, "every entry accepts a granted key", allReturn(http.StatusOK))
+	r.testbed.changeTable(permanentKey)
+	if !r.within(configBound, "every entry refuses a revoked key", allReturn(http.StatusUnauthorized)) {
 		return
 	}
 	for range 5 {
 		if !allReturn(http.StatusUnauthorized)() {
-			rec.testbed.reportProblem("an entry applied an older table again")
+			r.testbed.reportProblem("an entry applied an older table again")
 			return
 		}
 	}
@@ -105,8 +105,8 @@
 
 // checkDrain drains an endpoint of each service and checks that no request reaches it after
 // the bound, while all requests are answered.
-func (rec *recovery) checkDrain() {
-	tb := rec.testbed
+func (r *recovery) checkDrain() {
+	tb := r.testbed
 	for _, engine := range []bool{false, true} {
 		live := tb.live(engine)
 		old := live[0]
@@ -117,7 +117,7 @@
 		for _, e := range tb.entries {
 			for range 3 {
 				for _, kind := range kinds {
-					if q := rec.sendRequest(e, kind, permanentKey); !answered(q) {
+					if q := r.sendRequest(e, kind, permanentKey); !answered(q) {
 						tb.reportProblem("%s %s failed without faults: %d %v %q", kind, q.id, q.status, q.err, q.body)
 					}
 				}
@@ -139,11 +139,11 @@
 	done     chan *call
 }
 
-func (a *streamRequest) run() { a.done <- a.recovery.sendRequest(a.entry, stream, permanentKey) }
+func (s *streamRequest) run() { s.done <- s.recovery.sendRequest(s.entry, stream, permanentKey) }
 
 // checkStop stops an entry while a stream is open and checks that the stream completes.
-func (rec *recovery) checkStop() {
-	tb := rec.testbed
+func (r *recovery) checkStop() {
+	tb := r.testbed
 	e := tb.entries[0]
 	running := func() (n int) {
 		for _, p := range tb.live(true) {
@@ -156,11 +156,11 @@
 	}
 	before := running()
 	done := make(chan *call, 1)
-	go (&streamRequest{recovery: rec, entry: e, done: done}).run()
-	rec.within(settleTime, "a stream has started", func() bool { return running() > before })
+	go (&streamRequest{recovery: r, entry: e, done: done}).run()
+	r.within(settleTime, "a stream has started", func() bool { return running() > before })
 	exited := e.expectExit()
 	e.signal(syscall.SIGTERM)
-	rec.within(settleTime, "a stopping entry is not ready", func() bool { return !e.isReady() })
+	r.within(settleTime, "a stopping entry is not ready", func() bool { return !e.isReady() })
 	for _, p := range tb.live(true) {
 		p.Fail(platformtest.None, 0)
 	}
