--- a/internal/metric/times.go
+++ b/internal/metric/times.go
@@ -32,11 +32,11 @@
 }
 
 // AddTo merges the recorded durations into a histogram of microseconds.
-func (t *Histogram) AddTo(h *hdrhistogram.Histogram) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if t.histogram != nil {
-		h.Merge(t.histogram)
+func (h *Histogram) AddTo(into *hdrhistogram.Histogram) {
+	h.mutex.Lock()
+	defer h.mutex.Unlock()
+	if h.histogram != nil {
+		into.Merge(h.histogram)
 	}
 }
 
