--- a/explain/summary.go
+++ b/explain/summary.go
@@ -32,7 +32,7 @@
 	From            time.Time
 	Sent            int // attempts
 	NotRun          int // attempts that engines reported as not run
-	WaitFailed      int // requests that waited for capacity in vain
+	WaitFailed      int // requests that waited for capacity without getting it
 	Answered        int
 	Refused         int
 	Cut             int // aborted streams
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -127,7 +127,7 @@
 	return fmt.Sprintf("%d calls, %d answered, %d refused or failed, %d aborted or abandoned", len(calls), complete, refused, aborted)
 }
 
-// saveLogs copies the logs of a failed run to logFolder, if set.
+// saveLogs copies the logs of a failed run to logDir, if set.
 func saveLogs(t *testing.T, tb *testbed, seed uint64) {
 	if *logDir == "" {
 		return
